--- a/internal/wasabiconfig/archive.go
+++ b/internal/wasabiconfig/archive.go
@@ -7,13 +7,13 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabitable"
 )
 
-// archive keeps accepted configurations in the table.
+// archive stores accepted configurations in the table.
 type archive struct {
 	table  wasabiridge.Table
 	writer *wasabitable.Writer
 }
 
-// head is the newest accepted version, without its text.
+// head is the newest accepted version, without its text, and the revision of its row.
 type head struct {
 	document wasabiridge.ConfigDocument
 	revision uint64
@@ -50,8 +50,8 @@
 	return DecodeDocument(row.Value)
 }
 
-// newer returns the newest accepted version if it is above the given one, and
-// a zero document otherwise.
+// newer returns the newest accepted version if it is above have, and a zero document
+// otherwise.
 func (a archive) newer(ctx context.Context, have wasabiridge.ConfigVersion) (wasabiridge.ConfigDocument, error) {
 	h, err := a.head(ctx)
 	if err != nil || h.document.Version <= have {
@@ -77,10 +77,10 @@
 	return documents, nil
 }
 
-// accept makes the document the successor of the head. The head's revision is
-// the compare-and-swap. The row of the history is written by nobody else, so
-// that it bears witness when the answer is lost and another operator moves
-// the head on before the read-back.
+// accept stores the document as the successor of the head. The revision of the head row
+// makes this a compare-and-swap. Only this write ever writes the row of the history. So
+// that row shows whether the write took effect even when its response is lost and
+// another operator replaces the head before the read-back.
 func (a archive) accept(ctx context.Context, h head, d wasabiridge.ConfigDocument) error {
 	full, err := EncodeDocument(d)
 	if err != nil {
--- a/internal/wasabiconfig/changes.go
+++ b/internal/wasabiconfig/changes.go
@@ -7,13 +7,14 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Changes names what differs between two configurations, one line for each
-// account, pool, rule and group of targets.
+// Changes describes the differences between two configurations, one line for each
+// changed account, pool and rule, and one each for the order of the rules, the targets
+// and the operator keys.
 func Changes(from, to wasabiridge.Config) []string {
 	var lines []string
-	lines = append(lines, parts("account", accountParts(from), accountParts(to))...)
-	lines = append(lines, parts("pool", poolParts(from), poolParts(to))...)
-	lines = append(lines, parts("rule", ruleParts(from), ruleParts(to))...)
+	lines = append(lines, compareItems("account", accountItems(from), accountItems(to))...)
+	lines = append(lines, compareItems("pool", poolItems(from), poolItems(to))...)
+	lines = append(lines, compareItems("rule", ruleItems(from), ruleItems(to))...)
 	if len(lines) == 0 && !reflect.DeepEqual(from.Rules, to.Rules) {
 		lines = append(lines, "order of the rules changed")
 	}
@@ -26,38 +27,39 @@
 	return lines
 }
 
-// part is one named piece of a configuration.
-type part struct {
+// item is one account, pool or rule of a configuration.
+type item struct {
 	name  string
 	value any
 }
 
-func accountParts(c wasabiridge.Config) []part {
-	all := make([]part, len(c.Accounts))
+func accountItems(c wasabiridge.Config) []item {
+	all := make([]item, len(c.Accounts))
 	for i, a := range c.Accounts {
-		all[i] = part{name: string(a.ID), value: a}
+		all[i] = item{name: string(a.ID), value: a}
 	}
 	return all
 }
 
-func poolParts(c wasabiridge.Config) []part {
-	all := make([]part, len(c.Pools))
+func poolItems(c wasabiridge.Config) []item {
+	all := make([]item, len(c.Pools))
 	for i, p := range c.Pools {
-		all[i] = part{name: string(p.ID), value: p}
+		all[i] = item{name: string(p.ID), value: p}
 	}
 	return all
 }
 
-func ruleParts(c wasabiridge.Config) []part {
-	all := make([]part, len(c.Rules))
+func ruleItems(c wasabiridge.Config) []item {
+	all := make([]item, len(c.Rules))
 	for i, r := range c.Rules {
-		all[i] = part{name: string(r.ID), value: r}
+		all[i] = item{name: string(r.ID), value: r}
 	}
 	return all
 }
 
-// parts compares pieces by name, in the order of both lists.
-func parts(kind string, from, to []part) []string {
+// compareItems compares items by name and returns a line for each difference, additions
+// and changes first, in the order of the lists.
+func compareItems(kind string, from, to []item) []string {
 	before := map[string]any{}
 	for _, p := range from {
 		before[p.name] = p.value
--- a/internal/wasabiconfig/config_test.go
+++ b/internal/wasabiconfig/config_test.go
@@ -18,8 +18,7 @@
 	wasabitest.Run(t, "config")
 }
 
-// text returns a small configuration of one account whose only rule has the
-// given name.
+// text returns a small configuration of one account whose only rule has the given name.
 func text(rule string) string {
 	return fmt.Sprintf(`{
 	// One pool of one service.
@@ -31,19 +30,19 @@
 
 const loss = 0.1
 
-var _ = Describe("The spread of an accepted configuration", func() {
+var _ = Describe("The distribution of an accepted configuration", func() {
 	cases := map[string]struct {
 		instances   int
 		seeds       uint64
 		writerLives bool
-		storeUp     bool
+		tableUp     bool
 	}{
 		"at 9 instances":   {9, 30, true, true},
 		"at 370 instances": {370, 1, true, true},
-		"at 9 instances with the store down behind it":  {9, 30, true, false},
-		"at 370 instances with the store down behind":   {370, 1, true, false},
-		"at 9 instances when the writer dies at once":   {9, 30, false, true},
-		"at 370 instances when the writer dies at once": {370, 1, false, true},
+		"at 9 instances when the store fails right after":   {9, 30, true, false},
+		"at 370 instances when the store fails right after": {370, 1, true, false},
+		"at 9 instances when the writer dies at once":       {9, 30, false, true},
+		"at 370 instances when the writer dies at once":     {370, 1, false, true},
 	}
 	names := make([]string, 0, len(cases))
 	for name := range cases {
@@ -51,52 +50,53 @@
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		It("is in force everywhere within 6 s with 10% of messages lost "+name, func() {
+		It("puts it in force at all instances within 6 s with 10% of messages lost "+name, func() {
 			c := cases[name]
 			for seed := range c.seeds {
-				s := newSpread(seed, c.instances, loss)
+				s := newSimulation(seed, c.instances, loss)
 				s.put(text("first"), 0, true)
-				s.runUntil(wasabiridge.Minute, s.everywhere)
-				Expect(s.everywhere()).To(BeTrue(), "seed %d: the first version", seed)
+				s.runUntil(wasabiridge.Minute, s.converged)
+				Expect(s.converged()).To(BeTrue(), "seed %d: the first version", seed)
 				s.runUntil(s.now+3*wasabiridge.Second+s.upTo(2000), never)
 				start := s.now
 				s.put(text("second"), 0, c.writerLives)
-				s.storeUp = c.storeUp
-				s.runUntil(start+6*wasabiridge.Second, s.everywhere)
-				Expect(s.everywhere()).To(BeTrue(), "seed %d: not everywhere after 6 s", seed)
-				Expect(s.broken).To(BeEmpty())
+				s.tableUp = c.tableUp
+				s.runUntil(start+6*wasabiridge.Second, s.converged)
+				Expect(s.converged()).To(BeTrue(), "seed %d: not in force at all instances after 6 s", seed)
+				Expect(s.violation).To(BeEmpty())
 			}
 		})
 	}
 })
 
-var _ = Describe("Restarts and splits", func() {
-	// A release restarts the instances in a herd while the platform's table is
-	// down. Callers see refusals from every instance that has no
-	// configuration. One survivor has it, and everyone must get it from there.
-	It("serves at once after a herd restart of 9 with the store down and one survivor", func() {
+var _ = Describe("Restarts and network partitions", func() {
+	// The failure it guards against: a release restarts all instances but one at the
+	// same time while the platform's table is down, and callers are refused by every
+	// instance without a configuration. The instances must get it from the remaining
+	// one.
+	It("serves within 2 s after 8 of 9 instances restart with the store down", func() {
 		for seed := range uint64(50) {
-			s := newSpread(seed, 9, loss)
+			s := newSimulation(seed, 9, loss)
 			s.put(text("first"), 0, true)
-			s.runUntil(wasabiridge.Minute, s.everywhere)
-			s.storeUp = false
+			s.runUntil(wasabiridge.Minute, s.converged)
+			s.tableUp = false
 			for i := range 8 {
 				s.restart(i)
 			}
 			start := s.now
-			s.runUntil(start+2*wasabiridge.Second, s.everywhere)
-			Expect(s.everywhere()).To(BeTrue(), "seed %d: some instance has nothing after 2 s", seed)
+			s.runUntil(start+2*wasabiridge.Second, s.converged)
+			Expect(s.converged()).To(BeTrue(), "seed %d: some instance has no configuration after 2 s", seed)
 		}
 	})
 
-	// Two halves cannot reach each other for an hour. Operators go on editing
-	// at the half that reaches the table. The other half keeps what it has,
-	// and must not bring it back when the halves meet again.
-	It("converges on the highest version after a split of an hour", func() {
+	// The failure it guards against: a network partition separates two halves for an
+	// hour. Operators go on editing at the half that reaches the table. The other half
+	// keeps the old version and must not bring it back after the partition.
+	It("converges on the highest version after a partition of an hour", func() {
 		for seed := range uint64(1) {
-			s := newSpread(seed, 12, loss)
+			s := newSimulation(seed, 12, loss)
 			s.put(text("first"), 0, true)
-			s.runUntil(wasabiridge.Minute, s.everywhere)
+			s.runUntil(wasabiridge.Minute, s.converged)
 			s.split = 6
 			start := s.now
 			for n := range 3 {
@@ -104,26 +104,26 @@
 				s.put(text(fmt.Sprintf("edit-%d", n)), 0, true)
 			}
 			s.runUntil(start+wasabiridge.Hour, never)
-			Expect(s.nodes[11].held.Version).To(BeEquivalentTo(1))
+			Expect(s.instances[11].inForce.Version).To(BeEquivalentTo(1))
 			s.split = 0
-			s.runUntil(s.now+6*wasabiridge.Second, s.everywhere)
-			Expect(s.everywhere()).To(BeTrue(), "seed %d", seed)
-			Expect(s.broken).To(BeEmpty())
+			s.runUntil(s.now+6*wasabiridge.Second, s.converged)
+			Expect(s.converged()).To(BeTrue(), "seed %d", seed)
+			Expect(s.violation).To(BeEmpty())
 		}
 	})
 
-	It("takes the same course for the same seed", func() {
+	It("has the same result for the same seed", func() {
 		run := func() string {
-			s := newSpread(5, 20, loss)
+			s := newSimulation(5, 20, loss)
 			s.put(text("first"), 0, true)
 			s.runUntil(20*wasabiridge.Second, never)
-			return fmt.Sprint(s.nodes[7].adopted, s.nodes[19].adopted, s.beats, s.documents, s.reads)
+			return fmt.Sprint(s.instances[7].adopted, s.instances[19].adopted, s.heartbeats, s.documents, s.reads)
 		}
 		Expect(run()).To(Equal(run()))
 	})
 
-	It("shares the read budget of the table at 370 instances", func() {
-		s := newSpread(1, 370, loss)
+	It("keeps the table reads of 370 instances within the shared budget", func() {
+		s := newSimulation(1, 370, loss)
 		s.put(text("first"), 0, true)
 		s.runUntil(20*wasabiridge.Second, never)
 		before := s.reads
@@ -137,9 +137,9 @@
 		return wasabiridge.ConfigDocument{Version: v, Text: []byte(body)}
 	}
 
-	// An instance was paused and its peers went on. Answers that were under
-	// way before the pause arrive after newer ones.
-	It("never goes back, whatever order documents come in", func() {
+	// The failure it guards against: an instance was paused while its peers went on.
+	// Responses that were in flight before the pause arrive after newer ones.
+	It("never goes back to an older version, whatever the order of the documents", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			m := wasabiconfig.NewMachine(1)
 			var last wasabiridge.ConfigVersion
@@ -171,10 +171,10 @@
 		})
 	})
 
-	// Instances are updated one after another. An older release hears of a
-	// configuration that it cannot read. It must go on with what it has, and
-	// must not ask for the same document for ever.
-	It("keeps the old version when it cannot read the new one", func() {
+	// The failure it guards against: instances are upgraded one after another, and an
+	// older release receives a configuration that it cannot parse. It must keep the
+	// version in force and must not fetch the same document again and again.
+	It("keeps the old version when it cannot parse the new one", func() {
 		m := wasabiconfig.NewMachine(1)
 		m.Handle(0, wasabiconfig.Accepted{Document: document(1, text("a"))})
 		Expect(m.Handle(1, wasabiconfig.Heard{Address: "p", Version: 2})).To(ContainElement(BeAssignableToTypeOf(wasabiconfig.FetchFromPeer{})))
--- a/internal/wasabiconfig/conflict.go
+++ b/internal/wasabiconfig/conflict.go
@@ -9,23 +9,24 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabirule"
 )
 
-// Conflict tells an operator who lost a race against what it was lost.
+// Conflict describes the competing change for an operator whose own change lost the
+// race.
 type Conflict struct {
-	// Base is the version that the operator started from.
+	// Base is the version that the change was based on.
 	Base wasabiridge.ConfigVersion
 	// Version, Author and At describe the newest accepted configuration.
 	Version wasabiridge.ConfigVersion
 	Author  string
 	At      wasabiridge.Millis
-	// Changes name what differs between Base and Version. They are empty when
-	// Base cannot be read.
+	// Changes describes the differences between Base and Version. It is empty when Base
+	// cannot be read.
 	Changes []string
 }
 
 var conflictProperty = errorx.RegisterPrintableProperty("conflict")
 
-// ConflictOf returns what a conflict was lost against. It reports false when
-// the error is of another kind.
+// ConflictOf returns the conflict that an error carries. The result is false when the
+// error carries none.
 func ConflictOf(err error) (Conflict, bool) {
 	value, ok := errorx.ExtractProperty(err, conflictProperty)
 	if !ok {
@@ -37,13 +38,13 @@
 
 func (c Conflict) err() error {
 	return wasabiridge.ErrConflict.New(
-		"version %d by %q at %s came first, and your change starts from version %d: %s",
+		"version %d by %q at %s was accepted first, and your change is based on version %d: %s",
 		c.Version, c.Author, c.At.Time().Format("2006-01-02 15:04:05 MST"), c.Base, strings.Join(c.Changes, "; "),
 	).WithProperty(conflictProperty, c)
 }
 
-// changesBetween compares two documents. Documents that do not parse any more
-// give no lines.
+// changesBetween compares two documents. It returns nil when one of them can no longer
+// be parsed.
 func changesBetween(from, to wasabiridge.ConfigDocument) []string {
 	var (
 		old, new wasabiridge.Config
--- a/internal/wasabiconfig/event.go
+++ b/internal/wasabiconfig/event.go
@@ -2,43 +2,43 @@
 
 import "github.com/wasabiridge/wasabiridge"
 
-// Event is something that a Machine is told. The concrete types are listed in
-// this file.
+// Event is an input of a Machine. The concrete types are listed in this file.
 type Event interface{ isEvent() }
 
-// Effect is something that a Machine wants done. The concrete types are listed
-// in this file.
+// Effect is an action that a Machine requests. The concrete types are listed in this
+// file.
 type Effect interface{ isEffect() }
 
-// Heard says that a version is in force at a peer.
+// Heard reports the version in force at a peer.
 type Heard struct {
 	Address string
 	Version wasabiridge.ConfigVersion
 }
 
-// Fetched answers a FetchFromPeer.
+// Fetched is the result of a FetchFromPeer.
 type Fetched struct {
 	Address  string
 	Document wasabiridge.ConfigDocument
 	Err      error
 }
 
-// TableRead answers a ReadTable. A zero document says that the table holds
-// nothing newer than was asked for.
+// TableRead is the result of a ReadTable. A zero document means that the table holds
+// nothing newer than requested.
 type TableRead struct {
 	Document wasabiridge.ConfigDocument
 	Err      error
 }
 
-// Accepted says that the table took a configuration that was put here.
+// Accepted reports that the table accepted a configuration that was put at this
+// instance.
 type Accepted struct{ Document wasabiridge.ConfigDocument }
 
-// Doubted says that the outcome of a write that was made here is unknown, so
-// that the table should be read soon.
+// Doubted reports that the outcome of a write by this instance is unknown, so that the
+// table should be read soon.
 type Doubted struct{}
 
-// Ticked says that time has passed. Instances is how many instances share the
-// read budget of the table, this one included.
+// Ticked reports the passage of time. Instances is the number of instances that share
+// the read budget of the table, including this one.
 type Ticked struct{ Instances int }
 
 func (Heard) isEvent()     {}
@@ -48,15 +48,15 @@
 func (Doubted) isEvent()   {}
 func (Ticked) isEvent()    {}
 
-// FetchFromPeer asks for the configuration in force at a peer. One Fetched
-// follows; when it takes too long, the machine asks elsewhere.
+// FetchFromPeer requests the configuration in force at a peer. One Fetched follows;
+// when it takes too long, the machine queries another peer.
 type FetchFromPeer struct{ Address string }
 
-// ReadTable asks for the newest configuration of the table if it is newer
-// than Have. One TableRead follows.
+// ReadTable requests the newest configuration of the table if it is newer than Have.
+// One TableRead follows.
 type ReadTable struct{ Have wasabiridge.ConfigVersion }
 
-// Announce asks for heartbeats with some random peers at once.
+// Announce requests immediate heartbeat exchanges with some random peers.
 type Announce struct{ Peers int }
 
 // Adopt puts a configuration in force.
@@ -65,8 +65,8 @@
 	Config   wasabiridge.Config
 }
 
-// Reject says that a document came that this instance cannot use. The version
-// that was in force stays.
+// Reject reports a document that this instance cannot use. The previous version stays
+// in force.
 type Reject struct {
 	Version wasabiridge.ConfigVersion
 	Err     error
--- a/internal/wasabiconfig/fuzz_test.go
+++ b/internal/wasabiconfig/fuzz_test.go
@@ -8,8 +8,8 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabiconfig"
 )
 
-// FuzzDecodeDocument looks for rows that panic, or that change when they are
-// written and read once more.
+// FuzzDecodeDocument searches for rows that cause a panic, or that change when they are
+// encoded and decoded again.
 func FuzzDecodeDocument(f *testing.F) {
 	seed, err := wasabiconfig.EncodeDocument(wasabiridge.ConfigDocument{Version: 3, Text: []byte(text("a")), Author: "ana", At: 5})
 	if err != nil {
@@ -33,8 +33,8 @@
 	})
 }
 
-// FuzzAdopt hands any text to a machine as if a peer had sent it. A text that
-// comes into force must be one that comes into force anywhere.
+// FuzzAdopt passes arbitrary text to a machine as if a peer had sent it. A text that
+// comes into force at one instance must come into force at any other.
 func FuzzAdopt(f *testing.F) {
 	f.Add([]byte(text("a")))
 	f.Add([]byte(`{"rules": [`))
@@ -44,7 +44,7 @@
 		first := one.Handle(0, wasabiconfig.Accepted{Document: d})
 		second := other.Handle(9, wasabiconfig.Fetched{Address: "p", Document: d})
 		if one.Version() != other.Version() || !reflect.DeepEqual(first[:1], second[:1]) && one.Version() != 0 {
-			t.Fatalf("%v at one instance, %v at another", first, second)
+			t.Fatalf("effects %v at one instance, %v at another", first, second)
 		}
 	})
 }
--- a/internal/wasabiconfig/keeper.go
+++ b/internal/wasabiconfig/keeper.go
@@ -1,11 +1,11 @@
-// Package wasabiconfig accepts configurations, keeps their history in the
-// platform's table and spreads them over all instances.
+// Package wasabiconfig accepts configurations, stores their history in the platform's
+// table and distributes them to all instances.
 //
-// A Machine decides what is in force; a Keeper drives it with goroutines, the
-// table and the peers. An accepted version is one compare-and-swap of the head
-// row together with a new row of the history. Peers carry the version number
-// in their heartbeats; who hears of a newer one fetches the document from the
-// peer that has it. Slow reads of the table find what no peer could tell.
+// A Machine decides which version is in force; a Keeper drives it with goroutines, the
+// table and the peers. A version is accepted by one compare-and-swap of the head row
+// together with a new row of the history. Heartbeats carry the version number. An
+// instance that receives a higher one than its own fetches the document from that peer.
+// Infrequent reads of the table find versions that no heartbeat carried.
 //
 // # Usage
 //
@@ -35,22 +35,22 @@
 )
 
 const (
-	// inboxSize bounds the events that wait for the machine.
+	// inboxSize limits the events that wait for the machine.
 	inboxSize = 256
 	tick      = 50 * time.Millisecond
 )
 
-// Membership is what a Keeper needs to know of the other instances.
-// Implementations are safe for concurrent use.
+// Membership gives a Keeper access to the other instances. Implementations are safe for
+// concurrent use.
 type Membership interface {
-	// Members returns the instances that are known, without this one.
+	// Members returns the known instances other than this one.
 	Members() []wasabiridge.Member
-	// Announce exchanges heartbeats with up to n random instances at once. It
+	// Announce starts heartbeat exchanges with up to n random instances at once. It
 	// does not wait for them.
 	Announce(n int)
 }
 
-// Options set up a Keeper.
+// Options configure a Keeper.
 type Options struct {
 	Self        wasabiridge.InstanceID
 	Incarnation wasabiridge.Incarnation
@@ -58,13 +58,13 @@
 	Table       wasabiridge.Table
 	Peers       wasabiridge.PeerClient
 	Membership  Membership
-	// Adopted is called by the goroutine of the keeper for each version that
-	// comes into force, in rising order. It must not block for long.
+	// Adopted is called by the goroutine of the keeper for each version that comes into
+	// force, in ascending order. It must not block for long.
 	Adopted func(cfg wasabiridge.Config)
 	Log     zerolog.Logger
 	// Seed makes the random choices differ between instances.
 	Seed uint64
-	// Sleep waits between the attempts of a write. Nil waits in real time.
+	// Sleep waits between the attempts of a write. Nil means real time.
 	Sleep wasabifault.SleepFunc
 }
 
@@ -72,13 +72,13 @@
 type Keeper struct {
 	options Options
 	archive archive
-	// inbox joins callers and answers to the goroutine of the machine. When
-	// it is full, news of peers is dropped, because the next heartbeat brings
-	// it again; everything else waits.
+	// inbox carries events from callers and from calls in flight to the goroutine of
+	// the machine. When it is full, versions received from peers are dropped, because
+	// the next heartbeat carries them again; all other senders wait.
 	inbox   chan delivery
 	current atomic.Pointer[state]
-	// ended is closed when Run returns, so that an edit that the table took
-	// just before is still answered.
+	// ended is closed when Run returns, so that a Put whose write the table accepted
+	// just before still returns.
 	ended chan struct{}
 }
 
@@ -87,7 +87,7 @@
 	config   wasabiridge.Config
 }
 
-// delivery is an event with a channel that is closed once it was handled.
+// delivery is an event with a channel that is closed once the event was handled.
 type delivery struct {
 	event Event
 	done  chan struct{}
@@ -135,8 +135,8 @@
 	}
 }
 
-// carryOut starts what an effect asks for. The machine has at most one fetch
-// and one read under way, so the goroutines are few.
+// carryOut executes an effect. At most one fetch and one table read of the machine are
+// waited for at a time, so the goroutines are few.
 func (k *Keeper) carryOut(ctx context.Context, e Effect) {
 	switch e := e.(type) {
 	case FetchFromPeer:
@@ -152,12 +152,12 @@
 			k.options.Adopted(e.Config)
 		}
 	case Reject:
-		k.options.Log.Error().Err(e.Err).Uint64("version", uint64(e.Version)).Msg("Configuration cannot be used here.")
+		k.options.Log.Error().Err(e.Err).Uint64("version", uint64(e.Version)).Msg("Configuration cannot be used at this instance.")
 	}
 }
 
 func (k *Keeper) fetch(ctx context.Context, address string) {
-	bounded, cancel := context.WithTimeout(ctx, maxFetchPause.Duration())
+	bounded, cancel := context.WithTimeout(ctx, maxFetchTimeout.Duration())
 	defer cancel()
 	d, err := k.options.Peers.FetchConfig(bounded, address)
 	k.deliver(ctx, Fetched{Address: address, Document: d, Err: err})
@@ -170,8 +170,8 @@
 	k.deliver(ctx, TableRead{Document: d, Err: err})
 }
 
-// deliver waits for room and until the event was handled, or until nobody is
-// left to handle it.
+// deliver enqueues an event and waits until it was handled, or until Run or the context
+// ends.
 func (k *Keeper) deliver(ctx context.Context, e Event) {
 	d := delivery{event: e, done: make(chan struct{})}
 	select {
@@ -188,8 +188,7 @@
 	}
 }
 
-// Heard takes the version that another instance says is in force there. It
-// never blocks.
+// Heard receives the version in force at another instance. It never blocks.
 func (k *Keeper) Heard(m wasabiridge.Member) {
 	if m.Config <= k.Version() {
 		return
@@ -200,25 +199,25 @@
 	}
 }
 
-// Version returns the version in force here, for heartbeats.
+// Version returns the version in force at this instance, for heartbeats.
 func (k *Keeper) Version() wasabiridge.ConfigVersion { return k.current.Load().document.Version }
 
-// Current returns the document and the configuration in force here.
+// Current returns the document and the configuration in force at this instance.
 func (k *Keeper) Current() (wasabiridge.ConfigDocument, wasabiridge.Config) {
 	s := k.current.Load()
 	return s.document, s.config
 }
 
-// HandleFetchConfig answers a peer with the configuration in force here.
+// HandleFetchConfig returns the configuration in force at this instance to a peer.
 func (k *Keeper) HandleFetchConfig(context.Context) (wasabiridge.ConfigDocument, error) {
 	d, _ := k.Current()
 	if d.Version == 0 {
-		return d, wasabiridge.ErrNotFound.New("no configuration is in force here")
+		return d, wasabiridge.ErrNotFound.New("no configuration is in force at this instance")
 	}
 	return d, nil
 }
 
-// Put checks a configuration as a whole and makes it the successor of base.
+// Put checks a configuration as a whole and stores it as the successor of base.
 func (k *Keeper) Put(ctx context.Context, base wasabiridge.ConfigVersion, text []byte, author string) (wasabiridge.ConfigVersion, error) {
 	if len(text) > MaxText {
 		return 0, wasabiridge.ErrInvalid.New("configuration has %d bytes, more than %d", len(text), MaxText)
@@ -229,26 +228,26 @@
 	}
 	var h head
 	if h, err = k.archive.head(ctx); err != nil {
-		return 0, wasabiridge.ErrUnavailable.Wrap(err, "nothing was changed")
+		return 0, wasabiridge.ErrUnavailable.Wrap(err, "cannot read the newest version; nothing was changed")
 	}
 	newest := k.newest(h)
 	if base > newest.Version {
-		return 0, wasabiridge.ErrConflict.New("your change starts from version %d, and the newest is %d", base, newest.Version)
+		return 0, wasabiridge.ErrConflict.New("your change is based on version %d, and the newest is %d", base, newest.Version)
 	}
 	if base < newest.Version {
 		return 0, k.conflict(ctx, base, newest)
 	}
 	d := wasabiridge.ConfigDocument{Version: base + 1, Text: text, Author: author, At: k.options.Clock.Now()}
 	if err = k.archive.accept(ctx, h, d); err != nil {
-		return 0, k.notAccepted(ctx, base, err)
+		return 0, k.explainFailure(ctx, base, err)
 	}
 	k.deliver(ctx, Accepted{Document: d})
 	return d.Version, nil
 }
 
-// newest returns the newest version that is known. A table that was restored
-// from a copy may be behind what is in force; going on from its head would
-// make a version that no instance ever takes, because versions only rise.
+// newest returns the newest known version. A table that was restored from a backup may
+// be behind the version in force. A successor of its head would then never come into
+// force at any instance, because versions only increase.
 func (k *Keeper) newest(h head) wasabiridge.ConfigDocument {
 	if d, _ := k.Current(); d.Version > h.document.Version {
 		return d
@@ -256,19 +255,19 @@
 	return h.document
 }
 
-// notAccepted explains a write that failed. After a lost race it reads what
-// the race was lost against.
-func (k *Keeper) notAccepted(ctx context.Context, base wasabiridge.ConfigVersion, err error) error {
+// explainFailure returns the error for a failed write. After a lost race it reads the
+// competing version.
+func (k *Keeper) explainFailure(ctx context.Context, base wasabiridge.ConfigVersion, err error) error {
 	if errorx.IsOfType(err, wasabiridge.ErrOutcomeUnknown) {
 		k.deliver(ctx, Doubted{})
-		return wasabiridge.ErrOutcomeUnknown.Wrap(err, "version %d may have been accepted; the history will tell", base+1)
+		return wasabiridge.ErrOutcomeUnknown.Wrap(err, "version %d may have been accepted; check the history", base+1)
 	}
 	if !errorx.IsOfType(err, wasabiridge.ErrConflict) {
 		return err
 	}
 	h, headErr := k.archive.head(ctx)
 	if headErr != nil {
-		return wasabiridge.ErrConflict.Wrap(err, "another change came first, and it cannot be read now")
+		return wasabiridge.ErrConflict.Wrap(err, "another change was accepted first, and it cannot be read now")
 	}
 	return k.conflict(ctx, base, h.document)
 }
@@ -298,8 +297,8 @@
 	return k.archive.history(ctx, limit)
 }
 
-// Status tells where which version is in force, this instance first. It is
-// what the heartbeats said last.
+// Status returns the version in force at each instance according to the last
+// heartbeats, this instance first.
 func (k *Keeper) Status(context.Context) ([]wasabiridge.InstanceConfig, error) {
 	status := []wasabiridge.InstanceConfig{{Instance: k.options.Self, Version: k.Version(), Reached: true}}
 	for _, m := range k.options.Membership.Members() {
--- a/internal/wasabiconfig/keeper_test.go
+++ b/internal/wasabiconfig/keeper_test.go
@@ -16,31 +16,30 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabitable"
 )
 
-// mesh joins keepers in one process. It is the peer client and the membership
-// of all of them.
-type mesh struct {
+// cluster connects keepers in one process. It is the PeerClient of all of them.
+type cluster struct {
 	wasabiridge.PeerClient
 	table *wasabitable.Memory
-	// via is what instances that start use as their table.
-	via   wasabiridge.Table
-	clock wasabiridge.Clock
+	// startTable is the table that keepers use which are started from now on.
+	startTable wasabiridge.Table
+	clock      wasabiridge.Clock
 
 	mu      sync.Mutex
 	keepers map[string]*wasabiconfig.Keeper
 	ends    map[string]context.CancelFunc
 }
 
-func newMesh() *mesh {
+func newCluster() *cluster {
 	clock := wasabiclock.System()
 	table := wasabitable.NewMemory(wasabitable.MemoryOptions{Clock: clock})
-	return &mesh{table: table, via: table, clock: clock, keepers: map[string]*wasabiconfig.Keeper{}, ends: map[string]context.CancelFunc{}}
+	return &cluster{table: table, startTable: table, clock: clock, keepers: map[string]*wasabiconfig.Keeper{}, ends: map[string]context.CancelFunc{}}
 }
 
 // start runs a keeper until the spec ends.
-func (m *mesh) start(name string, incarnation wasabiridge.Incarnation) *wasabiconfig.Keeper {
+func (m *cluster) start(name string, incarnation wasabiridge.Incarnation) *wasabiconfig.Keeper {
 	k := wasabiconfig.NewKeeper(wasabiconfig.Options{
 		Self: wasabiridge.InstanceID(name), Incarnation: incarnation, Clock: m.clock,
-		Table: m.via, Peers: m, Membership: view{mesh: m, self: name}, Seed: uint64(len(name)) + uint64(incarnation),
+		Table: m.startTable, Peers: m, Membership: membershipView{cluster: m, self: name}, Seed: uint64(len(name)) + uint64(incarnation),
 		Sleep: func(ctx context.Context, _ wasabiridge.Millis) bool { return ctx.Err() == nil },
 	})
 	m.mu.Lock()
@@ -53,26 +52,26 @@
 	return k
 }
 
-// stop ends a keeper.
-func (m *mesh) stop(name string) { m.ends[name]() }
+// stop stops a keeper.
+func (m *cluster) stop(name string) { m.ends[name]() }
 
-func (m *mesh) FetchConfig(ctx context.Context, address string) (wasabiridge.ConfigDocument, error) {
+func (m *cluster) FetchConfig(ctx context.Context, address string) (wasabiridge.ConfigDocument, error) {
 	m.mu.Lock()
 	k := m.keepers[address]
 	m.mu.Unlock()
 	return k.HandleFetchConfig(ctx)
 }
 
-type view struct {
-	mesh *mesh
-	self string
+type membershipView struct {
+	cluster *cluster
+	self    string
 }
 
-func (v view) Members() []wasabiridge.Member {
-	v.mesh.mu.Lock()
-	defer v.mesh.mu.Unlock()
+func (v membershipView) Members() []wasabiridge.Member {
+	v.cluster.mu.Lock()
+	defer v.cluster.mu.Unlock()
 	var members []wasabiridge.Member
-	for name, k := range v.mesh.keepers {
+	for name, k := range v.cluster.keepers {
 		if name != v.self {
 			entry := wasabiridge.InstanceEntry{ID: wasabiridge.InstanceID(name), PeerAddress: name}
 			members = append(members, wasabiridge.Member{InstanceEntry: entry, Config: k.Version()})
@@ -81,42 +80,42 @@
 	return members
 }
 
-// Announce is a heartbeat with everyone, both ways.
-func (v view) Announce(int) {
-	v.mesh.mu.Lock()
-	defer v.mesh.mu.Unlock()
-	self := v.mesh.keepers[v.self]
-	for name, k := range v.mesh.keepers {
+// Announce exchanges heartbeats with all keepers, in both directions.
+func (v membershipView) Announce(int) {
+	v.cluster.mu.Lock()
+	defer v.cluster.mu.Unlock()
+	self := v.cluster.keepers[v.self]
+	for name, k := range v.cluster.keepers {
 		k.Heard(wasabiridge.Member{InstanceEntry: wasabiridge.InstanceEntry{PeerAddress: v.self}, Config: self.Version()})
 		self.Heard(wasabiridge.Member{InstanceEntry: wasabiridge.InstanceEntry{PeerAddress: name}, Config: k.Version()})
 	}
 }
 
-// vanishing is a table that carries out the first write and is gone from then
-// on, before it could answer.
-type vanishing struct {
+// disappearingTable carries out the first write without a response and is unavailable
+// from then on.
+type disappearingTable struct {
 	*wasabitable.Memory
 	gone atomic.Bool
 }
 
-func (v *vanishing) Get(ctx context.Context, key string) (wasabiridge.Row, error) {
+func (v *disappearingTable) Get(ctx context.Context, key string) (wasabiridge.Row, error) {
 	if v.gone.Load() {
 		return wasabiridge.Row{}, wasabiridge.ErrUnavailable.New("gone")
 	}
 	return v.Memory.Get(ctx, key)
 }
 
-func (v *vanishing) Commit(ctx context.Context, tx wasabiridge.Transaction) error {
+func (v *disappearingTable) Commit(ctx context.Context, tx wasabiridge.Transaction) error {
 	if v.gone.Swap(true) {
 		return wasabiridge.ErrUnavailable.New("gone")
 	}
 	if err := v.Memory.Commit(ctx, tx); err != nil {
 		return err
 	}
-	return wasabiridge.ErrOutcomeUnknown.New("answer lost")
+	return wasabiridge.ErrOutcomeUnknown.New("response lost")
 }
 
-func down(m *mesh) {
+func failTable(m *cluster) {
 	m.table.Faults().SetPlan(wasabifault.Plan{Unavailable: 1})
 }
 
@@ -126,8 +125,8 @@
 }
 
 var _ = Describe("The keeper", func() {
-	It("puts a checked version in force at every instance and keeps the history", func(ctx SpecContext) {
-		m := newMesh()
+	It("puts a valid version in force at every instance and stores the history", func(ctx SpecContext) {
+		m := newCluster()
 		a, b := m.start("a", 1), m.start("b", 1)
 		Expect(a.Put(ctx, 0, []byte(text("first")), "ana")).To(BeEquivalentTo(1))
 		Expect(a.Version()).To(BeEquivalentTo(1))
@@ -144,19 +143,19 @@
 		Expect(status).To(HaveEach(HaveField("Version", BeEquivalentTo(2))))
 	})
 
-	It("refuses a configuration that is wrong as a whole and writes nothing", func(ctx SpecContext) {
-		m := newMesh()
+	It("refuses an invalid configuration and writes nothing", func(ctx SpecContext) {
+		m := newCluster()
 		a := m.start("a", 1)
 		_, err := a.Put(ctx, 0, []byte(`{"rules": [{"id": "r", "then": {"pool": "nowhere"}}]}`), "ana")
 		errorIs(err, wasabiridge.ErrInvalid)
 		Expect(m.table.Stats().Writes).To(BeZero())
 	})
 
-	// Two operators edit from the same version. Both believe their change is
-	// in force, and the slower one would wipe out the faster one's without a
-	// word. The slower one must hear whose change came first and what it was.
-	It("tells an operator who lost a race against what it was lost", func(ctx SpecContext) {
-		m := newMesh()
+	// The failure it guards against: two operators edit the same version, and the later
+	// change silently overwrites the earlier one. The second operator must be told
+	// whose change was accepted first and what it was.
+	It("describes the competing change to an operator who lost a race", func(ctx SpecContext) {
+		m := newCluster()
 		a, b := m.start("a", 1), m.start("b", 1)
 		Expect(a.Put(ctx, 0, []byte(text("first")), "ana")).To(BeEquivalentTo(1))
 		Expect(b.Put(ctx, 1, []byte(text("from-ben")), "ben")).To(BeEquivalentTo(2))
@@ -171,7 +170,7 @@
 	})
 
 	It("lets exactly one of many racing operators win each version", func(ctx SpecContext) {
-		m := newMesh()
+		m := newCluster()
 		keepers := []*wasabiconfig.Keeper{m.start("a", 1), m.start("b", 1), m.start("c", 1)}
 		wins := make(chan wasabiridge.ConfigVersion, 30)
 		var operators sync.WaitGroup
@@ -188,22 +187,24 @@
 		Expect(<-wins).To(BeEquivalentTo(1))
 	})
 
-	// The table takes the new version, but its answer is lost. The operator
-	// would see an error, save again, and be told of a conflict with himself.
-	It("recognises its own version when the answer of the table is lost", func(ctx SpecContext) {
-		m := newMesh()
+	// The failure it guards against: the table accepts the new version, but its
+	// response is lost. The operator would get an error, save again, and get a conflict
+	// with their own change.
+	It("recognises its own version when the response of the table is lost", func(ctx SpecContext) {
+		m := newCluster()
 		a := m.start("a", 1)
 		m.table.Faults().Script(wasabifault.Write, wasabifault.Fate{Kind: wasabifault.LostAnswer})
 		Expect(a.Put(ctx, 0, []byte(text("first")), "ana")).To(BeEquivalentTo(1))
 		Expect(a.History(ctx, 10)).To(HaveLen(1))
 	})
 
-	// The answer is lost and the table stays away, so nobody can tell. The
-	// operator is told so. When the table comes back the version is found.
-	It("says that the outcome is unknown and finds it later", func(ctx SpecContext) {
-		m := newMesh()
-		table := &vanishing{Memory: m.table}
-		m.via = table
+	// The response is lost and the table stays unavailable, so the outcome is unknown.
+	// The operator must be told so, and the version must be found when the table is
+	// available again.
+	It("reports an unknown outcome and finds the version later", func(ctx SpecContext) {
+		m := newCluster()
+		table := &disappearingTable{Memory: m.table}
+		m.startTable = table
 		a := m.start("a", 1)
 		_, err := a.Put(ctx, 0, []byte(text("first")), "ana")
 		errorIs(err, wasabiridge.ErrOutcomeUnknown)
@@ -213,45 +214,46 @@
 	})
 
 	It("changes nothing while the store is down and keeps serving", func(ctx SpecContext) {
-		m := newMesh()
+		m := newCluster()
 		a := m.start("a", 1)
 		Expect(a.Put(ctx, 0, []byte(text("first")), "ana")).To(BeEquivalentTo(1))
-		down(m)
+		failTable(m)
 		_, err := a.Put(ctx, 1, []byte(text("second")), "ana")
 		errorIs(err, wasabiridge.ErrUnavailable)
 		Expect(a.Version()).To(BeEquivalentTo(1))
 	})
 
-	// An operator saves at an instance that is just shutting down. The table
-	// took the change, but nobody was left to put it in force there, and the
-	// operator's call hung.
-	It("answers an edit although the instance shuts down", func(ctx SpecContext) {
-		m := newMesh()
+	// The failure it guards against: an operator saves at an instance that is shutting
+	// down. The table accepted the change, but no goroutine was left to put it in force
+	// at that instance, and the call of the operator never returned.
+	It("returns from an edit although the instance shuts down", func(ctx SpecContext) {
+		m := newCluster()
 		a := m.start("a", 1)
 		m.stop("a")
 		Expect(a.Put(ctx, 0, []byte(text("first")), "ana")).To(BeEquivalentTo(1))
 	})
 
-	It("takes the version from the survivor when the others restart with the store down", func(ctx SpecContext) {
-		m := newMesh()
+	It("gets the version from the only running instance when the others restart with the store down", func(ctx SpecContext) {
+		m := newCluster()
 		survivor := m.start("survivor", 1)
 		Expect(survivor.Put(ctx, 0, []byte(text("first")), "ana")).To(BeEquivalentTo(1))
-		down(m)
+		failTable(m)
 		for _, name := range []string{"b", "c", "d", "e", "f", "g", "h", "i"} {
 			restarted := m.start(name, 2)
 			Eventually(restarted.Version).WithContext(ctx).Should(BeEquivalentTo(1))
 		}
 	})
 
-	// The table was restored from an older copy. A version counted from its
-	// head would be below what is in force, and no instance would take it.
-	It("goes on above what is in force when the table is behind", func(ctx SpecContext) {
-		m := newMesh()
+	// The failure it guards against: the table was restored from an older backup. A
+	// successor of its head would be below the version in force, and no instance would
+	// adopt it.
+	It("continues from the version in force when the table is behind", func(ctx SpecContext) {
+		m := newCluster()
 		a := m.start("a", 1)
 		Expect(a.Put(ctx, 0, []byte(text("first")), "ana")).To(BeEquivalentTo(1))
 		Expect(a.Put(ctx, 1, []byte(text("second")), "ana")).To(BeEquivalentTo(2))
 		fresh := wasabitable.NewMemory(wasabitable.MemoryOptions{Clock: m.clock})
-		m.via = fresh
+		m.startTable = fresh
 		b := m.start("b", 1)
 		Eventually(b.Version).WithContext(ctx).Should(BeEquivalentTo(2))
 		_, err := b.Put(ctx, 0, []byte(text("third")), "ben")
--- a/internal/wasabiconfig/machine.go
+++ b/internal/wasabiconfig/machine.go
@@ -7,37 +7,37 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabirule"
 )
 
-// Times and sizes of the spread.
+// Times and limits of the distribution.
 const (
-	// announcePeers is how many random peers are told of a new version, beside
-	// those that the membership tells. They make up for lost messages.
+	// announcePeers is how many random peers are notified of a new version at once, in
+	// addition to those that the membership notifies. They make up for lost messages.
 	announcePeers = 2
-	// emptyPeers is how many peers an instance without a configuration asks.
-	emptyPeers                       = 8
-	emptyPause    wasabiridge.Millis = 200
-	maxEmptyPause                    = 5 * wasabiridge.Second
-	// fetchPause is the wait for a peer before the next is asked. After
-	// fastFetches of them it doubles with each wait, so that a slow network is
-	// not filled with copies.
-	fetchPause    wasabiridge.Millis = 150
-	maxFetchPause wasabiridge.Millis = 5000
-	fastFetches                      = 4
-	maxSources                       = 8
-	// tableReads is how many reads of the table all instances together make
-	// in a second, a small part of the two thousand that it carries.
-	tableReads      = 8
-	minReadInterval = wasabiridge.Second
-	maxReadInterval = 60 * wasabiridge.Second
-	readTimeout     = 5 * wasabiridge.Second
-	maxBackoff      = 30 * wasabiridge.Second
+	// bootstrapPeers is how many peers an instance without a configuration contacts.
+	bootstrapPeers                          = 8
+	bootstrapInterval    wasabiridge.Millis = 200
+	maxBootstrapInterval                    = 5 * wasabiridge.Second
+	// fetchTimeout is the time-out of a fetch, after which the next peer is queried.
+	// After fastFetches time-outs it doubles each time, so that a slow network is not
+	// filled with copies.
+	fetchTimeout    wasabiridge.Millis = 150
+	maxFetchTimeout wasabiridge.Millis = 5000
+	fastFetches                        = 4
+	maxSources                         = 8
+	// tableReadsPerSecond is the number of table reads per second by all instances
+	// together, a small share of the two thousand that the table can serve.
+	tableReadsPerSecond = 8
+	minReadInterval     = wasabiridge.Second
+	maxReadInterval     = 60 * wasabiridge.Second
+	readTimeout         = 5 * wasabiridge.Second
+	maxBackoff          = 30 * wasabiridge.Second
 )
 
 // Machine decides which configuration is in force at one instance. It is a
-// deterministic state machine: the same events at the same times give the
-// same effects. It is not safe for concurrent use.
+// deterministic state machine: the same events at the same times give the same effects.
+// It is not safe for concurrent use.
 //
-// The version in force only rises. Whatever comes late, twice or crossed, an
-// older document is never put in force again.
+// The version in force only increases. An older document never comes into force again,
+// even if messages are late, duplicated or reordered.
 type Machine struct {
 	rng       *rand.Rand
 	instances int
@@ -45,19 +45,19 @@
 	document wasabiridge.ConfigDocument
 	rejected wasabiridge.ConfigVersion
 
-	// sources are peers known to have a newer version, the latest first.
-	sources    []Heard
-	fetching   string
-	fetchedBy  wasabiridge.Millis
-	unanswered int
+	// sources are peers known to have a newer version, the most recent first.
+	sources       []Heard
+	fetching      string
+	fetchDeadline wasabiridge.Millis
+	fetchTimeouts int
 
-	reading  bool
-	readBy   wasabiridge.Millis
-	nextRead wasabiridge.Millis
-	failures int
+	reading      bool
+	readDeadline wasabiridge.Millis
+	nextRead     wasabiridge.Millis
+	failures     int
 
-	nextAsk    wasabiridge.Millis
-	emptyPause wasabiridge.Millis
+	nextBootstrap     wasabiridge.Millis
+	bootstrapInterval wasabiridge.Millis
 
 	effects []Effect
 }
@@ -66,22 +66,22 @@
 // the seed, which should differ between instances.
 func NewMachine(seed uint64) *Machine {
 	return &Machine{
-		rng:        rand.New(rand.NewPCG(seed, seed)),
-		instances:  1,
-		emptyPause: emptyPause,
+		rng:               rand.New(rand.NewPCG(seed, seed)),
+		instances:         1,
+		bootstrapInterval: bootstrapInterval,
 	}
 }
 
 // Version returns the version in force.
 func (m *Machine) Version() wasabiridge.ConfigVersion { return m.document.Version }
 
-// Handle takes one event and returns what has to be done. The returned slice
-// is valid until the next call.
+// Handle processes one event and returns the requested actions. The returned slice is
+// valid until the next call.
 func (m *Machine) Handle(now wasabiridge.Millis, e Event) []Effect {
 	m.effects = m.effects[:0]
 	switch e := e.(type) {
 	case Heard:
-		m.heard(e)
+		m.recordSource(e)
 	case Fetched:
 		m.fetched(e)
 	case TableRead:
@@ -99,37 +99,41 @@
 	return m.effects
 }
 
-func (m *Machine) do(e Effect) { m.effects = append(m.effects, e) }
+func (m *Machine) emit(e Effect) { m.effects = append(m.effects, e) }
 
-func (m *Machine) wanted(v wasabiridge.ConfigVersion) bool {
+// isCandidate reports whether a version is newer than the one in force and than any
+// rejected one.
+func (m *Machine) isCandidate(v wasabiridge.ConfigVersion) bool {
 	return v > m.document.Version && v > m.rejected
 }
 
-// heard remembers a peer with a newer version, in front of those heard of
-// earlier, which are more likely to be gone.
-func (m *Machine) heard(h Heard) {
-	if !m.wanted(h.Version) {
+// recordSource records a peer with a newer version before the earlier ones, which are
+// more likely to be unreachable.
+func (m *Machine) recordSource(h Heard) {
+	if !m.isCandidate(h.Version) {
 		return
 	}
-	m.forget(h.Address)
+	m.dropSource(h.Address)
 	m.sources = append([]Heard{h}, m.sources...)
 	if len(m.sources) > maxSources {
 		m.sources = m.sources[:maxSources]
 	}
 }
 
-func (m *Machine) forget(address string) {
+// dropSource removes the source with the address, and all sources whose version is no
+// longer a candidate.
+func (m *Machine) dropSource(address string) {
 	kept := m.sources[:0]
 	for _, s := range m.sources {
-		if s.Address != address && m.wanted(s.Version) {
+		if s.Address != address && m.isCandidate(s.Version) {
 			kept = append(kept, s)
 		}
 	}
 	m.sources = kept
 }
 
-// fetch asks the first source and puts it behind the others, so that the next
-// one is asked when no answer comes in time.
+// fetch queries the first source and moves it to the end of the list, so that the next
+// one is queried after a time-out.
 func (m *Machine) fetch(now wasabiridge.Millis) {
 	if m.fetching != "" || len(m.sources) == 0 {
 		return
@@ -137,17 +141,17 @@
 	source := m.sources[0]
 	m.sources = append(append([]Heard(nil), m.sources[1:]...), source)
 	m.fetching = source.Address
-	m.fetchedBy = now + m.fetchWait()
-	m.do(FetchFromPeer{Address: m.fetching})
+	m.fetchDeadline = now + m.currentFetchTimeout()
+	m.emit(FetchFromPeer{Address: m.fetching})
 }
 
-func (m *Machine) fetchWait() wasabiridge.Millis {
-	doublings := min(max(0, m.unanswered-fastFetches+1), 8)
-	return min(fetchPause<<doublings, maxFetchPause)
+func (m *Machine) currentFetchTimeout() wasabiridge.Millis {
+	doublings := min(max(0, m.fetchTimeouts-fastFetches+1), 8)
+	return min(fetchTimeout<<doublings, maxFetchTimeout)
 }
 
-// fetched takes an answer, also one that comes after its timeout: what counts
-// is its version.
+// fetched processes the result of a fetch, also after its time-out: only the version
+// matters.
 func (m *Machine) fetched(f Fetched) {
 	if f.Address == m.fetching {
 		m.fetching = ""
@@ -155,7 +159,7 @@
 	if f.Err == nil {
 		m.adopt(f.Document)
 	}
-	m.forget(f.Address)
+	m.dropSource(f.Address)
 }
 
 func (m *Machine) tableRead(now wasabiridge.Millis, t TableRead) {
@@ -169,70 +173,71 @@
 	m.adopt(t.Document)
 }
 
-// readFailed backs off, so that a store that comes back is not met by all
-// instances at once.
+// readFailed backs off, so that instances do not all read at once when the table is
+// available again.
 func (m *Machine) readFailed(now wasabiridge.Millis) {
 	m.reading = false
 	m.failures = min(m.failures+1, 6)
 	m.nextRead = now + m.jitter(min(m.readInterval()<<m.failures, maxBackoff+m.readInterval()))
 }
 
-// readInterval shares the read budget between the instances.
+// readInterval returns the time between two reads, which divides the read budget among
+// the instances.
 func (m *Machine) readInterval() wasabiridge.Millis {
-	share := wasabiridge.Millis(m.instances) * wasabiridge.Second / tableReads
+	share := wasabiridge.Millis(m.instances) * wasabiridge.Second / tableReadsPerSecond
 	return min(max(share, minReadInterval), maxReadInterval)
 }
 
-// jitter spreads a span evenly between nothing and twice its length. With less
-// spread, instances that started together would go on reading together, and a
-// version that nobody tells would be found by none of them for a long time.
+// jitter returns a uniformly distributed time between zero and twice span. With less
+// variation, instances that started together would continue to read together, and a
+// version that no heartbeat carries would long be found by none of them.
 func (m *Machine) jitter(span wasabiridge.Millis) wasabiridge.Millis {
 	return wasabiridge.Millis(m.rng.Int64N(int64(2*span) + 1))
 }
 
-// adopt puts a document in force if it is newer. A document that does not
-// parse was accepted by a release that knows more; keeping the old version is
-// the only way to go on serving.
+// adopt puts a document in force if it is newer. A document that cannot be parsed was
+// accepted by a newer release; the previous version then stays in force, so that the
+// instance can go on serving.
 func (m *Machine) adopt(d wasabiridge.ConfigDocument) {
-	if !m.wanted(d.Version) {
+	if !m.isCandidate(d.Version) {
 		return
 	}
 	cfg, err := wasabirule.Parse(d.Text)
 	if err != nil {
 		m.rejected = d.Version
-		m.forget("")
-		m.do(Reject{Version: d.Version, Err: err})
+		m.dropSource("")
+		m.emit(Reject{Version: d.Version, Err: err})
 		return
 	}
 	m.document = d
-	m.unanswered = 0
-	m.forget("")
-	m.do(Adopt{Document: d, Config: cfg.WithVersion(d.Version)})
-	m.do(Announce{Peers: announcePeers})
+	m.fetchTimeouts = 0
+	m.dropSource("")
+	m.emit(Adopt{Document: d, Config: cfg.WithVersion(d.Version)})
+	m.emit(Announce{Peers: announcePeers})
 }
 
-// ask looks for a peer with a configuration, so that an instance that starts
-// while the table is down has one at once. It gets slower when nobody has one.
-func (m *Machine) ask(now wasabiridge.Millis) {
-	m.nextAsk = now + m.emptyPause
-	m.emptyPause = min(2*m.emptyPause, maxEmptyPause)
-	m.do(Announce{Peers: emptyPeers})
+// bootstrap contacts peers to get a configuration, so that an instance that starts
+// while the table is down has one at once. The interval grows while no peer has one.
+func (m *Machine) bootstrap(now wasabiridge.Millis) {
+	m.nextBootstrap = now + m.bootstrapInterval
+	m.bootstrapInterval = min(2*m.bootstrapInterval, maxBootstrapInterval)
+	m.emit(Announce{Peers: bootstrapPeers})
 }
 
 func (m *Machine) tick(now wasabiridge.Millis) {
-	if m.fetching != "" && now >= m.fetchedBy {
+	if m.fetching != "" && now >= m.fetchDeadline {
 		m.fetching = ""
-		m.unanswered++
+		m.fetchTimeouts++
 	}
-	if m.reading && now >= m.readBy {
+	if m.reading && now >= m.readDeadline {
 		m.readFailed(now)
 	}
 	if !m.reading && now >= m.nextRead {
 		m.reading = true
-		m.readBy = now + readTimeout
-		m.do(ReadTable{Have: m.document.Version})
+		m.readDeadline = now + readTimeout
+		m.emit(ReadTable{Have: m.document.Version})
 	}
-	if m.document.Version == 0 && now >= m.nextAsk {
-		m.ask(now)
+	if m.document.Version == 0 && now >= m.nextBootstrap {
+		m.bootstrap(now)
 	}
 }
--- a/internal/wasabiconfig/spread_test.go
+++ b/internal/wasabiconfig/spread_test.go
@@ -13,36 +13,36 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabipeer"
 )
 
-// spread runs many instances in one thread and in virtual time, each of them a
-// machine of membership and one of configuration. Messages and their answers
-// are lost at random; the table is read directly.
-type spread struct {
-	rng     *rand.Rand
-	loss    float64
-	now     wasabiridge.Millis
-	order   uint64
-	queue   agenda
-	nodes   []*node
-	entries []wasabiridge.InstanceEntry
-	index   map[string]int
-	head    wasabiridge.ConfigDocument
-	storeUp bool
-	// split cuts the instances below it from the others, and these from the
-	// table. Zero means that all reach each other.
+// simulation runs many instances in one thread and in virtual time, each with a machine
+// of the membership and one of the configuration. Messages and their responses are lost
+// at random; the table is read directly.
+type simulation struct {
+	rng       *rand.Rand
+	loss      float64
+	now       wasabiridge.Millis
+	order     uint64
+	queue     agenda
+	instances []*instance
+	entries   []wasabiridge.InstanceEntry
+	index     map[string]int
+	head      wasabiridge.ConfigDocument
+	tableUp   bool
+	// split partitions the instances with a lower index from the others, which also
+	// lose the table. Zero means no partition.
 	split int
-	// measure makes the run count bytes, which takes time.
+	// measure enables the counting of bytes, which takes time.
 	measure bool
-	// beats and bytes count heartbeats, answers included; documents counts
+	// heartbeats and bytes count heartbeats including responses; documents counts
 	// fetches that were answered; reads counts reads of the table.
-	beats, bytes, documents, reads int
-	broken                         string
+	heartbeats, bytes, documents, reads int
+	violation                           string
 }
 
-// node is one life of an instance.
-type node struct {
+// instance is one incarnation of an instance.
+type instance struct {
 	config  *wasabiconfig.Machine
 	member  *wasabimember.Machine
-	held    wasabiridge.ConfigDocument
+	inForce wasabiridge.ConfigDocument
 	adopted wasabiridge.Millis
 }
 
@@ -68,8 +68,8 @@
 
 const tickSpan = 50
 
-func newSpread(seed uint64, instances int, loss float64) *spread {
-	s := &spread{rng: rand.New(rand.NewPCG(seed, 1)), loss: loss, storeUp: true, index: map[string]int{}}
+func newSimulation(seed uint64, instances int, loss float64) *simulation {
+	s := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), loss: loss, tableUp: true, index: map[string]int{}}
 	for i := range instances {
 		entry := wasabiridge.InstanceEntry{
 			ID:          wasabiridge.InstanceID(fmt.Sprintf("region-%d-%03d", i%4, i)),
@@ -80,7 +80,7 @@
 		}
 		s.entries = append(s.entries, entry)
 		s.index[entry.PeerAddress] = i
-		s.nodes = append(s.nodes, &node{})
+		s.instances = append(s.instances, &instance{})
 	}
 	for i := range instances {
 		s.restart(i)
@@ -89,33 +89,34 @@
 	return s
 }
 
-// restart gives an instance machines that know nothing but the platform's list.
-func (s *spread) restart(i int) {
+// restart replaces the machines of an instance by new ones that know only the list of
+// instances of the platform.
+func (s *simulation) restart(i int) {
 	incarnation := wasabiridge.Incarnation(s.rng.Uint32())
-	s.nodes[i] = &node{
+	s.instances[i] = &instance{
 		config: wasabiconfig.NewMachine(s.rng.Uint64()),
 		member: wasabimember.New(s.now, wasabimember.Options{Self: s.entries[i], Incarnation: incarnation, Seed: s.rng.Uint64()}),
 	}
-	s.tell(i, wasabimember.Listed{Entries: s.entries})
+	s.handleMember(i, wasabimember.Listed{Entries: s.entries})
 }
 
-func (s *spread) upTo(span wasabiridge.Millis) wasabiridge.Millis {
+func (s *simulation) upTo(span wasabiridge.Millis) wasabiridge.Millis {
 	return wasabiridge.Millis(s.rng.Int64N(int64(span)))
 }
 
-func (s *spread) after(span wasabiridge.Millis, run func()) {
+func (s *simulation) after(span wasabiridge.Millis, run func()) {
 	s.order++
 	heap.Push(&s.queue, task{at: s.now + span, order: s.order, run: run})
 }
 
-// send carries a message between two instances, or loses it.
-func (s *spread) send(i, j int, run func()) {
+// send delivers a message between two instances, or loses it.
+func (s *simulation) send(i, j int, run func()) {
 	if s.rng.Float64() >= s.loss && (i < s.split) == (j < s.split) {
 		s.after(1+s.upTo(3), run)
 	}
 }
 
-func (s *spread) runUntil(end wasabiridge.Millis, done func() bool) {
+func (s *simulation) runUntil(end wasabiridge.Millis, done func() bool) {
 	for len(s.queue) > 0 && s.queue[0].at <= end && !done() {
 		t := heap.Pop(&s.queue).(task)
 		s.now = t.at
@@ -128,16 +129,16 @@
 
 func never() bool { return false }
 
-func (s *spread) ticks(i int) {
-	s.tell(i, wasabimember.Ticked{})
-	s.handle(i, wasabiconfig.Ticked{Instances: len(s.nodes)})
+func (s *simulation) ticks(i int) {
+	s.handleMember(i, wasabimember.Ticked{})
+	s.handle(i, wasabiconfig.Ticked{Instances: len(s.instances)})
 	s.after(tickSpan, func() { s.ticks(i) })
 }
 
-// tell hands an event to the membership of an instance and returns its reply,
-// if the event asks for one.
-func (s *spread) tell(i int, e wasabimember.Event) wasabiridge.Heartbeat {
-	n := s.nodes[i]
+// handleMember passes an event to the membership of an instance and returns the reply,
+// if there is one.
+func (s *simulation) handleMember(i int, e wasabimember.Event) wasabiridge.Heartbeat {
+	n := s.instances[i]
 	var reply wasabiridge.Heartbeat
 	for _, effect := range append([]wasabimember.Effect(nil), n.member.Handle(s.now, e)...) {
 		switch effect := effect.(type) {
@@ -152,36 +153,36 @@
 	return reply
 }
 
-// exchange is one heartbeat and its answer.
-func (s *spread) exchange(i, j int, h wasabiridge.Heartbeat) {
+// exchange simulates one heartbeat and its response.
+func (s *simulation) exchange(i, j int, h wasabiridge.Heartbeat) {
 	s.count(h)
-	sender := s.nodes[i]
+	sender := s.instances[i]
 	s.send(i, j, func() {
-		reply := s.tell(j, wasabimember.Asked{Heartbeat: h})
+		reply := s.handleMember(j, wasabimember.Asked{Heartbeat: h})
 		s.count(reply)
 		s.send(j, i, func() {
-			if s.nodes[i] == sender {
-				s.tell(i, wasabimember.Answered{Heartbeat: reply})
+			if s.instances[i] == sender {
+				s.handleMember(i, wasabimember.Answered{Heartbeat: reply})
 			}
 		})
 	})
 }
 
-func (s *spread) count(h wasabiridge.Heartbeat) {
-	s.beats++
+func (s *simulation) count(h wasabiridge.Heartbeat) {
+	s.heartbeats++
 	if s.measure {
 		s.bytes += proto.Size(wasabipeer.EncodeHeartbeat(h))
 	}
 }
 
-func (s *spread) handle(i int, e wasabiconfig.Event) {
-	for _, effect := range append([]wasabiconfig.Effect(nil), s.nodes[i].config.Handle(s.now, e)...) {
+func (s *simulation) handle(i int, e wasabiconfig.Event) {
+	for _, effect := range append([]wasabiconfig.Effect(nil), s.instances[i].config.Handle(s.now, e)...) {
 		s.carryOut(i, effect)
 	}
 }
 
-func (s *spread) carryOut(i int, e wasabiconfig.Effect) {
-	n := s.nodes[i]
+func (s *simulation) carryOut(i int, e wasabiconfig.Effect) {
+	n := s.instances[i]
 	switch e := e.(type) {
 	case wasabiconfig.FetchFromPeer:
 		s.fetch(i, s.index[e.Address])
@@ -189,32 +190,32 @@
 		s.reads++
 		s.after(5, func() { s.readTable(i, e.Have) })
 	case wasabiconfig.Announce:
-		s.tell(i, wasabimember.AnnounceWanted{Count: e.Peers})
+		s.handleMember(i, wasabimember.AnnounceWanted{Count: e.Peers})
 	case wasabiconfig.Adopt:
-		if e.Document.Version <= n.held.Version {
-			s.broken = fmt.Sprintf("instance %d went from version %d to %d", i, n.held.Version, e.Document.Version)
+		if e.Document.Version <= n.inForce.Version {
+			s.violation = fmt.Sprintf("instance %d went from version %d to %d", i, n.inForce.Version, e.Document.Version)
 		}
-		n.held, n.adopted = e.Document, s.now
-		s.tell(i, wasabimember.ConfigInForce{Version: e.Document.Version})
+		n.inForce, n.adopted = e.Document, s.now
+		s.handleMember(i, wasabimember.ConfigInForce{Version: e.Document.Version})
 	}
 }
 
-func (s *spread) fetch(i, j int) {
-	asker := s.nodes[i]
+func (s *simulation) fetch(i, j int) {
+	requester := s.instances[i]
 	s.send(i, j, func() {
 		s.documents++
-		d := s.nodes[j].held
+		d := s.instances[j].inForce
 		s.send(j, i, func() {
-			if s.nodes[i] == asker {
+			if s.instances[i] == requester {
 				s.handle(i, wasabiconfig.Fetched{Address: s.entries[j].PeerAddress, Document: d})
 			}
 		})
 	})
 }
 
-func (s *spread) readTable(i int, have wasabiridge.ConfigVersion) {
+func (s *simulation) readTable(i int, have wasabiridge.ConfigVersion) {
 	answer := wasabiconfig.TableRead{}
-	if !s.storeUp || i < s.split != (s.split > 0) {
+	if !s.tableUp || i < s.split != (s.split > 0) {
 		answer.Err = wasabiridge.ErrUnavailable.New("outage")
 	} else if s.head.Version > have {
 		answer.Document = s.head
@@ -222,18 +223,18 @@
 	s.handle(i, answer)
 }
 
-// put makes the next version the head of the table and, unless the writer
-// dies with it, accepted at an instance.
-func (s *spread) put(text string, at int, writerLives bool) {
+// put makes the next version the head of the table and, unless the writer dies with it,
+// accepted at an instance.
+func (s *simulation) put(text string, at int, writerLives bool) {
 	s.head = wasabiridge.ConfigDocument{Version: s.head.Version + 1, Text: []byte(text), Author: "ana", At: s.now}
 	if writerLives {
 		s.handle(at, wasabiconfig.Accepted{Document: s.head})
 	}
 }
 
-func (s *spread) everywhere() bool {
-	for _, n := range s.nodes {
-		if n.held.Version != s.head.Version {
+func (s *simulation) converged() bool {
+	for _, n := range s.instances {
+		if n.inForce.Version != s.head.Version {
 			return false
 		}
 	}
