--- a/internal/wasabirule/check.go
+++ b/internal/wasabirule/check.go
@@ -20,8 +20,8 @@
 	DefaultDeadline    = 30 * wasabiridge.Second
 )
 
-// Parse decodes a configuration, fills in defaults and checks it as a whole.
-// It reports wasabiridge.ErrInvalid with one line for each mistake.
+// Parse decodes a configuration, fills in defaults and checks it as a whole. It returns
+// wasabiridge.ErrInvalid with one line for each mistake.
 func Parse(text []byte) (wasabiridge.Config, error) {
 	var cfg wasabiridge.Config
 	if err := wasabidocument.Decode(text, &cfg); err != nil {
@@ -60,8 +60,8 @@
 	return cfg
 }
 
-// Check looks for mistakes that the decoder cannot see, such as a rule that
-// names a pool that does not exist.
+// Check finds mistakes that the decoder cannot detect, such as a rule with the ID of a
+// pool that does not exist.
 func Check(cfg wasabiridge.Config) error {
 	c := checker{
 		accounts: map[wasabiridge.ClientAccountID]bool{},
@@ -100,159 +100,159 @@
 	problems []string
 }
 
-func (c *checker) say(place, format string, args ...any) {
-	c.problems = append(c.problems, place+": "+fmt.Sprintf(format, args...))
+func (c *checker) report(path, format string, args ...any) {
+	c.problems = append(c.problems, path+": "+fmt.Sprintf(format, args...))
 }
 
-func (c *checker) pool(place string, p wasabiridge.Pool) {
+func (c *checker) pool(path string, p wasabiridge.Pool) {
 	if p.ID == "" {
-		c.say(place+"/id", "a pool needs a name")
+		c.report(path+"/id", "the ID of a pool is missing")
 	}
 	if c.pools[p.ID] {
-		c.say(place+"/id", "the name %q is used twice", p.ID)
+		c.report(path+"/id", "the ID %q is used twice", p.ID)
 	}
 	c.pools[p.ID] = true
 	if p.BlockTokens < 0 {
-		c.say(place+"/block_tokens", "must not be negative")
+		c.report(path+"/block_tokens", "must not be negative")
 	}
 	if p.MinServing < 0 || (p.MinServing > 0 && p.MinServing >= len(p.Backends)) {
-		c.say(place+"/min_serving", "must be below the number of backend servers, %d", len(p.Backends))
+		c.report(path+"/min_serving", "must be below the number of backend servers, %d", len(p.Backends))
 	}
 	for i, b := range p.Backends {
-		c.backend(fmt.Sprintf("%s/backends/%d", place, i), b)
+		c.backend(fmt.Sprintf("%s/backends/%d", path, i), b)
 	}
 }
 
-func (c *checker) backend(place string, b wasabiridge.BackendServer) {
+func (c *checker) backend(path string, b wasabiridge.BackendServer) {
 	if b.ID == "" {
-		c.say(place+"/id", "a backend server needs a name")
+		c.report(path+"/id", "the ID of a backend server is missing")
 	}
 	if other, ok := c.backends[b.ID]; ok {
-		c.say(place+"/id", "the name %q is used at %s too", b.ID, other)
+		c.report(path+"/id", "the ID %q is also used at %s", b.ID, other)
 	}
-	c.backends[b.ID] = place
+	c.backends[b.ID] = path
 	if b.Kind != wasabiridge.BackendEngine && b.Kind != wasabiridge.BackendService {
-		c.say(place+"/kind", "must be %q or %q", wasabiridge.BackendEngine, wasabiridge.BackendService)
+		c.report(path+"/kind", "must be %q or %q", wasabiridge.BackendEngine, wasabiridge.BackendService)
 	}
 	if u, err := url.Parse(b.URL); err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
-		c.say(place+"/url", "must be an http or https address with a host")
+		c.report(path+"/url", "must be an http or https address with a host")
 	}
 	if b.Slots < 0 {
-		c.say(place+"/slots", "must not be negative")
+		c.report(path+"/slots", "must not be negative")
 	}
 }
 
-func (c *checker) limit(place string, l *wasabiridge.AccountLimit) {
+func (c *checker) limit(path string, l *wasabiridge.AccountLimit) {
 	if l == nil {
 		return
 	}
 	if l.Rate < 0 {
-		c.say(place+"/rate", "must not be negative")
+		c.report(path+"/rate", "must not be negative")
 	}
 	if l.Burst < 0 {
-		c.say(place+"/burst", "must not be negative")
+		c.report(path+"/burst", "must not be negative")
 	}
 	if l.PlainTokens < 0 {
-		c.say(place+"/plain_tokens", "must not be negative")
+		c.report(path+"/plain_tokens", "must not be negative")
 	}
 	if l.Unit != "" && l.Unit != wasabiridge.LimitRequests && l.Unit != wasabiridge.LimitTokens {
-		c.say(place+"/unit", "must be %q or %q", wasabiridge.LimitRequests, wasabiridge.LimitTokens)
+		c.report(path+"/unit", "must be %q or %q", wasabiridge.LimitRequests, wasabiridge.LimitTokens)
 	}
 }
 
-func (c *checker) account(place string, a wasabiridge.ClientAccount) {
+func (c *checker) account(path string, a wasabiridge.ClientAccount) {
 	if a.ID == "" {
-		c.say(place+"/id", "a client account needs a name")
+		c.report(path+"/id", "the ID of a client account is missing")
 	}
 	if c.accounts[a.ID] {
-		c.say(place+"/id", "the name %q is used twice", a.ID)
+		c.report(path+"/id", "the ID %q is used twice", a.ID)
 	}
 	c.accounts[a.ID] = true
 	if a.Share < 0 {
-		c.say(place+"/share", "must not be negative")
+		c.report(path+"/share", "must not be negative")
 	}
-	c.limit(place+"/limit", a.Limit)
+	c.limit(path+"/limit", a.Limit)
 	for i, h := range a.KeyHashes {
-		c.keyHash(fmt.Sprintf("%s/key_hashes/%d", place, i), h)
+		c.keyHash(fmt.Sprintf("%s/key_hashes/%d", path, i), h)
 	}
 	for i, p := range a.Pools {
 		if !c.pools[p] {
-			c.say(fmt.Sprintf("%s/pools/%d", place, i), "there is no pool %q", p)
+			c.report(fmt.Sprintf("%s/pools/%d", path, i), "unknown pool %q", p)
 		}
 	}
 }
 
-func (c *checker) keyHash(place, hash string) {
+func (c *checker) keyHash(path, hash string) {
 	if _, err := hex.DecodeString(hash); err != nil || len(hash) != sha256HexLength {
-		c.say(place, "must be a SHA-256 hash of %d hexadecimal digits", sha256HexLength)
+		c.report(path, "must be a SHA-256 hash of %d hexadecimal digits", sha256HexLength)
 		return
 	}
 	hash = strings.ToLower(hash)
 	if other, ok := c.keys[hash]; ok {
-		c.say(place, "the key is used at %s too", other)
+		c.report(path, "the key is also used at %s", other)
 	}
-	c.keys[hash] = place
+	c.keys[hash] = path
 }
 
-func (c *checker) rule(place string, r wasabiridge.Rule) {
+func (c *checker) rule(path string, r wasabiridge.Rule) {
 	if r.ID == "" {
-		c.say(place+"/id", "a rule needs a name")
+		c.report(path+"/id", "the ID of a rule is missing")
 	}
 	if c.rules[r.ID] {
-		c.say(place+"/id", "the name %q is used twice", r.ID)
+		c.report(path+"/id", "the ID %q is used twice", r.ID)
 	}
 	c.rules[r.ID] = true
 	for i, a := range r.When.Accounts {
 		if !c.accounts[a] {
-			c.say(fmt.Sprintf("%s/when/accounts/%d", place, i), "there is no client account %q", a)
+			c.report(fmt.Sprintf("%s/when/accounts/%d", path, i), "unknown client account %q", a)
 		}
 	}
 	if r.When.MaxPromptTokens > 0 && r.When.MaxPromptTokens < r.When.MinPromptTokens {
-		c.say(place+"/when/max_prompt_tokens", "is below min_prompt_tokens")
+		c.report(path+"/when/max_prompt_tokens", "must not be below min_prompt_tokens")
 	}
-	c.action(place+"/then", r.Then)
+	c.action(path+"/then", r.Then)
 }
 
-func (c *checker) action(place string, a wasabiridge.Action) {
+func (c *checker) action(path string, a wasabiridge.Action) {
 	if a.Refuse != "" {
 		if a.Pool != "" {
-			c.say(place+"/pool", "a rule that refuses has no pool")
+			c.report(path+"/pool", "must be empty in a rule that refuses requests")
 		}
 		return
 	}
 	if !c.pools[a.Pool] {
-		c.say(place+"/pool", "there is no pool %q", a.Pool)
+		c.report(path+"/pool", "unknown pool %q", a.Pool)
 	}
 	if a.Fallback != "" && !c.pools[a.Fallback] {
-		c.say(place+"/fallback", "there is no pool %q", a.Fallback)
+		c.report(path+"/fallback", "unknown pool %q", a.Fallback)
 	}
 	if a.Objective != wasabiridge.ObjectiveFirstToken && a.Objective != wasabiridge.ObjectiveRecompute {
-		c.say(place+"/objective", "must be %q or %q", wasabiridge.ObjectiveFirstToken, wasabiridge.ObjectiveRecompute)
+		c.report(path+"/objective", "must be %q or %q", wasabiridge.ObjectiveFirstToken, wasabiridge.ObjectiveRecompute)
 	}
 	if a.NonIdempotent && (a.Retry || a.Hedge || a.Resume) {
-		c.say(place+"/non_idempotent", "excludes retry, hedge and resume")
+		c.report(path+"/non_idempotent", "cannot be combined with retry, hedge or resume")
 	}
 	if a.QueueLimit < 0 {
-		c.say(place+"/queue_limit", "must not be negative")
+		c.report(path+"/queue_limit", "must not be negative")
 	}
 	if a.Deadline < 0 {
-		c.say(place+"/deadline_ms", "must not be negative")
+		c.report(path+"/deadline_ms", "must not be negative")
 	}
 	if a.RecomputeWeight < 0 {
-		c.say(place+"/recompute_weight", "must not be negative")
+		c.report(path+"/recompute_weight", "must not be negative")
 	}
 }
 
-func (c *checker) target(place string, t wasabiridge.Target) {
+func (c *checker) target(path string, t wasabiridge.Target) {
 	switch t.Measure {
 	case "hit_rate", "ttft_p50", "ttft_p95", "ttft_p99", "recomputed_share", "refused_share", "doubled", "cut":
 	default:
-		c.say(place+"/measure", "there is no measure %q", t.Measure)
+		c.report(path+"/measure", "unknown measure %q", t.Measure)
 	}
 	if t.Account != "" && !c.accounts[t.Account] {
-		c.say(place+"/account", "there is no client account %q", t.Account)
+		c.report(path+"/account", "unknown client account %q", t.Account)
 	}
 	if t.AtMost == nil && t.AtLeast == nil {
-		c.say(place, "needs at_most or at_least")
+		c.report(path, "at_most or at_least is required")
 	}
 }
--- a/internal/wasabirule/rule.go
+++ b/internal/wasabirule/rule.go
@@ -1,8 +1,8 @@
 // Package wasabirule checks configurations and finds the rule that a request
 // matches.
 //
-// Rules form an ordered list; the first one whose conditions all hold decides.
-// A configuration is checked as a whole: no part of a wrong one is used.
+// Rules form an ordered list; the first rule whose conditions all hold applies. A
+// configuration is checked as a whole: no part of an invalid one is used.
 //
 // # Usage
 //
@@ -27,7 +27,7 @@
 // matches.
 const PriorityClassHeader = "X-Priority-Class"
 
-// View is what rules see of a request.
+// View holds the properties of a request that rules match on.
 type View struct {
 	Account wasabiridge.ClientAccountID
 	Method  string
@@ -36,8 +36,8 @@
 	Model   wasabiridge.ModelID
 	// PromptTokens is the estimated length of the prompt.
 	PromptTokens int
-	// Header returns the values of a request header. A nil function stands
-	// for a request without headers.
+	// Header returns the values of a request header. Nil means that the request has no
+	// headers.
 	Header func(name string) []string
 }
 
@@ -48,8 +48,8 @@
 	return v.Header(name)
 }
 
-// Match returns the first rule whose conditions all hold. It reports false
-// when no rule matches; such a request is refused.
+// Match returns the first rule whose conditions all hold. The result is false when no
+// rule matches; such a request is refused.
 func Match(cfg wasabiridge.Config, v View) (wasabiridge.Rule, bool) {
 	for _, rule := range cfg.Rules {
 		if mismatch(rule.When, v) == "" {
@@ -59,15 +59,16 @@
 	return wasabiridge.Rule{}, false
 }
 
-// Explanation tells why a rule matches a request or why not.
+// Explanation is why a rule matches a request or does not.
 type Explanation struct {
 	Rule    wasabiridge.RuleID `json:"rule"`
 	Matches bool               `json:"matches"`
-	// Why names the first condition that does not hold.
+	// Why describes the first condition that does not hold. It is empty when the rule
+	// matches.
 	Why string `json:"why,omitempty"`
 }
 
-// Explain returns one line for each rule up to and including the first that
+// Explain returns an explanation for each rule up to and including the first that
 // matches.
 func Explain(cfg wasabiridge.Config, v View) []Explanation {
 	var lines []Explanation
@@ -81,7 +82,7 @@
 	return lines
 }
 
-// mismatch names the first condition that does not hold. It returns the empty
+// mismatch describes the first condition that does not hold. It returns the empty
 // string when all hold.
 func mismatch(c wasabiridge.Condition, v View) string {
 	switch {
--- a/internal/wasabirule/rule_test.go
+++ b/internal/wasabirule/rule_test.go
@@ -63,20 +63,20 @@
 		text string
 		want []string
 	}{
-		"unknown fields are all named with their place": {
+		"unknown fields are all reported with their positions": {
 			"{\n \"acounts\": [],\n \"pools\": [{\"id\": 7, \"bakends\": []}]\n}",
 			[]string{"2:13: /acounts: unknown field", "/pools/0/id: a number does not fit here", "/pools/0/bakends: unknown field"},
 		},
-		"broken text": {"{", []string{"document: "}},
-		"names that do not exist": {
+		"malformed text": {"{", []string{"document: "}},
+		"references to unknown accounts and pools": {
 			`{"accounts": [{"id": "a", "key_hashes": ["xyz"], "pools": ["p"]}], "rules": [{"id": "r", "when": {"accounts": ["b"]}, "then": {"pool": "q"}}]}`,
 			[]string{"/accounts/0/key_hashes/0", "/accounts/0/pools/0", "/rules/0/when/accounts/0", "/rules/0/then/pool"},
 		},
-		"limits that mean nothing": {
+		"limits with invalid values": {
 			`{"accounts": [{"id": "a", "key_hashes": [], "pools": [], "limit": {"rate": -1, "burst": -2, "unit": "bytes", "plain_tokens": -3}}], "rules": []}`,
 			[]string{"/accounts/0/limit/rate", "/accounts/0/limit/burst", "/accounts/0/limit/plain_tokens", "/accounts/0/limit/unit"},
 		},
-		"non-idempotent work is never repeated": {
+		"non-idempotent requests with retries": {
 			`{"pools": [{"id": "p", "backends": []}], "rules": [{"id": "r", "when": {}, "then": {"pool": "p", "non_idempotent": true, "retry": true}}]}`,
 			[]string{"/rules/0/then/non_idempotent"},
 		},
