--- a/internal/wasabiorder/client.go
+++ b/internal/wasabiorder/client.go
@@ -12,24 +12,24 @@
 
 const (
 	weightsPath = "/weights"
-	// maxStateBytes bounds the answer of an engine.
+	// maxStateBytes limits the size of the response of an engine.
 	maxStateBytes = 64 << 10
 )
 
-// Client gives orders over HTTP: POST /weights with an order, GET /weights for
-// the state. It is safe for concurrent use.
+// Client sends orders over HTTP: POST /weights sends an order, GET /weights reads the
+// state of the engine. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
 }
 
 var _ wasabiridge.EngineOperator = (*Client)(nil)
 
-// NewClient returns a client over the transport. Nil means that of net/http.
+// NewClient returns a client that uses the transport. Nil means http.DefaultTransport.
 func NewClient(transport http.RoundTripper) *Client {
 	return &Client{http: &http.Client{Transport: transport}}
 }
 
-// orderBody is the body of an order.
+// orderBody is the JSON body of an order.
 type orderBody struct {
 	Fencing wasabiridge.FencingNumber  `json:"fencing_number"`
 	Model   wasabiridge.ModelID        `json:"model,omitempty"`
@@ -38,7 +38,7 @@
 	Role    wasabiridge.EngineRole     `json:"role,omitempty"`
 }
 
-// stateBody is what an engine says of itself.
+// stateBody is the JSON body of the state of an engine.
 type stateBody struct {
 	Weights *wasabiridge.WeightsVersion `json:"weights"`
 	Fencing wasabiridge.FencingNumber   `json:"fencing_number"`
@@ -46,50 +46,50 @@
 	Role    wasabiridge.EngineRole      `json:"role"`
 }
 
-// SendOrder gives an order.
+// SendOrder sends an order to an engine.
 func (c *Client) SendOrder(ctx context.Context, b wasabiridge.BackendServer, o wasabiridge.EngineOrder) error {
 	body, err := json.Marshal(orderBody{Fencing: o.Fencing, Model: o.Model, Adapter: o.Adapter, Weights: o.Weights, Role: o.Role})
 	if err != nil {
-		return wasabiridge.ErrInvalid.Wrap(err, "order: to %s", b.ID)
+		return wasabiridge.ErrInvalid.Wrap(err, "order: sending to %s", b.ID)
 	}
 	var resp *http.Response
 	if resp, err = c.do(ctx, http.MethodPost, b, body); err != nil {
-		return wasabiridge.ErrOutcomeUnknown.Wrap(err, "order: to %s", b.ID)
+		return wasabiridge.ErrOutcomeUnknown.Wrap(err, "order: sending to %s", b.ID)
 	}
 	defer resp.Body.Close()
 	switch {
 	case resp.StatusCode < http.StatusMultipleChoices:
 		return nil
 	case resp.StatusCode == http.StatusPreconditionFailed:
-		return wasabiridge.ErrFenced.New("order: %s knows a newer fencing number than %d", b.ID, o.Fencing)
+		return wasabiridge.ErrFenced.New("order: %s has seen a newer fencing number than %d", b.ID, o.Fencing)
 	default:
-		return wasabiridge.ErrOutcomeUnknown.New("order: %s answered %d", b.ID, resp.StatusCode)
+		return wasabiridge.ErrOutcomeUnknown.New("order: %s responded with status %d", b.ID, resp.StatusCode)
 	}
 }
 
-// ReadState reads what the engine is now.
+// ReadState reads the present state of the engine.
 func (c *Client) ReadState(ctx context.Context, b wasabiridge.BackendServer) (wasabiridge.EngineState, error) {
 	resp, err := c.do(ctx, http.MethodGet, b, nil)
 	if err != nil {
-		return wasabiridge.EngineState{}, wasabiridge.ErrUnavailable.Wrap(err, "order: state of %s", b.ID)
+		return wasabiridge.EngineState{}, wasabiridge.ErrUnavailable.Wrap(err, "order: reading the state of %s", b.ID)
 	}
 	defer resp.Body.Close()
 	var data []byte
 	if data, err = io.ReadAll(io.LimitReader(resp.Body, maxStateBytes)); err != nil {
-		return wasabiridge.EngineState{}, wasabiridge.ErrUnavailable.Wrap(err, "order: state of %s", b.ID)
+		return wasabiridge.EngineState{}, wasabiridge.ErrUnavailable.Wrap(err, "order: reading the state of %s", b.ID)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return wasabiridge.EngineState{}, wasabiridge.ErrUnavailable.New("order: %s answered %d", b.ID, resp.StatusCode)
+		return wasabiridge.EngineState{}, wasabiridge.ErrUnavailable.New("order: %s responded with status %d", b.ID, resp.StatusCode)
 	}
 	return decodeState(data)
 }
 
-// decodeState reads the state of an engine. An answer that names no weights
-// is invalid; taking it for version zero would have the engine load again.
+// decodeState decodes the state of an engine. A response without a weights version is
+// invalid; if it counted as version zero, the engine would be ordered to load again.
 func decodeState(data []byte) (wasabiridge.EngineState, error) {
 	var s stateBody
 	if err := json.Unmarshal(data, &s); err != nil || s.Weights == nil {
-		return wasabiridge.EngineState{}, wasabiridge.ErrInvalid.New("order: answer is not the state of an engine")
+		return wasabiridge.EngineState{}, wasabiridge.ErrInvalid.New("order: response is not a valid state of an engine")
 	}
 	return wasabiridge.EngineState{Weights: *s.Weights, Loading: s.Loading, Role: s.Role, Fencing: s.Fencing}, nil
 }
--- a/internal/wasabiorder/client_test.go
+++ b/internal/wasabiorder/client_test.go
@@ -23,17 +23,17 @@
 	read   *errorx.Type
 	order  *errorx.Type
 }{
-	"whole":             {status: 200, body: `{"weights":3,"fencing_number":2,"loading":true,"role":"decode"}`},
-	"no weights":        {status: 200, body: `{}`, read: wasabiridge.ErrInvalid},
-	"not JSON":          {status: 200, body: `<html>`, read: wasabiridge.ErrInvalid},
-	"fencing too old":   {status: 412, body: `{}`, read: wasabiridge.ErrUnavailable, order: wasabiridge.ErrFenced},
-	"broken":            {status: 500, body: `{}`, read: wasabiridge.ErrUnavailable, order: wasabiridge.ErrOutcomeUnknown},
-	"accepted, unready": {status: 202, body: `{"weights":3}`, read: wasabiridge.ErrUnavailable},
+	"complete":        {status: 200, body: `{"weights":3,"fencing_number":2,"loading":true,"role":"decode"}`},
+	"no weights":      {status: 200, body: `{}`, read: wasabiridge.ErrInvalid},
+	"not JSON":        {status: 200, body: `<html>`, read: wasabiridge.ErrInvalid},
+	"fencing too old": {status: 412, body: `{}`, read: wasabiridge.ErrUnavailable, order: wasabiridge.ErrFenced},
+	"server error":    {status: 500, body: `{}`, read: wasabiridge.ErrUnavailable, order: wasabiridge.ErrOutcomeUnknown},
+	"status accepted": {status: 202, body: `{"weights":3}`, read: wasabiridge.ErrUnavailable},
 }
 
-var _ = Describe("The client of engines", func() {
+var _ = Describe("The client for engines", func() {
 	for _, name := range wasabitest.Names(answers) {
-		It("takes an answer: "+name, func(ctx SpecContext) {
+		It("handles a response: "+name, func(ctx SpecContext) {
 			a := answers[name]
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				w.WriteHeader(a.status)
@@ -50,7 +50,7 @@
 		})
 	}
 
-	It("speaks with the stand-in of an engine", func(ctx SpecContext) {
+	It("works with the stand-in of an engine", func(ctx SpecContext) {
 		engine := wasabiengine.New(wasabiengine.Options{Clock: wasabiclock.System(), LoadTime: 1})
 		Expect(engine.Start("127.0.0.1:0")).To(Succeed())
 		defer engine.Close()
@@ -72,7 +72,7 @@
 	Expect(errorx.IsOfType(err, want)).To(BeTrue(), "%v", err)
 }
 
-// FuzzState looks for an answer of an engine that breaks the decoder.
+// FuzzState searches for a response of an engine that makes the decoder panic.
 func FuzzState(f *testing.F) {
 	f.Add([]byte(`{"weights":3,"fencing_number":2,"loading":true}`))
 	f.Add([]byte(`{"weights":-1}`))
--- a/internal/wasabiorder/course.go
+++ b/internal/wasabiorder/course.go
@@ -7,24 +7,25 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabilease"
 )
 
-// Timing sets the pace of a course. A zero field takes its default.
+// Timing holds the time limits and intervals of a Course. A zero field means its
+// default.
 type Timing struct {
-	// TimeLimit bounds one order, 2 s by default.
+	// TimeLimit is the time-out of one order, 2 s by default.
 	TimeLimit wasabiridge.Millis
-	// Margin is what has to be left of the lease beyond TimeLimit, 1 s by
-	// default.
+	// Margin is the time that must remain of the lease in addition to TimeLimit when an
+	// order is sent, 1 s by default.
 	Margin wasabiridge.Millis
-	// Poll is the pause between two readings of an engine under order, 500 ms
-	// by default.
+	// Poll is the interval between two reads of an engine that carries out an order,
+	// 500 ms by default.
 	Poll wasabiridge.Millis
-	// Audit is the pause between two readings of an engine that waits or has
-	// reached its target, 10 s by default.
+	// Audit is the interval between two reads of an engine that waits for an order or
+	// has reached its target, 10 s by default.
 	Audit wasabiridge.Millis
-	// Confirm is how long an engine that ignores fencing numbers must be
-	// what it should be, 3 s by default.
+	// Confirm is how long an engine that ignores fencing numbers must stay at its
+	// target before it counts as reached, 3 s by default.
 	Confirm wasabiridge.Millis
-	// Patience is how long a load may take before the order is given again,
-	// 30 s by default.
+	// Patience is how long the loading of weights may take before the order is sent
+	// again, 30 s by default.
 	Patience wasabiridge.Millis
 }
 
@@ -48,32 +49,32 @@
 	return t
 }
 
-// Status says how far a course is.
+// Status is the progress of a Course.
 type Status uint8
 
 const (
-	// Unread means that the engine was not read since the lease was taken.
+	// Unread means that the engine has not been read since the lease was acquired.
 	Unread Status = iota
-	// Waiting means that the engine is not what it should be and no order is
-	// under way.
+	// Waiting means that the engine is not at its target and no order is in flight.
 	Waiting
-	// Ordered means that an order was sent and its effect is not seen yet.
+	// Ordered means that an order was sent and the engine has not reached the target
+	// yet.
 	Ordered
-	// Confirming means that the engine is what it should be and is watched for
-	// late orders of an earlier holder.
+	// Confirming means that the engine is at its target and is monitored for late
+	// orders of an earlier lease holder.
 	Confirming
-	// Reached means that the engine is what it should be.
+	// Reached means that the engine is at its target.
 	Reached
-	// Overtaken means that the engine has newer weights than the target. It
-	// is left as it is, because versions only rise.
+	// Overtaken means that the engine has newer weights than the target. It is left
+	// unchanged, because versions only increase.
 	Overtaken
-	// Fenced means that the engine knows a newer lease. This holder is no
-	// longer the one to give orders.
+	// Fenced means that the engine has seen a newer lease. This holder must not send
+	// orders any more.
 	Fenced
 )
 
-// Course brings one engine to a target. It is deterministic and not safe for
-// concurrent use. At most one call to the engine is on its way.
+// Course drives one engine to a target state. It is deterministic and not safe for
+// concurrent use. At most one call to the engine is in flight.
 type Course struct {
 	server wasabiridge.BackendServer
 	target wasabiridge.EngineOrder
@@ -86,52 +87,54 @@
 	nextAt  wasabiridge.Millis
 	// orderedAt is when the last order was sent under this lease.
 	orderedAt wasabiridge.Millis
-	// fitSince is when the engine was first seen to be what it should be.
-	fitSince wasabiridge.Millis
-	// holdUntil keeps a failed order from being repeated at once.
-	holdUntil wasabiridge.Millis
-	failures  int
-	effects   []Effect
+	// matchesSince is when the engine was first seen at its target. Zero means that it
+	// is not.
+	matchesSince wasabiridge.Millis
+	// orderNotBefore is the earliest time of the next order, so that a failed order is
+	// not repeated at once.
+	orderNotBefore wasabiridge.Millis
+	failures       int
+	effects        []Effect
 }
 
-// NewCourse returns a course that has not begun. The fencing number of the
-// target is not used; orders carry that of the grant.
+// NewCourse returns a Course in status Unread. The fencing number of the target is
+// ignored; orders carry that of the grant.
 func NewCourse(server wasabiridge.BackendServer, target wasabiridge.EngineOrder, t Timing) *Course {
 	return &Course{server: server, target: target, timing: t.withDefaults()}
 }
 
-// Status returns how far the course is.
+// Status returns the progress of the Course.
 func (c *Course) Status() Status { return c.status }
 
-// State returns what the engine last said of itself. It means something only
-// when Known reports true.
+// State returns the last state read from the engine. It is valid only when Known
+// returns true.
 func (c *Course) State() wasabiridge.EngineState { return c.state }
 
-// Tried reports whether the engine was read, or could not be read, since the
-// lease was taken.
+// Tried reports whether the engine was read, or a read failed, since the lease was
+// acquired.
 func (c *Course) Tried() bool { return c.status != Unread || c.failures > 0 }
 
-// Known reports whether the last reading of the engine worked.
+// Known reports whether the last read of the engine succeeded.
 func (c *Course) Known() bool { return c.status != Unread && c.failures == 0 }
 
-// Fits reports whether the engine, when last read, was what it should be. An
-// order to such an engine loads nothing; it only makes the fencing number
-// known.
-func (c *Course) Fits() bool { return c.Known() && c.fits() }
+// Fits reports whether the engine was at its target when it was last read. An order to
+// such an engine loads nothing; it only makes the engine record the fencing number.
+func (c *Course) Fits() bool { return c.Known() && c.matches() }
 
-// MayLoad reports whether an order may have the engine load right now.
+// MayLoad reports whether the engine may be loading weights because of an order.
 func (c *Course) MayLoad() bool {
 	return c.status == Ordered || c.status != Unread && c.state.Loading
 }
 
-// Handle takes one event under a grant and returns what has to be done. Order
-// says whether an order may be given now; the caller decides that by what
-// other engines do. The returned slice is valid until the next call.
+// Handle processes one event under a grant and returns the requested actions. Order
+// reports whether an order may be sent now; the caller decides that by the state of the
+// other engines. The returned slice is valid until the next call.
 func (c *Course) Handle(now wasabiridge.Millis, g wasabilease.Grant, order bool, e Event) []Effect {
 	c.effects = c.effects[:0]
 	if g.Fencing != c.fencing {
-		// Another lease: whatever was read or sent before counts no more.
-		c.fencing, c.status, c.fitSince, c.failures, c.nextAt = g.Fencing, Unread, 0, 0, now
+		// The lease is a new one: reads and orders under the previous one no longer
+		// count.
+		c.fencing, c.status, c.matchesSince, c.failures, c.nextAt = g.Fencing, Unread, 0, 0, now
 	}
 	switch e := e.(type) {
 	case StateRead:
@@ -142,7 +145,7 @@
 	if g.Fencing == 0 || c.busy || c.status == Fenced {
 		return c.effects
 	}
-	if order && c.status == Waiting && c.failures == 0 && now >= c.holdUntil && c.covers(now, g) {
+	if order && c.status == Waiting && c.failures == 0 && now >= c.orderNotBefore && c.leaseCovers(now, g) {
 		c.send(now, g)
 		return c.effects
 	}
@@ -152,12 +155,12 @@
 	return c.effects
 }
 
-// covers reports whether an order sent now ends before the lease does.
+// leaseCovers reports whether an order sent now ends before the lease does.
 //
-// The failure it guards against: a holder sends at the end of its lease, the
-// next holder orders something newer, and the old order arrives after it. An
-// engine that ignores fencing numbers would go back to the old weights.
-func (c *Course) covers(now wasabiridge.Millis, g wasabilease.Grant) bool {
+// The failure it guards against: a holder sends an order at the end of its lease, the
+// next holder orders newer weights, and the old order arrives after that. An engine
+// that ignores fencing numbers would go back to the old weights.
+func (c *Course) leaseCovers(now wasabiridge.Millis, g wasabilease.Grant) bool {
 	return g.Covers(now, OrderSpan(c.timing))
 }
 
@@ -178,10 +181,10 @@
 	if a.Fencing != c.fencing {
 		return
 	}
-	// Whatever the answer was, the engine is read. A lost answer may stand
-	// for an order that took effect.
+	// The engine is read whatever the response was, because an order whose response was
+	// lost may have taken effect.
 	c.nextAt = now + c.timing.Poll
-	c.holdUntil = c.nextAt
+	c.orderNotBefore = c.nextAt
 	if errorx.IsOfType(a.Err, wasabiridge.ErrFenced) {
 		c.status = Fenced
 	}
@@ -198,68 +201,68 @@
 	c.nextAt = now + c.timing.Poll
 	if r.Err != nil {
 		c.failures++
-		c.fitSince = 0
+		c.matchesSince = 0
 		if c.status == Ordered && now-c.orderedAt >= c.timing.Patience {
-			// The engine was lost while it loaded. It must not hold the
-			// place of a load for ever.
+			// The engine became unreachable while it loaded. It must not occupy the
+			// place of a loading engine for ever.
 			c.status = Waiting
 		}
 		return
 	}
 	c.failures = 0
 	c.state = r.State
-	c.judge(now)
+	c.updateStatus(now)
 	if c.status == Waiting || c.status == Reached || c.status == Overtaken {
 		c.nextAt = now + c.timing.Audit
 	}
 }
 
-// judge compares what the engine says with the target.
-func (c *Course) judge(now wasabiridge.Millis) {
-	fits := c.fits()
-	if !fits {
-		c.fitSince = 0
-	} else if c.fitSince == 0 {
-		c.fitSince = now
+// updateStatus compares the state of the engine with the target.
+func (c *Course) updateStatus(now wasabiridge.Millis) {
+	matches := c.matches()
+	if !matches {
+		c.matchesSince = 0
+	} else if c.matchesSince == 0 {
+		c.matchesSince = now
 	}
 	switch {
 	case c.state.Fencing > c.fencing && c.server.ChecksFencing:
 		c.status = Fenced
 	case c.state.Weights > c.target.Weights && c.target.Weights != 0:
 		c.status = Overtaken
-	case fits && c.isFinal(now):
+	case matches && c.isFinal(now):
 		c.status = Reached
-	case fits && !c.server.ChecksFencing:
+	case matches && !c.server.ChecksFencing:
 		c.status = Confirming
 	case c.state.Loading && now-c.orderedAt < c.timing.Patience:
 		c.status = Ordered
 	case c.status == Ordered && now-c.orderedAt < c.timing.TimeLimit:
-		// The order may still be on its way.
+		// The order may still be in flight.
 	default:
 		c.status = Waiting
 	}
 }
 
-func (c *Course) fits() bool {
+func (c *Course) matches() bool {
 	return !c.state.Loading &&
 		(c.target.Weights == 0 || c.state.Weights == c.target.Weights) &&
 		(c.target.Role == "" || c.state.Role == c.target.Role)
 }
 
-// isFinal reports whether no order of an earlier holder can change the engine
-// any more, as far as that can be known.
+// isFinal reports whether, as far as can be known, no order of an earlier holder can
+// still change the engine.
 func (c *Course) isFinal(now wasabiridge.Millis) bool {
 	if c.server.ChecksFencing {
 		return c.state.Fencing == c.fencing
 	}
-	return now-c.fitSince >= c.timing.Confirm
+	return now-c.matchesSince >= c.timing.Confirm
 }
 
-// LoadPatience returns how long a load may take under the timing.
+// LoadPatience returns how long the loading of weights may take under the timing.
 func LoadPatience(t Timing) wasabiridge.Millis { return t.withDefaults().Patience }
 
-// OrderSpan returns how long after its send an order may still take effect,
-// with the margin.
+// OrderSpan returns how long after it was sent an order may still take effect,
+// including the margin.
 func OrderSpan(t Timing) wasabiridge.Millis {
 	t = t.withDefaults()
 	return t.TimeLimit + t.Margin
--- a/internal/wasabiorder/course_test.go
+++ b/internal/wasabiorder/course_test.go
@@ -10,7 +10,7 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabitest"
 )
 
-// courseTest drives one course to version 5 under lease number 7.
+// courseTest drives one Course to version 5 under a lease with fencing number 7.
 type courseTest struct {
 	*wasabiorder.Course
 	now   wasabiridge.Millis
@@ -26,7 +26,7 @@
 	}
 }
 
-// tick lets time pass and expects one effect, or none when want is nil.
+// tick advances the time and expects one effect, or none when want is nil.
 func (t *courseTest) tick(span wasabiridge.Millis, want wasabiorder.Effect) {
 	GinkgoHelper()
 	t.now += span
@@ -44,7 +44,7 @@
 	Expect(effects[0]).To(BeAssignableToTypeOf(want))
 }
 
-// read answers a read of the engine and expects what follows.
+// read reports a state of the engine and expects one effect, or none when want is nil.
 func (t *courseTest) read(s wasabiridge.EngineState, want wasabiorder.Effect) {
 	GinkgoHelper()
 	t.expect(wasabiorder.StateRead{Fencing: t.grant.Fencing, State: s}, want)
@@ -65,8 +65,8 @@
 )
 
 var courses = map[string]func(){
-	// The lease ends before the order would. Its successor may order
-	// something newer, and this order would arrive after that.
+	// The failure it guards against: the order would end after the lease. The next
+	// holder may send a newer order, and this one would arrive after it.
 	"no order near the end of the lease": func() {
 		t := newCourseTest(false)
 		t.grant.Until = t.now + 3*second - 1
@@ -74,10 +74,10 @@
 		t.read(old, nil)
 		Expect(t.Status()).To(Equal(wasabiorder.Waiting))
 	},
-	// An earlier holder's order is still on its way to an engine that is
-	// already as it should be. The engine must learn the new number, or it
-	// takes that order.
-	"an engine that does not know the number yet is ordered": func() {
+	// The failure it guards against: an order of an earlier holder is still in flight
+	// to an engine that is already at its target. The engine must record the new
+	// fencing number, or it carries out that order.
+	"an engine that has not seen the fencing number yet gets an order": func() {
 		t := newCourseTest(true)
 		t.tick(0, aRead)
 		t.read(wasabiridge.EngineState{Weights: 5, Fencing: 6}, aSend)
@@ -86,7 +86,7 @@
 		t.read(fit, nil)
 		Expect(t.Status()).To(Equal(wasabiorder.Reached))
 	},
-	"an engine that ignores numbers is watched for a while": func() {
+	"an engine that ignores fencing numbers is monitored before it counts as reached": func() {
 		t := newCourseTest(false)
 		t.tick(0, aRead)
 		t.read(fit, nil)
@@ -95,9 +95,9 @@
 		t.read(fit, nil)
 		Expect(t.Status()).To(Equal(wasabiorder.Reached))
 	},
-	// Long after its end a late order of an earlier holder arrives. The
-	// audit finds it and orders again.
-	"an engine that goes back is ordered again": func() {
+	// The failure it guards against: an order of an earlier holder arrives long after
+	// its lease has ended. The audit finds the change and sends an order again.
+	"an engine that goes back to old weights gets an order again": func() {
 		t := newCourseTest(false)
 		t.tick(0, aRead)
 		t.read(fit, nil)
@@ -106,38 +106,38 @@
 		t.tick(10*second, aRead)
 		t.read(old, aSend)
 	},
-	"another lease starts from a new reading": func() {
+	"a new lease starts with a new read": func() {
 		t := newCourseTest(true)
 		t.tick(0, aRead)
 		t.read(fit, nil)
 		Expect(t.Status()).To(Equal(wasabiorder.Reached))
 		t.tick(10*second, aRead)
 		t.grant.Fencing = 9
-		// The answer to a question under the former lease does not count.
+		// The result of a read under the former lease does not count.
 		t.expect(wasabiorder.StateRead{Fencing: 7, State: fit}, aRead)
 		Expect(t.Status()).To(Equal(wasabiorder.Unread))
 	},
-	"newer weights are left alone": func() {
+	"newer weights are left unchanged": func() {
 		t := newCourseTest(true)
 		t.tick(0, aRead)
 		t.read(wasabiridge.EngineState{Weights: 6, Fencing: 6}, nil)
 		Expect(t.Status()).To(Equal(wasabiorder.Overtaken))
 	},
-	"an engine that knows a newer lease gets no order": func() {
+	"an engine that has seen a newer lease gets no order": func() {
 		t := newCourseTest(true)
 		t.tick(0, aRead)
 		t.read(wasabiridge.EngineState{Weights: 4, Fencing: 8}, nil)
 		t.tick(wasabiridge.Minute, nil)
 		Expect(t.Status()).To(Equal(wasabiorder.Fenced))
 	},
-	"an engine that refuses the number gets no further order": func() {
+	"an engine that refuses the fencing number gets no further order": func() {
 		t := newCourseTest(true)
 		t.tick(0, aRead)
 		t.read(old, aSend)
 		t.answer(wasabiridge.ErrFenced.New("old"))
 		t.tick(wasabiridge.Minute, nil)
 	},
-	"a lost answer is followed by a reading, not by a second order": func() {
+	"a lost response is followed by a read, not by a second order": func() {
 		t := newCourseTest(true)
 		t.tick(0, aRead)
 		t.read(old, aSend)
@@ -147,7 +147,7 @@
 		Expect(t.MayLoad()).To(BeTrue())
 		t.tick(poll, aRead)
 	},
-	"a load that does not end is ordered again": func() {
+	"the order is sent again when loading does not end": func() {
 		t := newCourseTest(true)
 		t.tick(0, aRead)
 		t.read(old, aSend)
@@ -155,7 +155,7 @@
 		t.tick(31*second, aRead)
 		t.read(wasabiridge.EngineState{Weights: 4, Fencing: 7, Loading: true}, aSend)
 	},
-	"an order that the engine did not take is not repeated at once": func() {
+	"an order that the engine did not accept is not repeated at once": func() {
 		t := newCourseTest(true)
 		t.tick(0, aRead)
 		t.read(old, aSend)
@@ -163,7 +163,7 @@
 		t.tick(1, nil)
 		t.tick(poll, aSend)
 	},
-	"no lease, no call": func() {
+	"no call is sent without a lease": func() {
 		t := newCourseTest(true)
 		t.grant = wasabilease.Grant{}
 		t.tick(0, nil)
--- a/internal/wasabiorder/events.go
+++ b/internal/wasabiorder/events.go
@@ -2,23 +2,23 @@
 
 import "github.com/wasabiridge/wasabiridge"
 
-// Event is something that a Course is told.
+// Event is an input of a Course.
 type Event interface{ isEvent() }
 
-// Ticked says that time has passed.
+// Ticked reports the passage of time.
 type Ticked struct{}
 
-// StateRead answers a ReadState.
+// StateRead is the result of a ReadState.
 type StateRead struct {
-	// Fencing is that of the ReadState.
+	// Fencing is the fencing number of the ReadState.
 	Fencing wasabiridge.FencingNumber
 	State   wasabiridge.EngineState
 	Err     error
 }
 
-// OrderAnswered answers a SendOrder.
+// OrderAnswered is the result of a SendOrder.
 type OrderAnswered struct {
-	// Fencing is that of the order.
+	// Fencing is the fencing number of the order.
 	Fencing wasabiridge.FencingNumber
 	Err     error
 }
@@ -27,18 +27,18 @@
 func (StateRead) isEvent()     {}
 func (OrderAnswered) isEvent() {}
 
-// Effect is something that a Course wants done. Exactly one event answers it.
+// Effect is an action that a Course requests. Exactly one event reports its result.
 type Effect interface{ isEffect() }
 
-// ReadState asks to read an engine.
+// ReadState requests a read of the state of an engine.
 type ReadState struct {
 	Server    wasabiridge.BackendServer
 	Fencing   wasabiridge.FencingNumber
 	TimeLimit wasabiridge.Millis
 }
 
-// SendOrder asks to give an order, once. It must not be sent after Before, and
-// the call must have ended by then: the lease covers it no longer.
+// SendOrder requests that an order be sent once. The call must have ended by Before,
+// because the lease does not cover it any longer.
 type SendOrder struct {
 	Server wasabiridge.BackendServer
 	Order  wasabiridge.EngineOrder
--- a/internal/wasabiorder/export_test.go
+++ b/internal/wasabiorder/export_test.go
@@ -1,4 +1,4 @@
 package wasabiorder
 
-// DecodeState is the decoder of an engine's answer, for tests.
+// DecodeState exports decodeState for tests.
 var DecodeState = decodeState
--- a/internal/wasabiorder/history_test.go
+++ b/internal/wasabiorder/history_test.go
@@ -19,12 +19,13 @@
 func TestOrder(t *testing.T) { wasabitest.Run(t, "order") }
 
 const (
-	seeds   = 80
-	stormy  = 10 * wasabiridge.Minute
-	calming = 3 * wasabiridge.Minute
+	seeds        = 80
+	faultPeriod  = 10 * wasabiridge.Minute
+	settlePeriod = 3 * wasabiridge.Minute
 )
 
-// lockOp is an entry of a lease's history: a holder began or ended to believe.
+// lockOp is an entry of the history of a lease: an instance began or ceased to consider
+// itself the holder.
 type lockOp struct {
 	begins bool
 	holder string
@@ -37,8 +38,8 @@
 	number wasabiridge.FencingNumber
 }
 
-// lockModel is a lock with fencing numbers: one holder at a time, and every
-// new one has a higher number.
+// lockModel is a lock with fencing numbers: one holder at a time, and each new holder
+// has a higher number.
 var lockModel = porcupine.Model{
 	Init: func() any { return lockState{} },
 	Step: func(state, input, _ any) (bool, any) {
@@ -50,52 +51,53 @@
 	},
 }
 
-// campaign is a world whose nodes contend for a lease by real machines.
-type campaign struct {
-	*world
+// leaseSimulation is a simulation whose instances compete for a lease with real lease
+// machines.
+type leaseSimulation struct {
+	*simulation
 	table    *wasabitable.Memory
 	machines map[string]*wasabilease.Machine
 	grants   map[string]wasabilease.Grant
-	// hasty is a node that counts less time than the others.
-	hasty   string
-	life    wasabiridge.Incarnation
-	history []porcupine.Operation
+	// shortTTL is an instance that assumes a shorter lease than the others do.
+	shortTTL    string
+	incarnation wasabiridge.Incarnation
+	history     []porcupine.Operation
 }
 
-func newCampaign(seed uint64) *campaign {
-	c := &campaign{
-		world: newWorld(seed), machines: map[string]*wasabilease.Machine{}, grants: map[string]wasabilease.Grant{},
+func newLeaseSimulation(seed uint64) *leaseSimulation {
+	c := &leaseSimulation{
+		simulation: newSimulation(seed), machines: map[string]*wasabilease.Machine{}, grants: map[string]wasabilease.Grant{},
 	}
-	c.table = wasabitable.NewMemory(wasabitable.MemoryOptions{Clock: c.clock, Sleep: noWait, Plan: wasabifault.Plan{
+	c.table = wasabitable.NewMemory(wasabitable.MemoryOptions{Clock: c.clock, Sleep: noSleep, Plan: wasabifault.Plan{
 		Seed: seed, Unavailable: 0.05, LostRequest: 0.05, LostAnswer: 0.1, LateEffect: 0.1, Lateness: 20 * wasabiridge.Second,
 	}})
 	for _, id := range []string{"a", "b", "c"} {
-		n := c.addNode(id, func() wasabilease.Grant { return c.grants[id] })
+		n := c.addInstance(id, func() wasabilease.Grant { return c.grants[id] })
 		c.boot(id)
 		c.tick(n)
 	}
 	return c
 }
 
-func (c *campaign) boot(id string) {
-	c.life++
+func (c *leaseSimulation) boot(id string) {
+	c.incarnation++
 	var timing wasabilease.Timing
-	if id == c.hasty {
+	if id == c.shortTTL {
 		timing = wasabilease.Timing{TTL: 2 * wasabiridge.Second, Drift: 1, Renew: 500, Poll: 500}
 	}
-	c.machines[id] = wasabilease.NewMachine("orders", wasabiridge.InstanceID(id), c.life, timing)
+	c.machines[id] = wasabilease.NewMachine("orders", wasabiridge.InstanceID(id), c.incarnation, timing)
 }
 
-// tick runs a node every 200 ms while it is not paused.
-func (c *campaign) tick(n *node) {
-	c.whenAwake(n, func() {
+// tick runs an instance every 200 ms while it is not paused.
+func (c *leaseSimulation) tick(n *instance) {
+	c.whenRunning(n, func() {
 		c.feedLease(n, wasabilease.Contended{Wanted: true})
-		c.steer(n)
+		c.tickCourses(n)
 		c.after(200, func() { c.tick(n) })
 	})
 }
 
-func (c *campaign) feedLease(n *node, e wasabilease.Event) {
+func (c *leaseSimulation) feedLease(n *instance, e wasabilease.Event) {
 	for _, effect := range c.machines[n.id].Handle(c.clock.Now(), e) {
 		switch e := effect.(type) {
 		case wasabilease.ReadRow:
@@ -106,15 +108,15 @@
 				c.replyLease(n, wasabilease.Committed{Err: c.table.Commit(context.Background(), e.Transaction)})
 			})
 		case wasabilease.Granted:
-			c.note(n.id, e.Grant)
+			c.recordGrant(n.id, e.Grant)
 		}
 	}
 }
 
-func (c *campaign) replyLease(n *node, e wasabilease.Event) {
+func (c *leaseSimulation) replyLease(n *instance, e wasabilease.Event) {
 	m := c.machines[n.id]
 	c.after(c.delay(), func() {
-		c.whenAwake(n, func() {
+		c.whenRunning(n, func() {
 			if c.machines[n.id] == m {
 				c.feedLease(n, e)
 			}
@@ -122,9 +124,9 @@
 	})
 }
 
-// note records that a node's belief changed. A belief that was not renewed
-// ended when its time was over, whether or not the node noticed.
-func (c *campaign) note(id string, g wasabilease.Grant) {
+// recordGrant records that the grant of an instance changed. A grant that was not
+// renewed ended at its expiry, whether or not the instance noticed.
+func (c *leaseSimulation) recordGrant(id string, g wasabilease.Grant) {
 	before := c.grants[id]
 	c.grants[id] = g
 	if before.Fencing == g.Fencing {
@@ -138,19 +140,19 @@
 	}
 }
 
-func (c *campaign) add(at wasabiridge.Millis, op lockOp) {
+func (c *leaseSimulation) add(at wasabiridge.Millis, op lockOp) {
 	c.history = append(c.history, porcupine.Operation{ClientId: len(c.history), Input: op, Call: int64(at), Return: int64(at)})
 }
 
-// storm pauses and crashes nodes and raises the target now and then.
-func (c *campaign) storm() {
-	for i, end := 0, c.clock.Now()+stormy; c.clock.Now() < end; i++ {
-		n := c.nodes[c.rng.IntN(len(c.nodes))]
+// injectFaults pauses and restarts instances and raises the target now and then.
+func (c *leaseSimulation) injectFaults() {
+	for i, end := 0, c.clock.Now()+faultPeriod; c.clock.Now() < end; i++ {
+		n := c.instances[c.rng.IntN(len(c.instances))]
 		switch i % 3 {
 		case 0:
 			n.paused = c.clock.Now() + wasabiridge.Millis(c.rng.IntN(60_000))
 		case 1:
-			c.note(n.id, wasabilease.Grant{})
+			c.recordGrant(n.id, wasabilease.Grant{})
 			c.boot(n.id)
 		case 2:
 			c.target++
@@ -159,64 +161,64 @@
 	}
 }
 
-func (c *campaign) settle() {
-	c.calm = true
+func (c *leaseSimulation) settle() {
+	c.faultsOff = true
 	c.table.Faults().SetPlan(wasabifault.Plan{})
-	c.run(c.clock.Now() + calming)
-	for _, n := range c.nodes {
-		c.note(n.id, wasabilease.Grant{})
+	c.run(c.clock.Now() + settlePeriod)
+	for _, n := range c.instances {
+		c.recordGrant(n.id, wasabilease.Grant{})
 	}
 }
 
-// Instances are paused and restarted while they hold the lease for orders.
-// Answers of the table and of engines are lost, and orders come up to 30 s
-// late. An operator sees two instances that both think they are in charge.
+// The failure these tests guard against: instances are paused and restarted while they
+// hold the lease for orders. Responses of the table and of engines are lost, and orders
+// arrive up to 30 s late. Two instances then both consider themselves the holder.
 var _ = Describe("Orders under a lease", func() {
-	var refused, regressed, numbers int
+	var refused, regressed, holders int
 
 	for i := range seeds {
 		seed := wasabitest.Seed + uint64(i)
-		It(fmt.Sprintf("end in the target, seed %d", seed), func() {
-			c := newCampaign(seed)
+		It(fmt.Sprintf("bring all engines to the target, seed %d", seed), func() {
+			c := newLeaseSimulation(seed)
 			c.lateness = 30 * wasabiridge.Second
-			c.storm()
+			c.injectFaults()
 			c.settle()
-			Expect(porcupine.CheckOperations(lockModel, c.history)).To(BeTrue(), "two held the lease")
+			Expect(porcupine.CheckOperations(lockModel, c.history)).To(BeTrue(), "two instances held the lease")
 			for _, e := range c.engine {
 				Expect(e.state.Weights).To(Equal(c.target), c.describe())
 				Expect(e.state.Role).To(BeEquivalentTo("decode"))
 			}
 			refused += c.engine["checks"].refused
 			regressed += c.engine["ignores"].regressed
-			numbers += int(c.engine["checks"].state.Fencing)
+			holders += int(c.engine["checks"].state.Fencing)
 		})
 	}
 
-	It("had late orders to refuse, and an engine that took them", func() {
-		Expect(numbers).To(BeNumerically(">", 2*seeds))
+	It("included late orders, some refused and some carried out", func() {
+		Expect(holders).To(BeNumerically(">", 2*seeds))
 		Expect(refused).To(BeNumerically(">", 0))
 		Expect(regressed).To(BeNumerically(">", 0))
-		AddReportEntry(fmt.Sprintf("%d holders, %d late orders refused, %d carried out by the engine that ignores numbers",
-			numbers, refused, regressed))
+		AddReportEntry(fmt.Sprintf("%d holders, %d late orders refused, %d carried out by the engine that ignores fencing numbers",
+			holders, refused, regressed))
 	})
 
-	It("never takes an engine back while orders keep their time limit", func() {
+	It("never return an engine to older weights while orders arrive within their time limit", func() {
 		for i := range seeds {
-			c := newCampaign(wasabitest.Seed + uint64(i))
-			c.storm()
+			c := newLeaseSimulation(wasabitest.Seed + uint64(i))
+			c.injectFaults()
 			c.settle()
 			Expect(c.engine["ignores"].regressed).To(BeZero(), "seed %d", i)
 			Expect(c.engine["checks"].regressed).To(BeZero(), "seed %d", i)
 		}
 	})
 
-	// A contender that counts less time than the holder believes begins
-	// beside it. The checker has to see that.
-	It("would be caught with two holders at once", func() {
-		c := newCampaign(wasabitest.Seed)
-		c.hasty = "b"
+	// Checks that the checker finds a violation: a contender that waits for less time
+	// than the lease of the holder lasts acquires it beside the holder.
+	It("are found to violate the lease with two holders at once", func() {
+		c := newLeaseSimulation(wasabitest.Seed)
+		c.shortTTL = "b"
 		c.boot("b")
-		c.storm()
+		c.injectFaults()
 		c.settle()
 		Expect(porcupine.CheckOperations(lockModel, c.history)).To(BeFalse())
 	})
--- a/internal/wasabiorder/world_test.go
+++ b/internal/wasabiorder/simulation_test.go
@@ -12,7 +12,7 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabitest"
 )
 
-// engine is a small model of a model engine that takes orders.
+// engine is a simplified model engine that accepts orders.
 type engine struct {
 	server  wasabiridge.BackendServer
 	state   wasabiridge.EngineState
@@ -20,20 +20,20 @@
 	readyAt wasabiridge.Millis
 	// refused counts orders with an old fencing number.
 	refused int
-	// regressed counts orders that took the engine back to older weights.
+	// regressed counts orders that returned the engine to older weights.
 	regressed int
 }
 
 const loadTime = wasabiridge.Second
 
-func (e *engine) settle(now wasabiridge.Millis) {
+func (e *engine) finishLoading(now wasabiridge.Millis) {
 	if e.state.Loading && now >= e.readyAt {
 		e.state.Loading, e.state.Weights = false, e.next
 	}
 }
 
 func (e *engine) order(now wasabiridge.Millis, o wasabiridge.EngineOrder) error {
-	e.settle(now)
+	e.finishLoading(now)
 	if e.server.ChecksFencing && o.Fencing < e.state.Fencing {
 		e.refused++
 		return wasabiridge.ErrFenced.New("old number")
@@ -49,22 +49,22 @@
 	return nil
 }
 
-// world is a few instances, engines and a network in virtual time.
-type world struct {
-	clock  *wasabiclock.Virtual
-	rng    *rand.Rand
-	agenda wasabitest.Agenda
-	calm   bool
-	nodes  []*node
-	engine map[wasabiridge.BackendServerID]*engine
+// simulation runs a few instances, engines and a network in virtual time.
+type simulation struct {
+	clock     *wasabiclock.Virtual
+	rng       *rand.Rand
+	agenda    wasabitest.Agenda
+	faultsOff bool
+	instances []*instance
+	engine    map[wasabiridge.BackendServerID]*engine
 	// target is the version that all engines should have.
 	target wasabiridge.WeightsVersion
-	// lateness bounds how late a stray order arrives.
+	// lateness is the largest delay of a late order. Zero means that no order is late.
 	lateness wasabiridge.Millis
 }
 
-// node is one instance: its lease and its courses.
-type node struct {
+// instance is one simulated instance: its lease and its courses.
+type instance struct {
 	id      string
 	grant   func() wasabilease.Grant
 	paused  wasabiridge.Millis
@@ -72,24 +72,24 @@
 	courses map[wasabiridge.BackendServerID]*wasabiorder.Course
 }
 
-func (w *world) after(span wasabiridge.Millis, run func()) {
+func (w *simulation) after(span wasabiridge.Millis, run func()) {
 	w.agenda.Add(w.clock.Now()+span, run)
 }
 
-func (w *world) run(until wasabiridge.Millis) {
+func (w *simulation) run(until wasabiridge.Millis) {
 	move := func(at wasabiridge.Millis) { w.clock.Advance(at - w.clock.Now()) }
 	w.agenda.Run(until, move)
 	move(until)
 }
 
-func (w *world) chance(p float64) bool { return !w.calm && w.rng.Float64() < p }
+func (w *simulation) chance(p float64) bool { return !w.faultsOff && w.rng.Float64() < p }
 
-func (w *world) delay() wasabiridge.Millis {
+func (w *simulation) delay() wasabiridge.Millis {
 	return 1 + wasabiridge.Millis(w.rng.IntN(100))
 }
 
-// whenAwake runs a step of a node now, or when its pause is over.
-func (w *world) whenAwake(n *node, run func()) {
+// whenRunning runs a step of an instance now, or at the end of its pause.
+func (w *simulation) whenRunning(n *instance, run func()) {
 	if rest := n.paused - w.clock.Now(); rest > 0 {
 		w.after(rest, run)
 		return
@@ -97,8 +97,8 @@
 	run()
 }
 
-// feed hands an event to a course and carries out its effects.
-func (w *world) feed(n *node, c *wasabiorder.Course, e wasabiorder.Event) {
+// feed passes an event to a Course and carries out its effects.
+func (w *simulation) feed(n *instance, c *wasabiorder.Course, e wasabiorder.Event) {
 	for _, effect := range c.Handle(w.clock.Now(), n.grant(), true, e) {
 		switch e := effect.(type) {
 		case wasabiorder.ReadState:
@@ -109,26 +109,26 @@
 	}
 }
 
-func (w *world) read(n *node, c *wasabiorder.Course, e wasabiorder.ReadState) {
+func (w *simulation) read(n *instance, c *wasabiorder.Course, e wasabiorder.ReadState) {
 	answer := wasabiorder.StateRead{Fencing: e.Fencing, Err: wasabiridge.ErrUnavailable.New("lost")}
 	if w.chance(0.1) {
-		w.after(e.TimeLimit, func() { w.whenAwake(n, func() { w.feed(n, c, answer) }) })
+		w.after(e.TimeLimit, func() { w.whenRunning(n, func() { w.feed(n, c, answer) }) })
 		return
 	}
 	w.after(w.delay(), func() {
 		eng := w.engine[e.Server.ID]
-		eng.settle(w.clock.Now())
+		eng.finishLoading(w.clock.Now())
 		answer.State, answer.Err = eng.state, nil
-		w.after(w.delay(), func() { w.whenAwake(n, func() { w.feed(n, c, answer) }) })
+		w.after(w.delay(), func() { w.whenRunning(n, func() { w.feed(n, c, answer) }) })
 	})
 }
 
-// send delivers an order in time, late, or never, and may lose its answer.
-func (w *world) send(n *node, c *wasabiorder.Course, e wasabiorder.SendOrder) {
+// send delivers an order in time, late, or never, and may lose its response.
+func (w *simulation) send(n *instance, c *wasabiorder.Course, e wasabiorder.SendOrder) {
 	answer := wasabiorder.OrderAnswered{Fencing: e.Order.Fencing, Err: wasabiridge.ErrOutcomeUnknown.New("lost")}
 	deliver := func() error { return w.engine[e.Server.ID].order(w.clock.Now(), e.Order) }
 	reply := func(after wasabiridge.Millis) {
-		w.after(after, func() { w.whenAwake(n, func() { w.feed(n, c, answer) }) })
+		w.after(after, func() { w.whenRunning(n, func() { w.feed(n, c, answer) }) })
 	}
 	switch {
 	case w.lateness > 0 && w.chance(0.2):
@@ -146,8 +146,9 @@
 	}
 }
 
-// steer ticks the courses of a node and renews them when the target rises.
-func (w *world) steer(n *node) {
+// tickCourses ticks the courses of an instance and replaces them when the target has
+// changed.
+func (w *simulation) tickCourses(n *instance) {
 	if n.target != w.target {
 		n.target = w.target
 		for _, id := range []wasabiridge.BackendServerID{"checks", "ignores"} {
@@ -160,8 +161,8 @@
 	}
 }
 
-func newWorld(seed uint64) *world {
-	w := &world{
+func newSimulation(seed uint64) *simulation {
+	w := &simulation{
 		clock: wasabiclock.NewVirtual(wasabiridge.Day), rng: rand.New(rand.NewPCG(seed, 3)), target: 1,
 		engine: map[wasabiridge.BackendServerID]*engine{},
 	}
@@ -172,14 +173,14 @@
 	return w
 }
 
-func (w *world) addNode(id string, grant func() wasabilease.Grant) *node {
-	n := &node{id: id, grant: grant, courses: map[wasabiridge.BackendServerID]*wasabiorder.Course{}}
-	w.nodes = append(w.nodes, n)
+func (w *simulation) addInstance(id string, grant func() wasabilease.Grant) *instance {
+	n := &instance{id: id, grant: grant, courses: map[wasabiridge.BackendServerID]*wasabiorder.Course{}}
+	w.instances = append(w.instances, n)
 	return n
 }
 
-func (w *world) describe() string {
+func (w *simulation) describe() string {
 	return fmt.Sprintf("checks %+v ignores %+v", *w.engine["checks"], *w.engine["ignores"])
 }
 
-var noWait = func(context.Context, wasabiridge.Millis) bool { return true }
+var noSleep = func(context.Context, wasabiridge.Millis) bool { return true }
