--- a/internal/wasabirecord/record.go
+++ b/internal/wasabirecord/record.go
@@ -1,7 +1,6 @@
-// Package wasabirecord turns records into the values of rows of the platform's
-// table and back. Values are JSON with names in snake case; fields that a
-// reader does not know are ignored, so that instances of two versions can read
-// each other's rows.
+// Package wasabirecord encodes records as the values of rows of the platform's table
+// and decodes them. Values are JSON with names in snake case. Unknown fields are
+// ignored, so that instances of different versions can read each other's rows.
 //
 // # Usage
 //
@@ -17,8 +16,9 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Encode returns the value of a record. The record is a struct of strings,
-// numbers, bytes and such structs, which always encodes.
+// Encode returns the JSON encoding of a record. The record must be a struct of strings,
+// numbers, bytes and nested structs of these, for which encoding cannot fail. Encode
+// panics if it does.
 func Encode(record any) []byte {
 	value, err := json.Marshal(record)
 	if err != nil {
@@ -27,11 +27,11 @@
 	return value
 }
 
-// Decode reads a value into the record that the pointer names. It reports
-// ErrInvalid, with the noun of the record, for a value that is none.
-func Decode(noun string, value []byte, record any) error {
+// Decode decodes a value into record, which must be a pointer. It returns ErrInvalid,
+// with the kind of the record in its message, for a malformed value.
+func Decode(kind string, value []byte, record any) error {
 	if err := json.Unmarshal(value, record); err != nil {
-		return wasabiridge.ErrInvalid.New("%s: row is not a record", noun)
+		return wasabiridge.ErrInvalid.New("%s: row is not a valid record", kind)
 	}
 	return nil
 }
