--- a/doc.go
+++ b/doc.go
@@ -30,8 +30,9 @@
 //	if cfg, err = wasabirule.Parse(text); err != nil {
 //		return err
 //	}
-//	core := wasabicore.New(wasabicore.Options{Seed: 1}, cfg)
-//	effects := core.Handle(clock.Now(), wasabiridge.RequestArrived{Request: req})
+//	core := wasabicore.New(wasabicore.Options{Placer: placer, Limiter: limiter})
+//	carryOut(core.Handle(clock.Now(), wasabiridge.ConfigAdopted{Config: cfg}))
+//	carryOut(core.Handle(clock.Now(), wasabiridge.RequestArrived{Request: req}))
 //
-// The caller then carries out the returned effects.
+// The caller carries out the returned effects.
 package wasabiridge
