--- a/internal/wasabicore/attempt.go
+++ b/internal/wasabicore/attempt.go
@@ -2,191 +2,199 @@
 
 import "github.com/wasabiridge/wasabiridge"
 
-// open returns an attempt that has not ended, with its request. Both are nil
-// when there is none: news of an attempt that is over changes nothing.
-func (c *Core) open(r wasabiridge.RequestID, id wasabiridge.AttemptID) (*entry, *attempt) {
-	en := c.requests[r]
-	if en == nil {
+// findRunning returns an attempt that has not ended, together with the state of
+// its request. Both are nil if there is no such attempt; events about attempts
+// that have already ended are ignored.
+func (c *Core) findRunning(r wasabiridge.RequestID, id wasabiridge.AttemptID) (*requestState, *attempt) {
+	rs := c.requests[r]
+	if rs == nil {
 		return nil, nil
 	}
-	a := en.find(id)
-	if a == nil || a.over {
+	a := rs.find(id)
+	if a == nil || a.ended {
 		return nil, nil
 	}
-	return en, a
+	return rs, a
 }
 
-// sent moves an attempt forward before its first byte is handed to a
-// connection. From here on nobody may call the request "not run" unless the
-// backend server itself says so.
-func (c *Core) sent(now wasabiridge.Millis, e wasabiridge.AttemptSent) {
-	en, a := c.open(e.Request, e.Attempt)
+// attemptSent records that the first byte of an attempt is about to be written
+// to a connection. From here on the request may only be reported as "not run"
+// if the backend server itself states that it did not run it.
+func (c *Core) attemptSent(now wasabiridge.Millis, e wasabiridge.AttemptSent) {
+	rs, a := c.findRunning(e.Request, e.Attempt)
 	if a == nil {
 		return
 	}
 	a.disposition = a.disposition.Advance(wasabiridge.MaybeRun)
-	line := en.event(now, wasabiridge.EventSent)
+	line := rs.event(now, wasabiridge.EventSent)
 	line.Attempt = a.id
 	line.Backend = a.backend
 	c.record(line)
 }
 
-// firstToken lets the first attempt that answers win and cancels the others.
-func (c *Core) firstToken(now wasabiridge.Millis, e wasabiridge.AttemptFirstToken) {
-	en, a := c.open(e.Request, e.Attempt)
+// attemptFirstToken selects the first attempt that answers as the winner and
+// cancels the other attempts of the request.
+func (c *Core) attemptFirstToken(now wasabiridge.Millis, e wasabiridge.AttemptFirstToken) {
+	rs, a := c.findRunning(e.Request, e.Attempt)
 	if a == nil || a.cancelled {
 		return
 	}
 	a.firstToken = true
 	a.disposition = a.disposition.Advance(wasabiridge.MaybeRun)
-	line := en.event(now, wasabiridge.EventFirstToken)
+	line := rs.event(now, wasabiridge.EventFirstToken)
 	line.Attempt = a.id
 	line.Backend = a.backend
-	line.Value = int64(now - en.request.Arrived)
+	line.Value = int64(now - rs.request.Arrived)
 	c.record(line)
-	c.cancelOthers(en, a.id)
+	c.cancelOthers(rs, a.id)
 }
 
-func (c *Core) cancelOthers(en *entry, winner wasabiridge.AttemptID) {
-	for i := range en.attempts {
-		a := &en.attempts[i]
-		if a.id == winner || a.over || a.cancelled {
+func (c *Core) cancelOthers(rs *requestState, winner wasabiridge.AttemptID) {
+	for i := range rs.attempts {
+		a := &rs.attempts[i]
+		if a.id == winner || a.ended || a.cancelled {
 			continue
 		}
 		a.cancelled = true
-		c.emit(wasabiridge.Cancel{Request: en.request.ID, Attempt: a.id})
+		c.emit(wasabiridge.Cancel{Request: rs.request.ID, Attempt: a.id})
 	}
 }
 
-// ended takes the result of an attempt and decides what follows.
-func (c *Core) ended(now wasabiridge.Millis, e wasabiridge.AttemptEnded) {
-	en, a := c.open(e.Request, e.Attempt)
+// attemptEnded records the result of an attempt and decides whether the request
+// is complete, retried, resumed or refused.
+func (c *Core) attemptEnded(now wasabiridge.Millis, e wasabiridge.AttemptEnded) {
+	rs, a := c.findRunning(e.Request, e.Attempt)
 	if a == nil {
 		return
 	}
-	a.over, a.serverEnded = true, e.ServerEnded
+	a.ended, a.serverEnded = true, e.ServerEnded
 	if e.Result == wasabiridge.AttemptNotRun {
 		a.disposition = wasabiridge.NotRun
 	}
-	if e.Delivered > en.delivered {
-		en.delivered = e.Delivered
-		en.weights = e.Usage.Weights
+	if e.Delivered > rs.delivered {
+		rs.delivered = e.Delivered
+		rs.weights = e.Usage.Weights
 	}
-	if en.answered || a.cancelled {
-		c.settleLate(now, en, a)
+	if rs.answered || a.cancelled {
+		c.handleLateResult(now, rs, a)
 		return
 	}
 	if e.Result == wasabiridge.AttemptCompleted {
-		c.complete(now, en, a, e)
+		c.complete(now, rs, a, e)
 		return
 	}
-	c.recover(now, en, a, e)
+	c.handleFailure(now, rs, a, e)
 }
 
-// settleLate ends an attempt whose result no longer matters. When it was the
-// last one of a request without an answer, the request is refused.
-func (c *Core) settleLate(now wasabiridge.Millis, en *entry, a *attempt) {
-	if !en.answered && en.running() == 0 {
-		c.refuse(now, en, wasabiridge.RefusedBroken, 0)
+// handleLateResult handles the end of an attempt that was cancelled, or whose
+// request already has its final answer. If it was the last running attempt of a
+// request without an answer, the request is refused.
+func (c *Core) handleLateResult(now wasabiridge.Millis, rs *requestState, a *attempt) {
+	if !rs.answered && rs.running() == 0 {
+		c.refuse(now, rs, wasabiridge.RefusedBroken, 0)
 		return
 	}
-	if a.cancelled && !en.answered {
+	if a.cancelled && !rs.answered {
 		return
 	}
-	c.forget(en)
+	c.removeIfDone(rs)
 }
 
-func (c *Core) complete(now wasabiridge.Millis, en *entry, a *attempt, e wasabiridge.AttemptEnded) {
+func (c *Core) complete(now wasabiridge.Millis, rs *requestState, a *attempt, e wasabiridge.AttemptEnded) {
 	a.disposition = a.disposition.Advance(wasabiridge.Ran)
-	en.answered = true
-	c.cancelOthers(en, a.id)
-	line := en.event(now, wasabiridge.EventEnded)
+	rs.answered = true
+	c.cancelOthers(rs, a.id)
+	line := rs.event(now, wasabiridge.EventEnded)
 	line.Attempt = a.id
 	line.Backend = a.backend
 	line.Value = int64(e.Usage.OutputTokens)
 	c.record(line)
-	c.forget(en)
+	c.removeIfDone(rs)
 }
 
-// recover decides between a retry, a resumption and giving up. A request that
-// may have run goes out again only when it is idempotent and its rule allows
-// it; one that did not run may always go out again.
-func (c *Core) recover(now wasabiridge.Millis, en *entry, a *attempt, e wasabiridge.AttemptEnded) {
-	line := en.event(now, wasabiridge.EventBroken)
+// handleFailure decides whether a failed attempt is followed by a retry, a
+// resumption or a refusal. A request that may have run is sent again only if it
+// is idempotent and its rule allows it; one that did not run may always be sent
+// again.
+func (c *Core) handleFailure(now wasabiridge.Millis, rs *requestState, a *attempt, e wasabiridge.AttemptEnded) {
+	line := rs.event(now, wasabiridge.EventBroken)
 	line.Attempt = a.id
 	line.Backend = a.backend
 	line.Cause = e.Result.String()
-	line.Value = int64(en.delivered)
+	line.Value = int64(rs.delivered)
 	c.record(line)
-	en.excluded = append(en.excluded, a.backend)
-	if en.running() > 0 {
+	rs.excluded = append(rs.excluded, a.backend)
+	if rs.running() > 0 {
 		return
 	}
-	if e.Moved.Memory != "" && en.delivered > 0 {
+	if e.Moved.Memory != "" && rs.delivered > 0 {
 		a.moved = true
-		c.goOn(now, en, e.Moved)
+		c.resumeMoved(now, rs, e.Moved)
 		return
 	}
-	why, allowed := recovery(en)
-	if !allowed || en.tries() >= c.options.MaxAttempts || en.usedUp() || en.endsUsedUp() {
-		c.refuse(now, en, wasabiridge.RefusedBroken, e.RetryAfter)
+	why, allowed := furtherAttempt(rs)
+	if !allowed || rs.countedAttempts() >= c.options.MaxAttempts || rs.attemptsExhausted() || rs.serverEndsExhausted() {
+		c.refuse(now, rs, wasabiridge.RefusedBroken, e.RetryAfter)
 		return
 	}
-	if now >= en.request.Deadline && en.delivered == 0 && en.request.Deadline > 0 {
-		c.refuse(now, en, wasabiridge.RefusedDeadline, e.RetryAfter)
+	if now >= rs.request.Deadline && rs.delivered == 0 && rs.request.Deadline > 0 {
+		c.refuse(now, rs, wasabiridge.RefusedDeadline, e.RetryAfter)
 		return
 	}
-	if c.bar(now, en) {
+	if c.refuseQuarantined(now, rs) {
 		return
 	}
-	if !c.options.Limiter.MayRetry(now, en.request) {
-		c.refuse(now, en, wasabiridge.RefusedRetryBudget, max(e.RetryAfter, defaultRetryAfter))
+	if !c.options.Limiter.MayRetry(now, rs.request) {
+		c.refuse(now, rs, wasabiridge.RefusedRetryBudget, max(e.RetryAfter, defaultRetryAfter))
 		return
 	}
-	en.resumeBy = now + resumeWait
-	c.place(now, en, why)
+	rs.resumeBy = now + resumeTimeout
+	c.place(now, rs, why)
 }
 
-// goOn sends an attempt to where the memory of the one before was moved. It is the
-// same run, so that neither the budget nor the attempts of the rule are used up.
-func (c *Core) goOn(now wasabiridge.Millis, en *entry, m wasabiridge.Moved) {
-	if c.bar(now, en) {
+// resumeMoved dispatches an attempt to the server to which the KV cache of the
+// previous attempt was migrated. It continues the same run, so it counts neither
+// against the retry budget nor against the attempts that the rule allows.
+func (c *Core) resumeMoved(now wasabiridge.Millis, rs *requestState, m wasabiridge.Moved) {
+	if c.refuseQuarantined(now, rs) {
 		return
 	}
-	c.dispatch(now, en, wasabiridge.Placement{Backend: m.To, Weights: en.weights, Why: wasabiridge.WhyMoved, MemoryFrom: m.Memory}, placeResume)
+	c.dispatch(now, rs, wasabiridge.Placement{Backend: m.To, Weights: rs.weights, Why: wasabiridge.WhyMoved, MemoryFrom: m.Memory}, placeResume)
 }
 
-// recovery says which kind of further attempt the request allows.
-func recovery(en *entry) (placeReason, bool) {
-	action := en.request.Action
+// furtherAttempt returns the kind of the next attempt after a failure, and whether
+// the rule of the request allows one.
+func furtherAttempt(rs *requestState) (placeReason, bool) {
+	action := rs.request.Action
 	switch {
-	case en.disposition() == wasabiridge.NotRun:
+	case rs.disposition() == wasabiridge.NotRun:
 		return placeRetry, true
 	case action.NonIdempotent:
 		return placeRetry, false
-	case en.delivered > 0:
+	case rs.delivered > 0:
 		return placeResume, action.Resume
 	default:
 		return placeRetry, action.Retry
 	}
 }
 
-// callerGone ends the work of a caller that closed its connection. Claimed
-// non-idempotent work goes on, because its first answer is kept for the
-// repeat that will ask for it, unless nobody can ask for it.
+// callerGone cancels the attempts of a request whose caller closed its
+// connection. A running non-idempotent request continues, because its first answer
+// is stored for a repeated request with the same key. It is cancelled like any other
+// if EndsWithCaller says that no repeat can fetch the answer.
 func (c *Core) callerGone(now wasabiridge.Millis, id wasabiridge.RequestID) {
-	en := c.requests[id]
-	if en == nil || en.answered {
+	rs := c.requests[id]
+	if rs == nil || rs.answered {
 		return
 	}
-	if en.request.Action.NonIdempotent && !en.request.EndsWithCaller && en.running() > 0 {
+	if rs.request.Action.NonIdempotent && !rs.request.EndsWithCaller && rs.running() > 0 {
 		return
 	}
-	en.answered = true
+	rs.answered = true
 	c.options.Limiter.Withdraw(id)
-	c.cancelOthers(en, 0)
-	line := en.event(now, wasabiridge.EventEnded)
+	c.cancelOthers(rs, 0)
+	line := rs.event(now, wasabiridge.EventEnded)
 	line.Cause = "caller_gone"
 	c.record(line)
-	c.forget(en)
+	c.removeIfDone(rs)
 }
--- a/internal/wasabicore/core.go
+++ b/internal/wasabicore/core.go
@@ -1,22 +1,22 @@
-// Package wasabicore decides what happens to each request: whether it goes
-// now, waits or is refused, where it goes, and what follows when an attempt
-// fails.
+// Package wasabicore decides what happens to each request: whether it is
+// dispatched, queued or refused, which backend server it is sent to, and whether
+// a failed attempt is retried or resumed.
 //
-// A Core is a deterministic state machine. It joins a Limiter, which decides
-// when a request may go, with a Placer, which decides where it goes, and adds
-// retries, hedges, resumption and the disposition that every answer to a
-// caller reads.
+// A Core is a deterministic state machine. It combines a Limiter, which decides
+// when a request may be dispatched, with a Placer, which selects the backend
+// server. It adds retries, hedging and resumption, and tracks the disposition of
+// each request: whether it has run, may have run or has not run.
 //
 // # Usage
 //
-//	core := wasabicore.New(wasabicore.Options{Seed: 1, Placer: p, Limiter: l})
+//	core := wasabicore.New(wasabicore.Options{Placer: p, Limiter: l})
 //	core.Handle(now, wasabiridge.ConfigAdopted{Config: cfg})
 //	for _, effect := range core.Handle(now, wasabiridge.RequestArrived{Request: req}) {
 //		carryOut(effect)
 //	}
 //
-// The driver sends Ticked at least every 50 ms and exactly one AttemptEnded
-// for every Dispatch.
+// The driver must pass a Ticked event at least every 50 ms, and exactly one
+// AttemptEnded event for every Dispatch effect.
 package wasabicore
 
 import (
@@ -31,25 +31,26 @@
 	defaultRetryAfter  = wasabiridge.Second
 )
 
-// Options sets up a Core. Placer and Limiter are required.
+// Options configures a Core. Placer and Limiter are required.
 type Options struct {
 	Placer  wasabiridge.Placer
 	Limiter wasabiridge.Limiter
-	// Quarantine judges requests by the servers that ended under them. Nil lets all go.
+	// Quarantine blocks or isolates requests under which backend servers
+	// terminated. Nil disables this check.
 	Quarantine wasabiridge.Quarantine
-	// Quota keeps client accounts to their limits. Nil lets all go.
+	// Quota enforces the rate limits of client accounts. Nil disables the limits.
 	Quota wasabiridge.Quota
-	// Instance is written into time line events.
+	// Instance is set as the origin of all timeline events.
 	Instance wasabiridge.InstanceID
-	// FirstAttempt is where the numbers of attempts start. A restarted
-	// instance passes a number above all that it used before, for example
-	// its start time shifted left.
+	// FirstAttempt is the number after which attempt identifiers start. A
+	// restarted instance passes a number above all those that it used before,
+	// for example its start time shifted left.
 	FirstAttempt wasabiridge.AttemptID
-	// MaxAttempts bounds the attempts of one request. Zero means 4.
+	// MaxAttempts limits the attempts of one request. Zero means 4.
 	MaxAttempts int
-	// HedgeFactor and HedgeFloor decide when a hedge starts: after HedgeFactor
-	// times the expected wait, but not before HedgeFloor. Zero means 3 and
-	// 250 ms.
+	// HedgeFactor and HedgeFloor set the delay before a hedge: HedgeFactor times
+	// the expected wait of the first attempt, but at least HedgeFloor. Zero means
+	// 3 and 250 ms.
 	HedgeFactor int
 	HedgeFloor  wasabiridge.Millis
 }
@@ -71,32 +72,33 @@
 type Core struct {
 	options  Options
 	config   wasabiridge.Config
-	requests map[wasabiridge.RequestID]*entry
+	requests map[wasabiridge.RequestID]*requestState
 	timers   timers
 	lastID   wasabiridge.AttemptID
 	effects  []wasabiridge.Effect
 }
 
-// New returns a Core without a configuration. It panics when Placer or
-// Limiter is missing, because that is a mistake of the program.
+// New returns a Core without a configuration. It panics if Placer or Limiter is
+// nil, because that is a programming error.
 func New(o Options) *Core {
 	if o.Placer == nil || o.Limiter == nil {
-		panic("core: Options need a Placer and a Limiter")
+		panic("core: Options.Placer and Options.Limiter must not be nil")
 	}
 	return &Core{
 		options:  o.withDefaults(),
-		requests: map[wasabiridge.RequestID]*entry{},
+		requests: map[wasabiridge.RequestID]*requestState{},
 		lastID:   o.FirstAttempt,
 	}
 }
 
-// Open returns how many requests have no final answer yet.
+// Open returns the number of requests that have no final answer yet or have an
+// attempt in flight.
 func (c *Core) Open() int {
 	return len(c.requests)
 }
 
-// Handle takes one event and returns what has to be done. The returned slice
-// is valid until the next call.
+// Handle processes one event and returns the effects that the driver must carry
+// out. The returned slice is valid until the next call.
 func (c *Core) Handle(now wasabiridge.Millis, e wasabiridge.Event) []wasabiridge.Effect {
 	clear(c.effects)
 	c.effects = c.effects[:0]
@@ -114,23 +116,23 @@
 	case wasabiridge.CallerGone:
 		c.callerGone(now, e.Request)
 	case wasabiridge.AttemptSent:
-		c.sent(now, e)
+		c.attemptSent(now, e)
 	case wasabiridge.AttemptFirstToken:
-		c.firstToken(now, e)
+		c.attemptFirstToken(now, e)
 	case wasabiridge.AttemptEnded:
-		c.ended(now, e)
-		c.drain(now)
+		c.attemptEnded(now, e)
+		c.dispatchQueued(now)
 	case wasabiridge.ConfigAdopted:
 		c.config = e.Config
 		c.record(wasabiridge.TimelineEvent{At: now, Kind: wasabiridge.EventConfigAdopted, Value: int64(e.Config.Version)})
-		c.drain(now)
+		c.dispatchQueued(now)
 	case wasabiridge.BackendLost:
 		c.record(wasabiridge.TimelineEvent{At: now, Kind: wasabiridge.EventBackendLost, Backend: e.Backend})
 	case wasabiridge.BackendLeaving:
 		c.record(wasabiridge.TimelineEvent{At: now, Kind: wasabiridge.EventBackendLeaving, Backend: e.Backend})
 	case wasabiridge.Ticked:
 		c.fireTimers(now)
-		c.drain(now)
+		c.dispatchQueued(now)
 	}
 	return c.effects
 }
@@ -144,16 +146,16 @@
 	c.emit(wasabiridge.Record{Event: e})
 }
 
-// drain sends waiting requests for which there is room now, and gives those
-// whose deadline passed their final answer.
-func (c *Core) drain(now wasabiridge.Millis) {
+// dispatchQueued refuses the queued requests whose deadline has passed, and then
+// places queued requests as long as the limiter admits them.
+func (c *Core) dispatchQueued(now wasabiridge.Millis) {
 	for {
 		r, ok := c.options.Limiter.Expired(now)
 		if !ok {
 			break
 		}
-		if en := c.requests[r.ID]; en != nil {
-			c.refuse(now, en, wasabiridge.RefusedDeadline, defaultRetryAfter)
+		if rs := c.requests[r.ID]; rs != nil {
+			c.refuse(now, rs, wasabiridge.RefusedDeadline, defaultRetryAfter)
 		}
 	}
 	for {
@@ -161,8 +163,8 @@
 		if !ok {
 			return
 		}
-		if en := c.requests[r.ID]; en != nil {
-			c.place(now, en, placeFirst)
+		if rs := c.requests[r.ID]; rs != nil {
+			c.place(now, rs, placeFirst)
 		}
 	}
 }
--- a/internal/wasabicore/core_test.go
+++ b/internal/wasabicore/core_test.go
@@ -19,12 +19,12 @@
 	wasabitest.Run(t, "core")
 }
 
-// firstServer places at the first server that is not excluded.
+// firstServer is a placer that selects the first server that is not excluded.
 type firstServer struct {
-	// before is the time before which no further server can be had for a
-	// request that failed somewhere.
+	// before is the time until which no other server is available to a request
+	// that has failed at one.
 	before wasabiridge.Millis
-	// never says that none will ever be had.
+	// never is reported with each such placement: no server will ever be available.
 	never bool
 }
 
@@ -44,7 +44,7 @@
 }
 func (firstServer) Observe(wasabiridge.Millis, wasabiridge.Event) {}
 
-// noLimit admits everything and allows every retry.
+// noLimit is a limiter that admits every request and allows every retry.
 type noLimit struct{}
 
 func (noLimit) Offer(wasabiridge.Millis, wasabiridge.Request) wasabiridge.Admission {
@@ -86,8 +86,8 @@
 	return wasabiridge.Request{ID: "r", Action: a, Deadline: 10_000}
 }
 
-// pick returns the effects of interest, without time line records.
-func pick(effects []wasabiridge.Effect) []wasabiridge.Effect {
+// withoutRecords returns the effects other than timeline records.
+func withoutRecords(effects []wasabiridge.Effect) []wasabiridge.Effect {
 	var out []wasabiridge.Effect
 	for _, e := range effects {
 		if _, ok := e.(wasabiridge.Record); !ok {
@@ -98,9 +98,9 @@
 }
 
 var _ = Describe("An attempt that fails", func() {
-	// A caller sends a request; the first engine fails at some point. What the
-	// caller sees depends on how far the attempt got and on what its rule
-	// allows: a further attempt, or one final answer whose disposition is true.
+	// The first engine fails at different points of an attempt. Depending on the
+	// progress of the attempt and on its rule, the request is sent to another
+	// engine, or refused once with the correct disposition.
 	cases := map[string]struct {
 		action    wasabiridge.Action
 		sent      bool
@@ -108,26 +108,26 @@
 		result    wasabiridge.AttemptResult
 		retried   bool
 		resume    int
-		says      wasabiridge.Disposition
+		want      wasabiridge.Disposition
 	}{
-		"dial failed, booking":          {action: wasabiridge.Action{NonIdempotent: true}, result: wasabiridge.AttemptNotRun, retried: true},
-		"trusted refusal after sending": {action: wasabiridge.Action{NonIdempotent: true}, sent: true, result: wasabiridge.AttemptNotRun, retried: true},
-		"broken after sending, booking": {action: wasabiridge.Action{NonIdempotent: true}, sent: true, result: wasabiridge.AttemptBroken, says: wasabiridge.MaybeRun},
-		"broken before a token":         {action: wasabiridge.Action{Retry: true}, sent: true, result: wasabiridge.AttemptBroken, retried: true},
-		"broken, no retry allowed":      {sent: true, result: wasabiridge.AttemptBroken, says: wasabiridge.MaybeRun},
-		"broken in the stream, resumed": {action: wasabiridge.Action{Resume: true}, sent: true, delivered: 7, result: wasabiridge.AttemptBroken, retried: true, resume: 7},
-		"broken in the stream, not":     {action: wasabiridge.Action{Retry: true}, sent: true, delivered: 7, result: wasabiridge.AttemptBroken, says: wasabiridge.MaybeRun},
+		"dial failed, booking":                         {action: wasabiridge.Action{NonIdempotent: true}, result: wasabiridge.AttemptNotRun, retried: true},
+		"trusted refusal after sending":                {action: wasabiridge.Action{NonIdempotent: true}, sent: true, result: wasabiridge.AttemptNotRun, retried: true},
+		"broken after sending, booking":                {action: wasabiridge.Action{NonIdempotent: true}, sent: true, result: wasabiridge.AttemptBroken, want: wasabiridge.MaybeRun},
+		"broken before a token":                        {action: wasabiridge.Action{Retry: true}, sent: true, result: wasabiridge.AttemptBroken, retried: true},
+		"broken, no retry allowed":                     {sent: true, result: wasabiridge.AttemptBroken, want: wasabiridge.MaybeRun},
+		"broken in the stream, resumed":                {action: wasabiridge.Action{Resume: true}, sent: true, delivered: 7, result: wasabiridge.AttemptBroken, retried: true, resume: 7},
+		"broken in the stream, resumption not allowed": {action: wasabiridge.Action{Retry: true}, sent: true, delivered: 7, result: wasabiridge.AttemptBroken, want: wasabiridge.MaybeRun},
 	}
 	for _, name := range slices.Sorted(maps.Keys(cases)) {
 		It(name, func() {
 			tc := cases[name]
 			core := newCore()
-			effects := pick(core.Handle(1, wasabiridge.RequestArrived{Request: request(tc.action)}))
+			effects := withoutRecords(core.Handle(1, wasabiridge.RequestArrived{Request: request(tc.action)}))
 			first := effects[0].(wasabiridge.Dispatch)
 			if tc.sent {
 				core.Handle(2, wasabiridge.AttemptSent{Request: "r", Attempt: first.Attempt})
 			}
-			effects = pick(core.Handle(3, wasabiridge.AttemptEnded{
+			effects = withoutRecords(core.Handle(3, wasabiridge.AttemptEnded{
 				Request: "r", Attempt: first.Attempt, Backend: first.Backend.ID, Result: tc.result,
 				Delivered: tc.delivered, Usage: wasabiridge.Usage{Weights: 4},
 			}))
@@ -141,34 +141,35 @@
 				}
 				return
 			}
-			Expect(effects[0].(wasabiridge.Refuse).Disposition).To(Equal(tc.says))
+			Expect(effects[0].(wasabiridge.Refuse).Disposition).To(Equal(tc.want))
 			Expect(core.Open()).To(BeZero())
 		})
 	}
 })
 
-var _ = Describe("A stream that breaks while no other server is known to serve", func() {
-	// Two engines restart one after the other. A stream breaks when the first
-	// one is back, but not yet known to be. It waits, also beyond the deadline
-	// of its first byte, and is cut only when nothing comes back for long.
+var _ = Describe("A stream that breaks while no other server is available", func() {
+	// Two engines restart one after the other, and a stream breaks before the
+	// first of them is listed again. The stream must wait, even beyond the
+	// deadline for its first byte, and may be cut only when no engine is listed
+	// again within the resume time-out.
 	cases := map[string]struct {
 		back    wasabiridge.Millis
 		resumed bool
 	}{
-		"waits for one that comes back":    {back: 31_000, resumed: true},
-		"is given up when nothing returns": {back: 40_000},
+		"is resumed when an engine returns in time": {back: 31_000, resumed: true},
+		"is cut when no engine returns in time":     {back: 40_000},
 	}
 	for _, name := range slices.Sorted(maps.Keys(cases)) {
 		It(name, func() {
 			tc := cases[name]
 			core := newCoreWith(firstServer{before: tc.back})
-			first := pick(core.Handle(1, wasabiridge.RequestArrived{Request: request(wasabiridge.Action{Resume: true})}))[0].(wasabiridge.Dispatch)
+			first := withoutRecords(core.Handle(1, wasabiridge.RequestArrived{Request: request(wasabiridge.Action{Resume: true})}))[0].(wasabiridge.Dispatch)
 			core.Handle(2, wasabiridge.AttemptSent{Request: "r", Attempt: first.Attempt})
-			effects := pick(core.Handle(30_000, wasabiridge.AttemptEnded{
+			effects := withoutRecords(core.Handle(30_000, wasabiridge.AttemptEnded{
 				Request: "r", Attempt: first.Attempt, Backend: first.Backend.ID, Result: wasabiridge.AttemptBroken, Delivered: 7,
 			}))
 			for now := wasabiridge.Millis(30_000); now < 36_000; now += 10 {
-				effects = append(effects, pick(core.Handle(now, wasabiridge.Ticked{}))...)
+				effects = append(effects, withoutRecords(core.Handle(now, wasabiridge.Ticked{}))...)
 			}
 			Expect(effects).To(HaveLen(1))
 			if tc.resumed {
@@ -181,21 +182,21 @@
 	}
 })
 
-var _ = Describe("A stream whose memory was moved", func() {
-	// An engine is about to load weights. The answer that runs there is stopped, its
-	// memory goes to another engine, and the stream goes on from it: the same run,
-	// so that a rule that allows one attempt allows this.
+var _ = Describe("A stream whose KV cache was moved", func() {
+	// An engine is about to load weights. The answer that it generates is stopped, its
+	// KV cache is moved to another engine, and the stream continues there. This is
+	// the same run, so a rule that allows one attempt must allow it.
 	moved := func(core *wasabicore.Core) (first, second wasabiridge.Dispatch) {
-		first = pick(core.Handle(1, wasabiridge.RequestArrived{Request: request(wasabiridge.Action{Resume: true, Attempts: 1})}))[0].(wasabiridge.Dispatch)
+		first = withoutRecords(core.Handle(1, wasabiridge.RequestArrived{Request: request(wasabiridge.Action{Resume: true, Attempts: 1})}))[0].(wasabiridge.Dispatch)
 		core.Handle(2, wasabiridge.AttemptSent{Request: "r", Attempt: first.Attempt})
-		second = pick(core.Handle(3, wasabiridge.AttemptEnded{
+		second = withoutRecords(core.Handle(3, wasabiridge.AttemptEnded{
 			Request: "r", Attempt: first.Attempt, Backend: first.Backend.ID, Result: wasabiridge.AttemptBroken,
 			Delivered: 7, Usage: wasabiridge.Usage{Weights: 4}, Moved: wasabiridge.Moved{To: wasabiridge.BackendServer{ID: "e5"}, Memory: "a/1"},
 		}))[0].(wasabiridge.Dispatch)
 		return first, second
 	}
 
-	It("goes on where the memory is, with the same weights", func() {
+	It("is resumed at the server that has the KV cache, with the same weights", func() {
 		_, second := moved(newCore())
 		Expect(second.Backend.ID).To(BeEquivalentTo("e5"))
 		Expect(second.MemoryFrom).To(Equal("a/1"))
@@ -203,24 +204,24 @@
 		Expect(second.Weights).To(Equal(wasabiridge.WeightsVersion(4)))
 	})
 
-	It("goes on elsewhere when the memory is not there any more", func() {
+	It("is resumed at another server if the KV cache is no longer there", func() {
 		core := newCore()
 		_, second := moved(core)
-		third := pick(core.Handle(4, wasabiridge.AttemptEnded{Request: "r", Attempt: second.Attempt, Backend: "e5", Result: wasabiridge.AttemptNotRun}))[0].(wasabiridge.Dispatch)
+		third := withoutRecords(core.Handle(4, wasabiridge.AttemptEnded{Request: "r", Attempt: second.Attempt, Backend: "e5", Result: wasabiridge.AttemptNotRun}))[0].(wasabiridge.Dispatch)
 		Expect(third.Backend.ID).NotTo(BeEquivalentTo("e5"))
 		Expect(third.MemoryFrom).To(BeEmpty())
 		Expect(third.ResumeFrom).To(Equal(7))
 	})
 })
 
-var _ = Describe("A stream that breaks and can go on nowhere", func() {
-	// The engines have newer weights than the stream began on. Waiting for one that
-	// could go on with it only keeps the caller from asking again.
-	It("is cut at once", func() {
+var _ = Describe("A stream that breaks and that no server can continue", func() {
+	// All engines have newer weights than those that began the stream. Waiting for
+	// an engine that could continue it would only delay the caller's retry.
+	It("is cut immediately", func() {
 		core := newCoreWith(firstServer{before: 1e9, never: true})
-		first := pick(core.Handle(1, wasabiridge.RequestArrived{Request: request(wasabiridge.Action{Resume: true})}))[0].(wasabiridge.Dispatch)
+		first := withoutRecords(core.Handle(1, wasabiridge.RequestArrived{Request: request(wasabiridge.Action{Resume: true})}))[0].(wasabiridge.Dispatch)
 		core.Handle(2, wasabiridge.AttemptSent{Request: "r", Attempt: first.Attempt})
-		effects := pick(core.Handle(3, wasabiridge.AttemptEnded{
+		effects := withoutRecords(core.Handle(3, wasabiridge.AttemptEnded{
 			Request: "r", Attempt: first.Attempt, Backend: first.Backend.ID, Result: wasabiridge.AttemptBroken, Delivered: 7,
 		}))
 		Expect(effects).To(HaveLen(1))
@@ -230,19 +231,19 @@
 })
 
 var _ = Describe("A hedge", func() {
-	It("is cancelled when the first attempt answers after all", func() {
-		// An engine is slow, so a second attempt starts; then the first one
-		// answers. The caller sees one answer and the second engine is told to
-		// stop.
+	It("is cancelled if the first attempt produces a token first", func() {
+		// An engine is slow, so a second attempt is started. When the first one
+		// answers nevertheless, the second must be cancelled, so that the caller
+		// gets one answer.
 		core := newCore()
-		first := pick(core.Handle(0, wasabiridge.RequestArrived{Request: request(wasabiridge.Action{Hedge: true})}))[0].(wasabiridge.Dispatch)
+		first := withoutRecords(core.Handle(0, wasabiridge.RequestArrived{Request: request(wasabiridge.Action{Hedge: true})}))[0].(wasabiridge.Dispatch)
 		core.Handle(1, wasabiridge.AttemptSent{Request: "r", Attempt: first.Attempt})
-		second := pick(core.Handle(400, wasabiridge.Ticked{}))[0].(wasabiridge.Dispatch)
+		second := withoutRecords(core.Handle(400, wasabiridge.Ticked{}))[0].(wasabiridge.Dispatch)
 		Expect(second.Hedge).To(BeTrue())
-		effects := pick(core.Handle(410, wasabiridge.AttemptFirstToken{Request: "r", Attempt: first.Attempt}))
+		effects := withoutRecords(core.Handle(410, wasabiridge.AttemptFirstToken{Request: "r", Attempt: first.Attempt}))
 		Expect(effects).To(ConsistOf(wasabiridge.Cancel{Request: "r", Attempt: second.Attempt}))
 		core.Handle(420, wasabiridge.AttemptEnded{Request: "r", Attempt: first.Attempt, Result: wasabiridge.AttemptCompleted})
-		Expect(pick(core.Handle(430, wasabiridge.AttemptEnded{Request: "r", Attempt: second.Attempt, Result: wasabiridge.AttemptCancelled}))).To(BeEmpty())
+		Expect(withoutRecords(core.Handle(430, wasabiridge.AttemptEnded{Request: "r", Attempt: second.Attempt, Result: wasabiridge.AttemptCancelled}))).To(BeEmpty())
 		Expect(core.Open()).To(BeZero())
 	})
 })
@@ -259,16 +260,16 @@
 		It(name, func() {
 			core := newCore()
 			core.Handle(0, wasabiridge.RequestArrived{Request: request(wasabiridge.Action{NonIdempotent: cases[name].nonIdempotent})})
-			Expect(pick(core.Handle(1, wasabiridge.CallerGone{Request: "r"}))).To(HaveLen(cases[name].cancels))
+			Expect(withoutRecords(core.Handle(1, wasabiridge.CallerGone{Request: "r"}))).To(HaveLen(cases[name].cancels))
 		})
 	}
 })
 
-// TestPromisesUnderRandomEvents drives one request through random events.
-// Whatever comes in whatever order, the caller gets at most one final answer,
-// "not run" is only said when no attempt may have run, and a non-idempotent
-// request is never sent while an earlier attempt of it may have run.
-func TestPromisesUnderRandomEvents(t *testing.T) {
+// TestInvariantsUnderRandomEvents drives one request through random events in
+// random order. The caller must get at most one final answer, "not run" must be
+// reported only if no attempt may have run, and a non-idempotent request must never
+// be sent while an earlier attempt of it may have run.
+func TestInvariantsUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		core := newCore()
 		action := wasabiridge.Action{
--- a/internal/wasabicore/place.go
+++ b/internal/wasabicore/place.go
@@ -2,7 +2,7 @@
 
 import "github.com/wasabiridge/wasabiridge"
 
-// placeReason says why a request needs a backend server.
+// placeReason is the reason for which a request is placed.
 type placeReason uint8
 
 const (
@@ -14,89 +14,92 @@
 )
 
 const (
-	// maxFullServers bounds how many servers without room one decision looks
-	// past.
+	// maxFullServers is the number of servers without free capacity that one
+	// placement skips before it reports the pool as full.
 	maxFullServers = 8
-	// roomRetry is when a request that found no room anywhere is placed again.
-	roomRetry = 20 * wasabiridge.Millis(1)
-	// resumeWait bounds how long a broken stream waits until some server can
-	// continue it. An engine that restarted is known again within about a
-	// second; the caller sees a pause.
-	resumeWait = 5 * wasabiridge.Second
+	// fullRetryInterval is the delay before a request is placed again that found no
+	// server with free capacity.
+	fullRetryInterval = 20 * wasabiridge.Millis(1)
+	// resumeTimeout limits how long a broken stream waits for a server that can
+	// continue it. A restarted engine is listed again within about a second, so
+	// the caller usually sees only a pause in the stream.
+	resumeTimeout = 5 * wasabiridge.Second
 )
 
 func (c *Core) arrive(now wasabiridge.Millis, r wasabiridge.Request) {
-	en := &entry{request: r}
-	c.record(en.event(now, wasabiridge.EventArrived))
-	matched := en.event(now, wasabiridge.EventMatched)
+	rs := &requestState{request: r}
+	c.record(rs.event(now, wasabiridge.EventArrived))
+	matched := rs.event(now, wasabiridge.EventMatched)
 	matched.Value = int64(r.Chain.Tokens)
 	c.record(matched)
 	if _, ok := c.requests[r.ID]; ok {
 		return
 	}
-	c.requests[r.ID] = en
+	c.requests[r.ID] = rs
 	if r.Action.Refuse != "" {
-		c.refuse(now, en, wasabiridge.RefusedByRule, 0)
+		c.refuse(now, rs, wasabiridge.RefusedByRule, 0)
 		return
 	}
-	if c.bar(now, en) || c.isOverLimit(now, en) {
+	if c.refuseQuarantined(now, rs) || c.refuseOverQuota(now, rs) {
 		return
 	}
 	switch a := c.options.Limiter.Offer(now, r); a.Verdict {
 	case wasabiridge.Admitted:
-		c.place(now, en, placeFirst)
+		c.place(now, rs, placeFirst)
 	case wasabiridge.Queued:
-		c.record(en.event(now, wasabiridge.EventQueued))
+		c.record(rs.event(now, wasabiridge.EventQueued))
 	default:
-		c.refuse(now, en, a.Reason, a.RetryAfter)
+		c.refuse(now, rs, a.Reason, a.RetryAfter)
 	}
 }
 
-// place finds a backend server and sends an attempt there. It reports false
-// when none may serve; then the request has its final answer, unless another
-// attempt of it still runs.
-func (c *Core) place(now wasabiridge.Millis, en *entry, why placeReason) bool {
-	if c.bar(now, en) {
+// place selects a backend server and dispatches an attempt, or schedules another
+// placement if no server has free capacity. It reports false if no server may serve
+// the request; the request has its final answer then, unless another of its attempts
+// is still running.
+func (c *Core) place(now wasabiridge.Millis, rs *requestState, why placeReason) bool {
+	if c.refuseQuarantined(now, rs) {
 		return false
 	}
 	never := false
-	for _, id := range [...]wasabiridge.PoolID{en.request.Action.Pool, en.request.Action.Fallback} {
+	for _, id := range [...]wasabiridge.PoolID{rs.request.Action.Pool, rs.request.Action.Fallback} {
 		pool, ok := c.config.Pool(id)
 		if !ok {
 			continue
 		}
-		p, found, full := c.choose(now, en, pool)
+		p, found, full := c.choose(now, rs, pool)
 		never = never || p.Never
 		if found {
-			c.dispatch(now, en, p, why)
+			c.dispatch(now, rs, p, why)
 			return true
 		}
 		if full {
-			c.timers.add(now+roomRetry, timer{kind: timerRoom, request: en.request.ID, why: why})
+			c.timers.add(now+fullRetryInterval, timer{kind: timerRetryPlacement, request: rs.request.ID, why: why})
 			return true
 		}
 	}
-	if en.running() > 0 {
+	if rs.running() > 0 {
 		return false
 	}
-	// Engines of a pool may die shortly after each other. A stream that breaks
-	// while none of them is known to serve would be cut, although one is just
-	// coming back. It waits and is placed again, for a bounded time, unless none
-	// can come.
-	if why == placeResume && now < en.resumeBy && !never {
-		c.timers.add(now+roomRetry, timer{kind: timerRoom, request: en.request.ID, why: why})
+	// Engines of a pool may crash shortly after each other. A stream that breaks
+	// while no server is available is not cut immediately, because a restarting
+	// engine may be listed again soon. The placement is retried until resumeBy,
+	// unless the placer reports that no server can ever continue the stream.
+	if why == placeResume && now < rs.resumeBy && !never {
+		c.timers.add(now+fullRetryInterval, timer{kind: timerRetryPlacement, request: rs.request.ID, why: why})
 		return true
 	}
-	c.refuse(now, en, wasabiridge.RefusedNoBackend, defaultRetryAfter)
+	c.refuse(now, rs, wasabiridge.RefusedNoBackend, defaultRetryAfter)
 	return false
 }
 
-// choose asks the placer until it names a server with room. It reports full
-// when there are servers, but none with room.
-func (c *Core) choose(now wasabiridge.Millis, en *entry, pool wasabiridge.Pool) (p wasabiridge.Placement, found, full bool) {
-	q := wasabiridge.PlaceQuery{Request: en.request, Pool: pool, Excluded: en.excluded, Isolate: c.isolation(now, en)}
-	if en.delivered > 0 {
-		q.Weights = en.weights
+// choose queries the placer until it returns a server with free capacity, for at most
+// maxFullServers servers. It reports full if there are servers, but none with free
+// capacity.
+func (c *Core) choose(now wasabiridge.Millis, rs *requestState, pool wasabiridge.Pool) (p wasabiridge.Placement, found, full bool) {
+	q := wasabiridge.PlaceQuery{Request: rs.request, Pool: pool, Excluded: rs.excluded, Isolate: c.isolation(now, rs)}
+	if rs.delivered > 0 {
+		q.Weights = rs.weights
 	}
 	for range maxFullServers {
 		if p, found = c.options.Placer.Place(now, q); !found {
@@ -111,31 +114,31 @@
 	return p, false, true
 }
 
-func (c *Core) dispatch(now wasabiridge.Millis, en *entry, p wasabiridge.Placement, why placeReason) {
-	if p.Join > now && !en.joined && why == placeFirst {
-		en.joined = true
-		c.timers.add(p.Join, timer{kind: timerJoin, request: en.request.ID})
+func (c *Core) dispatch(now wasabiridge.Millis, rs *requestState, p wasabiridge.Placement, why placeReason) {
+	if p.Join > now && !rs.joined && why == placeFirst {
+		rs.joined = true
+		c.timers.add(p.Join, timer{kind: timerJoin, request: rs.request.ID})
 		return
 	}
 	c.lastID++
 	id := c.lastID
-	en.attempts = append(en.attempts, attempt{id: id, backend: p.Backend.ID})
-	c.options.Limiter.Sent(now, en.request, id, p.Backend.ID)
-	c.options.Placer.Sent(now, en.request, id, p)
+	rs.attempts = append(rs.attempts, attempt{id: id, backend: p.Backend.ID})
+	c.options.Limiter.Sent(now, rs.request, id, p.Backend.ID)
+	c.options.Placer.Sent(now, rs.request, id, p)
 	if c.options.Quarantine != nil {
-		c.options.Quarantine.Sent(now, en.request, id, p.Backend)
+		c.options.Quarantine.Sent(now, rs.request, id, p.Backend)
 	}
-	c.charge(now, en, id, p)
-	c.recordPlaced(now, en, id, p, why)
+	c.chargeQuota(now, rs, id, p)
+	c.recordPlaced(now, rs, id, p, why)
 	c.emit(wasabiridge.Dispatch{
-		Request:       en.request.ID,
+		Request:       rs.request.ID,
 		Attempt:       id,
 		Backend:       p.Backend,
-		Weights:       max(c.wantedWeights(en), p.Weights),
+		Weights:       max(c.requiredWeights(rs), p.Weights),
 		Incarnation:   p.Incarnation,
 		ClaimedTokens: p.ClaimedTokens,
 		HeldTokens:    p.HeldTokens,
-		ResumeFrom:    en.delivered,
+		ResumeFrom:    rs.delivered,
 		Hedge:         why == placeHedge,
 		FetchFrom:     p.FetchFrom,
 		SaveTo:        p.SaveTo,
@@ -143,25 +146,25 @@
 		FirstByte:     p.FirstByte,
 		ExpectedWait:  p.ExpectedWait,
 		Why:           p.Why,
-		Quota:         en.quota,
+		Quota:         rs.quota,
 	})
-	if en.request.Action.Hedge && !en.request.Action.NonIdempotent && why != placeHedge {
+	if rs.request.Action.Hedge && !rs.request.Action.NonIdempotent && why != placeHedge {
 		delay := max(p.ExpectedWait*wasabiridge.Millis(c.options.HedgeFactor), c.options.HedgeFloor)
-		c.timers.add(now+delay, timer{kind: timerHedge, request: en.request.ID, attempt: id})
+		c.timers.add(now+delay, timer{kind: timerHedge, request: rs.request.ID, attempt: id})
 	}
 }
 
-// wantedWeights is the version that the answer must come from. A stream that
-// already delivered tokens continues with the same version, because tokens of
-// two versions do not make one answer.
-func (c *Core) wantedWeights(en *entry) wasabiridge.WeightsVersion {
-	if en.delivered > 0 && en.weights != 0 {
-		return en.weights
-	}
-	return en.request.Action.Weights
+// requiredWeights returns the version of the weights that must produce the answer.
+// A stream that has already delivered tokens continues with the same version, because
+// an answer must not mix tokens of two versions. Zero means any version.
+func (c *Core) requiredWeights(rs *requestState) wasabiridge.WeightsVersion {
+	if rs.delivered > 0 && rs.weights != 0 {
+		return rs.weights
+	}
+	return rs.request.Action.Weights
 }
 
-func (c *Core) recordPlaced(now wasabiridge.Millis, en *entry, id wasabiridge.AttemptID, p wasabiridge.Placement, why placeReason) {
+func (c *Core) recordPlaced(now wasabiridge.Millis, rs *requestState, id wasabiridge.AttemptID, p wasabiridge.Placement, why placeReason) {
 	kind := wasabiridge.EventPlaced
 	switch why {
 	case placeRetry:
@@ -171,7 +174,7 @@
 	case placeHedge:
 		kind = wasabiridge.EventHedged
 	}
-	e := en.event(now, kind)
+	e := rs.event(now, kind)
 	e.Attempt = id
 	e.Backend = p.Backend.ID
 	e.Cause = p.Why
@@ -179,29 +182,30 @@
 	c.record(e)
 }
 
-func (c *Core) refuse(now wasabiridge.Millis, en *entry, reason wasabiridge.RefuseReason, after wasabiridge.Millis) {
-	if en.answered {
+func (c *Core) refuse(now wasabiridge.Millis, rs *requestState, reason wasabiridge.RefuseReason, after wasabiridge.Millis) {
+	if rs.answered {
 		return
 	}
-	en.answered = true
-	c.options.Limiter.Withdraw(en.request.ID)
-	e := en.event(now, wasabiridge.EventRefused)
+	rs.answered = true
+	c.options.Limiter.Withdraw(rs.request.ID)
+	e := rs.event(now, wasabiridge.EventRefused)
 	e.Cause = string(reason)
 	e.Value = int64(after)
 	c.record(e)
 	c.emit(wasabiridge.Refuse{
-		Request:     en.request.ID,
+		Request:     rs.request.ID,
 		Reason:      reason,
-		Disposition: en.disposition(),
+		Disposition: rs.disposition(),
 		RetryAfter:  after,
-		Quota:       en.quota,
+		Quota:       rs.quota,
 	})
-	c.forget(en)
+	c.removeIfDone(rs)
 }
 
-// forget drops a request that has its final answer and no running attempt.
-func (c *Core) forget(en *entry) {
-	if en.answered && en.running() == 0 {
-		delete(c.requests, en.request.ID)
+// removeIfDone removes the state of a request that has its final answer and no
+// running attempt.
+func (c *Core) removeIfDone(rs *requestState) {
+	if rs.answered && rs.running() == 0 {
+		delete(c.requests, rs.request.ID)
 	}
 }
--- a/internal/wasabicore/quarantine.go
+++ b/internal/wasabicore/quarantine.go
@@ -2,42 +2,48 @@
 
 import "github.com/wasabiridge/wasabiridge"
 
-// standing is asked on every way to a server: before a first attempt, a retry, a
-// resumption, a hedge, and before a moved run goes on. The connections below never send
-// a request again by themselves, so there is no other way.
+// standing returns the quarantine state of a request. It is checked before every
+// dispatch: a first attempt, a retry, a resumption, a hedge, and the continuation of a
+// moved run. The transport never resends a request by itself, so no other dispatches
+// exist.
 //
-// The failure it guards against: a request ends the server that runs it, and is sent to
-// the next one, by this instance or by another where its caller sends it again, until
-// all servers of the pool have ended. Callers see their streams cut one after the other.
-func (c *Core) standing(now wasabiridge.Millis, en *entry) wasabiridge.Standing {
+// Without this check a request that crashes the server that runs it would be sent to one
+// server after the other, by this instance or, after its caller repeats it, by another
+// instance, until all servers of the pool have terminated and the streams of all callers
+// are cut.
+func (c *Core) standing(now wasabiridge.Millis, rs *requestState) wasabiridge.Standing {
 	if c.options.Quarantine == nil {
 		return wasabiridge.StandingFree
 	}
-	return c.options.Quarantine.Judge(now, en.request)
+	return c.options.Quarantine.Judge(now, rs.request)
 }
 
-// trialWait is when a request may come back that is being tried elsewhere. A first
-// token takes less, and with it goes what is held against a proper request.
-const trialWait = 400 * wasabiridge.Millis(1)
+// deferredRetryAfter is the Retry-After time of a suspect request that is already being
+// tried at another server. The first token of that trial takes less time, and it clears
+// the suspicion against a harmless request.
+const deferredRetryAfter = 400 * wasabiridge.Millis(1)
 
-// bar refuses a request that reaches no server now. It reports whether it did. Nothing
-// invites the caller of a barred one back: it would be refused again.
-func (c *Core) bar(now wasabiridge.Millis, en *entry) bool {
-	switch c.standing(now, en) {
+// refuseQuarantined refuses a request that is blocked by the quarantine, or deferred
+// because it is being tried at another server. It reports whether the request was
+// refused. A blocked request gets no Retry-After time, because a repeat would be refused
+// as well.
+func (c *Core) refuseQuarantined(now wasabiridge.Millis, rs *requestState) bool {
+	switch c.standing(now, rs) {
 	case wasabiridge.StandingBarred:
-		c.refuse(now, en, wasabiridge.RefusedQuarantined, 0)
+		c.refuse(now, rs, wasabiridge.RefusedQuarantined, 0)
 	case wasabiridge.StandingDeferred:
-		c.refuse(now, en, wasabiridge.RefusedSuspect, trialWait)
+		c.refuse(now, rs, wasabiridge.RefusedSuspect, deferredRetryAfter)
 	default:
 		return false
 	}
 	return true
 }
 
-// isolation names the request to the placer if it must go where all instances send it.
-func (c *Core) isolation(now wasabiridge.Millis, en *entry) wasabiridge.Fingerprint {
-	if c.standing(now, en) != wasabiridge.StandingSuspect {
+// isolation returns the fingerprint of a suspect request, for which the placer selects
+// the server that all instances use for this fingerprint. It returns zero for others.
+func (c *Core) isolation(now wasabiridge.Millis, rs *requestState) wasabiridge.Fingerprint {
+	if c.standing(now, rs) != wasabiridge.StandingSuspect {
 		return 0
 	}
-	return en.request.Fingerprint
+	return rs.request.Fingerprint
 }
--- a/internal/wasabicore/protect_test.go
+++ b/internal/wasabicore/quota_protection_test.go
@@ -19,36 +19,42 @@
 )
 
 const (
-	// slots is how many requests a server runs at once, for took milliseconds each.
-	slots, took = 8, 30 * wasabiridge.Millis(1)
-	// servers can run 1,066 requests a second.
+	// slots is the number of requests that a server runs concurrently, each for
+	// serviceTime.
+	slots, serviceTime = 8, 30 * wasabiridge.Millis(1)
+	// servers is the number of servers. Together they can run 1,066 requests a second.
 	servers = 4
-	// usual is what the account sends in a second, others what all others do. Its limit is
-	// 1.8 times the former.
-	usual, others = 200.0, 400.0
-	limitOf       = 1.8
-	// aim is within which time an answer counts.
-	aim = 150 * wasabiridge.Millis(1)
+	// usualRate is the usual rate of the busy client account, and othersRate that of all
+	// other accounts together, in requests a second. The rate limit of the busy account
+	// is limitFactor times its usual rate.
+	usualRate, othersRate = 200.0, 400.0
+	limitFactor           = 1.8
+	// firstByteTarget is the time within which an answer counts as in time.
+	firstByteTarget = 150 * wasabiridge.Millis(1)
 )
 
-// hall is one instance before servers with a queue each, in virtual time.
-type hall struct {
+// simulation is one instance in front of servers that each have a queue, in virtual
+// time.
+type simulation struct {
 	core   *wasabicore.Core
 	now    wasabiridge.Millis
 	random *rand.Rand
-	// free is when each slot of a server is free again.
+	// free holds, for each slot of a server, the time at which it becomes free.
 	free map[wasabiridge.BackendServerID][]wasabiridge.Millis
+	// ends holds the results of attempts in flight, and at the time of each.
 	ends []wasabiridge.AttemptEnded
 	at   map[wasabiridge.AttemptID]wasabiridge.Millis
-	came map[wasabiridge.RequestID]wasabiridge.Millis
-	// asked and inTime count the requests of others.
-	asked, inTime int
+	// arrived holds the arrival time of each request.
+	arrived map[wasabiridge.RequestID]wasabiridge.Millis
+	// sent counts the requests of the other accounts, and inTime those of them that
+	// were answered within firstByteTarget.
+	sent, inTime int
 }
 
-// isOther reports whether a request is not of the account that sends too much.
+// isOther reports whether a request belongs to one of the other accounts.
 func isOther(id wasabiridge.RequestID) bool { return id[0] == 'o' }
 
-func (h *hall) take(effects []wasabiridge.Effect) {
+func (h *simulation) take(effects []wasabiridge.Effect) {
 	var sent []wasabiridge.Dispatch
 	for _, e := range effects {
 		if d, ok := e.(wasabiridge.Dispatch); ok {
@@ -59,7 +65,7 @@
 		h.core.Handle(h.now, wasabiridge.AttemptSent{Request: d.Request, Attempt: d.Attempt})
 		free := h.free[d.Backend.ID]
 		slices.Sort(free)
-		free[0] = max(free[0], h.now) + took
+		free[0] = max(free[0], h.now) + serviceTime
 		h.at[d.Attempt] = free[0]
 		h.ends = append(h.ends, wasabiridge.AttemptEnded{
 			Request: d.Request, Attempt: d.Attempt, Backend: d.Backend.ID, Result: wasabiridge.AttemptCompleted,
@@ -67,8 +73,8 @@
 	}
 }
 
-// pass lets answers come that are due.
-func (h *hall) pass() {
+// deliverDue delivers the answers that are due.
+func (h *simulation) deliverDue() {
 	for i := 0; i < len(h.ends); i++ {
 		e := h.ends[i]
 		if h.at[e.Attempt] > h.now {
@@ -76,7 +82,7 @@
 		}
 		h.ends = slices.Delete(h.ends, i, i+1)
 		i--
-		if isOther(e.Request) && h.now-h.came[e.Request] <= aim {
+		if isOther(e.Request) && h.now-h.arrived[e.Request] <= firstByteTarget {
 			h.inTime++
 		}
 		h.take(h.core.Handle(h.now, wasabiridge.AttemptFirstToken{Request: e.Request, Attempt: e.Attempt}))
@@ -84,27 +90,28 @@
 	}
 }
 
-func (h *hall) ask(kind string, n int) {
+func (h *simulation) send(kind string, n int) {
 	account := wasabiridge.ClientAccountID("hot")
 	if kind == "o" {
 		account = wasabiridge.ClientAccountID(fmt.Sprint("other", n%7))
-		h.asked++
+		h.sent++
 	}
 	id := wasabiridge.RequestID(fmt.Sprint(kind, n))
-	h.came[id] = h.now
+	h.arrived[id] = h.now
 	r := wasabiridge.Request{
 		ID: id, Account: account, Arrived: h.now, Deadline: h.now + 2500,
-		Action: wasabiridge.Action{Pool: "p", Priority: 5, FirstByteTarget: aim, QueueLimit: 256},
+		Action: wasabiridge.Action{Pool: "p", Priority: 5, FirstByteTarget: firstByteTarget, QueueLimit: 256},
 	}
 	h.take(h.core.Handle(h.now, wasabiridge.RequestArrived{Request: r}))
 }
 
-// serve lets the account send so many times its usual for ten seconds. It returns the
-// share of the others' requests that are answered in time.
-func serve(o wasabicore.Options, times float64) float64 {
-	h := &hall{
+// simulate runs ten seconds in which the busy account sends the given multiple of its
+// usual rate. It returns the share of the other accounts' requests that are answered
+// in time.
+func simulate(o wasabicore.Options, times float64) float64 {
+	h := &simulation{
 		now: 1_000_000, random: rand.New(rand.NewPCG(wasabitest.Seed, 3)), free: map[wasabiridge.BackendServerID][]wasabiridge.Millis{},
-		at: map[wasabiridge.AttemptID]wasabiridge.Millis{}, came: map[wasabiridge.RequestID]wasabiridge.Millis{},
+		at: map[wasabiridge.AttemptID]wasabiridge.Millis{}, arrived: map[wasabiridge.RequestID]wasabiridge.Millis{},
 	}
 	o.Quota = wasabiquota.New(wasabiquota.Options{Started: h.now - 10_000, Alone: true})
 	h.core = wasabicore.New(o)
@@ -116,43 +123,43 @@
 	}
 	h.core.Handle(h.now, wasabiridge.ConfigAdopted{Config: wasabiridge.Config{
 		Version: 1, Pools: []wasabiridge.Pool{pool},
-		Accounts: []wasabiridge.ClientAccount{{ID: "hot", Limit: &wasabiridge.AccountLimit{Rate: limitOf * usual, Burst: limitOf * usual}}},
+		Accounts: []wasabiridge.ClientAccount{{ID: "hot", Limit: &wasabiridge.AccountLimit{Rate: limitFactor * usualRate, Burst: limitFactor * usualRate}}},
 	}})
 	for n, end := 0, h.now+10_000; h.now < end; h.now++ {
-		h.pass()
+		h.deliverDue()
 		if h.now%20 == 0 {
 			h.take(h.core.Handle(h.now, wasabiridge.Ticked{}))
 		}
 		for _, load := range []struct {
 			kind string
 			rate float64
-		}{{"h", usual * times}, {"o", others}} {
+		}{{"h", usualRate * times}, {"o", othersRate}} {
 			for h.random.Float64() < load.rate/(1000+load.rate) {
 				n++
-				h.ask(load.kind, n)
+				h.send(load.kind, n)
 			}
 		}
 	}
-	return float64(h.inTime) / float64(h.asked)
+	return float64(h.inTime) / float64(h.sent)
 }
 
-// Guards against one account that sends many times its usual and takes the servers from
-// all others.
-var _ = Describe("Others, while one account sends 7.5 times its usual", func() {
+// Guards against one client account that sends a multiple of its usual rate and thereby
+// starves all other accounts of server capacity.
+var _ = Describe("Other client accounts, while one sends 7.5 times its usual rate", func() {
 	ways := map[string]func() wasabicore.Options{
-		"of the users' platform": func() wasabicore.Options {
+		"for the users' platform": func() wasabicore.Options {
 			placer := wasabireplica.New(wasabireplica.Options{Seed: wasabitest.Seed})
 			return wasabicore.Options{Placer: placer, Limiter: wasabireplica.NewLimiter(placer)}
 		},
-		"of the OpenAI API": func() wasabicore.Options {
+		"for the OpenAI API": func() wasabicore.Options {
 			return wasabicore.Options{
 				Placer: wasabiplace.New(wasabiplace.Options{Seed: wasabitest.Seed}), Limiter: wasabilimit.New(wasabilimit.Options{Instances: 1}),
 			}
 		},
 	}
 	for _, name := range slices.Sorted(maps.Keys(ways)) {
-		It("are served as well as without it, on the way "+name, func() {
-			calm, hot := serve(ways[name](), 1), serve(ways[name](), 7.5)
+		It("are served as well as without the excess load, with the placer and limiter "+name, func() {
+			calm, hot := simulate(ways[name](), 1), simulate(ways[name](), 7.5)
 			fmt.Fprintf(GinkgoWriter, "%s: %.4f without it, %.4f with it\n", name, calm, hot)
 			Expect(calm).To(BeNumerically(">", 0.95))
 			Expect(hot).To(BeNumerically(">=", calm-0.01))
--- a/internal/wasabicore/quota_test.go
+++ b/internal/wasabicore/quota_test.go
@@ -11,21 +11,23 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabicore"
 )
 
-// allowance lets in so many requests and counts what is charged.
-type allowance struct{ left, judged, charged int }
+// countingQuota admits a fixed number of requests, and counts checks and charges.
+type countingQuota struct{ left, judged, charged int }
 
-func (a *allowance) Judge(wasabiridge.Millis, wasabiridge.Request) wasabiridge.QuotaVerdict {
+func (a *countingQuota) Judge(wasabiridge.Millis, wasabiridge.Request) wasabiridge.QuotaVerdict {
 	a.judged++
 	a.left--
 	return wasabiridge.QuotaVerdict{Allowed: a.left >= 0, RetryAfter: 700}
 }
 
-func (a *allowance) Sent(wasabiridge.Millis, wasabiridge.Request, wasabiridge.AttemptID) { a.charged++ }
-func (a *allowance) Observe(wasabiridge.Millis, wasabiridge.Event)                       {}
+func (a *countingQuota) Sent(wasabiridge.Millis, wasabiridge.Request, wasabiridge.AttemptID) {
+	a.charged++
+}
+func (a *countingQuota) Observe(wasabiridge.Millis, wasabiridge.Event) {}
 
-// Guards against attempts that run without being charged, and against requests that are
-// refused for their limit after they were let in.
-var _ = Describe("The limit of an account", func() {
+// Guards against attempts that run without being charged to their client account, and
+// against requests that are refused for the rate limit after they were admitted.
+var _ = Describe("The rate limit of a client account", func() {
 	moved := wasabiridge.Moved{To: wasabiridge.BackendServer{ID: "e5"}, Memory: "a/1"}
 	cases := map[string]struct {
 		action    wasabiridge.Action
@@ -35,17 +37,17 @@
 		hedge     bool
 		charged   int
 	}{
-		"a first attempt":          {result: wasabiridge.AttemptCompleted, charged: 1},
-		"a retry":                  {action: wasabiridge.Action{Retry: true}, result: wasabiridge.AttemptBroken, charged: 2},
-		"a resumption":             {action: wasabiridge.Action{Resume: true}, result: wasabiridge.AttemptBroken, delivered: 7, charged: 2},
-		"a run that is moved":      {action: wasabiridge.Action{Resume: true}, result: wasabiridge.AttemptBroken, delivered: 7, moved: moved, charged: 1},
-		"a hedge beside the first": {action: wasabiridge.Action{Hedge: true}, hedge: true, charged: 2},
+		"a first attempt":     {result: wasabiridge.AttemptCompleted, charged: 1},
+		"a retry":             {action: wasabiridge.Action{Retry: true}, result: wasabiridge.AttemptBroken, charged: 2},
+		"a resumption":        {action: wasabiridge.Action{Resume: true}, result: wasabiridge.AttemptBroken, delivered: 7, charged: 2},
+		"a run that is moved": {action: wasabiridge.Action{Resume: true}, result: wasabiridge.AttemptBroken, delivered: 7, moved: moved, charged: 1},
+		"a hedge":             {action: wasabiridge.Action{Hedge: true}, hedge: true, charged: 2},
 	}
 	for _, name := range slices.Sorted(maps.Keys(cases)) {
-		It("is asked once and charged for each run: "+name, func() {
-			tc, quota := cases[name], &allowance{left: 1}
+		It("is checked once per request and charged for each run: "+name, func() {
+			tc, quota := cases[name], &countingQuota{left: 1}
 			core := newCoreOf(wasabicore.Options{Placer: firstServer{}, Limiter: noLimit{}, Quota: quota})
-			first := pick(core.Handle(1, wasabiridge.RequestArrived{Request: request(tc.action)}))[0].(wasabiridge.Dispatch)
+			first := withoutRecords(core.Handle(1, wasabiridge.RequestArrived{Request: request(tc.action)}))[0].(wasabiridge.Dispatch)
 			core.Handle(2, wasabiridge.AttemptSent{Request: "r", Attempt: first.Attempt})
 			if tc.hedge {
 				core.Handle(500, wasabiridge.Ticked{})
@@ -59,10 +61,10 @@
 		})
 	}
 
-	It("refuses at once, before the request takes room from others", func() {
-		quota, limiter := &allowance{}, &counted{}
+	It("refuses a request before it enters the queue", func() {
+		quota, limiter := &countingQuota{}, &countingLimiter{}
 		core := newCoreOf(wasabicore.Options{Placer: firstServer{}, Limiter: limiter, Quota: quota})
-		effects := pick(core.Handle(1, wasabiridge.RequestArrived{Request: request(wasabiridge.Action{Retry: true})}))
+		effects := withoutRecords(core.Handle(1, wasabiridge.RequestArrived{Request: request(wasabiridge.Action{Retry: true})}))
 		Expect(effects).To(ConsistOf(wasabiridge.Refuse{Request: "r", Reason: wasabiridge.RefusedQuota, RetryAfter: 700}))
 		Expect(limiter.offers).To(BeZero())
 		Expect(quota.charged).To(BeZero())
--- a/internal/wasabicore/timer.go
+++ b/internal/wasabicore/timer.go
@@ -9,18 +9,18 @@
 type timerKind uint8
 
 const (
-	// timerJoin sends a request that waited for a prefix being computed.
+	// timerJoin places a request that waited for another one to compute its prefix.
 	timerJoin timerKind = iota
-	// timerHedge starts a second attempt when the first gave no token.
+	// timerHedge starts a second attempt if the first has produced no token.
 	timerHedge
-	// timerRoom places a request again that found no room anywhere.
-	timerRoom
+	// timerRetryPlacement places a request again that found no available server.
+	timerRetryPlacement
 )
 
 type timer struct {
 	at wasabiridge.Millis
-	// order breaks ties, so that timers of the same time fire in the order
-	// in which they were set.
+	// order is the tie-breaker for timers that are due at the same time: they
+	// fire in the order in which they were set.
 	order   uint64
 	kind    timerKind
 	request wasabiridge.RequestID
@@ -83,53 +83,55 @@
 		if !ok {
 			return
 		}
-		en := c.requests[t.request]
-		if en == nil || en.answered {
+		rs := c.requests[t.request]
+		if rs == nil || rs.answered {
 			continue
 		}
 		switch t.kind {
 		case timerJoin:
-			c.place(now, en, placeAfterJoin)
-		case timerRoom:
-			c.placeInRoom(now, en, t.why)
+			c.place(now, rs, placeAfterJoin)
+		case timerRetryPlacement:
+			c.retryPlacement(now, rs, t.why)
 		case timerHedge:
-			c.hedge(now, en, t.attempt)
+			c.hedge(now, rs, t.attempt)
 		}
 	}
 }
 
-func (c *Core) placeInRoom(now wasabiridge.Millis, en *entry, why placeReason) {
-	if en.running() > 0 {
+// retryPlacement places a request again for which no server was available.
+func (c *Core) retryPlacement(now wasabiridge.Millis, rs *requestState, why placeReason) {
+	if rs.running() > 0 {
 		return
 	}
-	// The deadline bounds the wait before the first byte. A stream that is to
-	// be continued is bounded by its own time.
-	until := en.request.Deadline
+	// The deadline of the request applies to the first byte. A stream that is
+	// to be resumed waits until resumeBy instead.
+	until := rs.request.Deadline
 	if why == placeResume {
-		until = en.resumeBy
+		until = rs.resumeBy
 	}
 	if until > 0 && now >= until {
-		c.refuse(now, en, wasabiridge.RefusedDeadline, defaultRetryAfter)
+		c.refuse(now, rs, wasabiridge.RefusedDeadline, defaultRetryAfter)
 		return
 	}
-	c.place(now, en, why)
+	c.place(now, rs, why)
 }
 
-// hedge starts a second attempt beside one that gave no token for long.
-func (c *Core) hedge(now wasabiridge.Millis, en *entry, id wasabiridge.AttemptID) {
-	a := en.find(id)
-	if a == nil || a.over || a.firstToken || en.running() != 1 || len(en.attempts) >= c.options.MaxAttempts {
+// hedge starts a second attempt at another server if the first one is still running
+// and has produced no token.
+func (c *Core) hedge(now wasabiridge.Millis, rs *requestState, id wasabiridge.AttemptID) {
+	a := rs.find(id)
+	if a == nil || a.ended || a.firstToken || rs.running() != 1 || len(rs.attempts) >= c.options.MaxAttempts {
 		return
 	}
-	pool, ok := c.config.Pool(en.request.Action.Pool)
-	if !ok || c.standing(now, en) != wasabiridge.StandingFree || !c.options.Limiter.MayRetry(now, en.request) {
+	pool, ok := c.config.Pool(rs.request.Action.Pool)
+	if !ok || c.standing(now, rs) != wasabiridge.StandingFree || !c.options.Limiter.MayRetry(now, rs.request) {
 		return
 	}
-	before := en.excluded
-	en.excluded = append(before[:len(before):len(before)], a.backend)
-	p, found, _ := c.choose(now, en, pool)
-	en.excluded = before
+	before := rs.excluded
+	rs.excluded = append(before[:len(before):len(before)], a.backend)
+	p, found, _ := c.choose(now, rs, pool)
+	rs.excluded = before
 	if found {
-		c.dispatch(now, en, p, placeHedge)
+		c.dispatch(now, rs, p, placeHedge)
 	}
 }
