--- a/internal/wasabiloop/loop.go
+++ b/internal/wasabiloop/loop.go
@@ -1,5 +1,6 @@
-// Package wasabiloop runs the decisions: one goroutine owns the Decider, takes
-// events from a bounded ring and hands the effects to whoever asked.
+// Package wasabiloop runs the event loop around a Decider: one goroutine owns the
+// Decider, takes events from a bounded queue, called the ring, and delivers the
+// effects to the mailboxes of the requests.
 //
 // # Usage
 //
@@ -7,22 +8,22 @@
 //	defer loop.Close()
 //	box := wasabiloop.NewMailbox()
 //	if err := loop.Submit(request, box); err != nil {
-//		return err // Nothing ran.
+//		return err // The request has not run.
 //	}
 //	defer loop.Forget(request.ID)
 //	for effect := range box.Effects() {
 //		...
 //	}
 //
-// # Full rings
+// # Overload
 //
-// A new request finds the ring full when more than three quarters of it are
-// taken: it is refused, and nothing ran. Events of requests that were taken
-// wait; the loop never waits for a request, so they move on. Observations
-// such as load reports and cache events are dropped and counted, because
-// newer ones follow. A mailbox that is full means that its owner stands still
-// while the decider goes on; the mailbox is closed, and the owner gives its
-// request up.
+// A new request is refused, without having run, when at least three quarters of
+// the ring are in use. Events of accepted requests block their senders until the
+// ring has room. This cannot deadlock, because the loop never waits for a request.
+// Observations such as load reports and cache events are dropped and counted when
+// the ring is full, because newer ones follow. A full mailbox means that the
+// goroutine of its request is stalled; the loop closes the mailbox, and the
+// goroutine must abort the request.
 package wasabiloop
 
 import (
@@ -34,22 +35,22 @@
 )
 
 const (
-	// DefaultRing is how many events wait for the decider at most.
+	// DefaultRing is the default capacity of the ring, in events.
 	DefaultRing = 8192
-	// tickInterval is how often the decider is told that time has passed.
+	// tickInterval is the interval of Ticked events.
 	tickInterval = 20 * time.Millisecond
-	// mailboxSize is how many effects wait for a request. A decider sends a
-	// request a dispatch or two at a time and then waits for events.
+	// mailboxSize is the capacity of a mailbox, in effects. A decider emits one
+	// or two dispatches for a request and then waits for its events.
 	mailboxSize = 16
 )
 
-// Options are the parts of a loop. Decider and Clock are needed.
+// Options configures a Loop. Decider and Clock are required.
 type Options struct {
 	Decider wasabiridge.Decider
 	Clock   wasabiridge.Clock
-	// Recorder takes time line events. Nil drops them.
+	// Recorder receives the timeline events. Nil drops them.
 	Recorder wasabiridge.Recorder
-	// Ring is the size of the ring. Zero means DefaultRing.
+	// Ring is the capacity of the ring, in events. Zero or less means DefaultRing.
 	Ring int
 }
 
@@ -61,15 +62,15 @@
 	done    chan struct{}
 	close   sync.Once
 	dropped atomic.Uint64
-	// boxes belongs to the goroutine of the loop.
-	boxes map[wasabiridge.RequestID]*Mailbox
-	// unwanted holds dispatches that nobody carries out, until the decider is
-	// told. It belongs to the goroutine of the loop too.
-	unwanted []wasabiridge.Dispatch
+	// mailboxes is only accessed by the goroutine of the loop.
+	mailboxes map[wasabiridge.RequestID]*Mailbox
+	// undelivered holds dispatches that no request received, until the decider
+	// gets their results. It is only accessed by the goroutine of the loop.
+	undelivered []wasabiridge.Dispatch
 }
 
-// message is one entry of the ring: an event, and for a new request its
-// mailbox.
+// message is one entry of the ring. It holds an event, with the mailbox if the event
+// is a new request; or a request whose mailbox is to be closed; or a function to call.
 type message struct {
 	event  wasabiridge.Event
 	box    *Mailbox
@@ -77,27 +78,29 @@
 	call   func()
 }
 
-// New starts a loop. Close ends it.
+// New returns a running Loop. Close stops it.
 func New(o Options) *Loop {
 	if o.Ring <= 0 {
 		o.Ring = DefaultRing
 	}
 	l := &Loop{
-		options: o,
-		ring:    make(chan message, o.Ring),
-		stop:    make(chan struct{}),
-		done:    make(chan struct{}),
-		boxes:   map[wasabiridge.RequestID]*Mailbox{},
+		options:   o,
+		ring:      make(chan message, o.Ring),
+		stop:      make(chan struct{}),
+		done:      make(chan struct{}),
+		mailboxes: map[wasabiridge.RequestID]*Mailbox{},
 	}
 	go l.run()
 	return l
 }
 
-// Submit presents a new request, whose effects go to the mailbox. It reports
-// ErrUnavailable when the ring has no room; nothing ran then.
+// Submit adds a new request, whose effects are delivered to the mailbox. It returns
+// ErrUnavailable if at least three quarters of the ring are in use or the loop is
+// closed; the
+// request has not run then.
 func (l *Loop) Submit(r wasabiridge.Request, box *Mailbox) error {
 	if len(l.ring) >= cap(l.ring)-cap(l.ring)/4 {
-		return wasabiridge.ErrUnavailable.New("loop: too many events wait")
+		return wasabiridge.ErrUnavailable.New("loop: three quarters of the event ring are in use")
 	}
 	select {
 	case l.ring <- message{event: wasabiridge.RequestArrived{Request: r}, box: box}:
@@ -105,17 +108,17 @@
 	case <-l.stop:
 		return wasabiridge.ErrUnavailable.New("loop: closed")
 	default:
-		return wasabiridge.ErrUnavailable.New("loop: ring is full")
+		return wasabiridge.ErrUnavailable.New("loop: event ring is full")
 	}
 }
 
-// Post tells the decider what happened to a request. It waits for room.
+// Post passes an event of a request to the decider. It blocks while the ring is full.
 func (l *Loop) Post(e wasabiridge.Event) {
 	l.send(message{event: e})
 }
 
-// Observe tells the decider something that may be lost. It reports false,
-// and counts, when there is no room.
+// Observe passes an event that may be lost to the decider. If the ring is full, it
+// drops the event, increments the counter of Dropped and returns false.
 func (l *Loop) Observe(e wasabiridge.Event) bool {
 	select {
 	case l.ring <- message{event: e}:
@@ -126,14 +129,15 @@
 	}
 }
 
-// Forget closes the mailbox of a request that is over. A dispatch that nobody
-// took is answered as not run, so that the decider never waits for it.
+// Forget closes the mailbox of a request that has ended. Dispatches left in the
+// mailbox are reported to the decider as cancelled, so that it does not wait for
+// their results.
 func (l *Loop) Forget(id wasabiridge.RequestID) {
 	l.send(message{forget: id})
 }
 
-// Inspect runs a function between two events, so that it may read the
-// decider. It reports false when the loop is closed.
+// Inspect calls f in the goroutine of the loop, where it may read the decider, and
+// waits for it to return. It reports false if the loop is closed.
 func (l *Loop) Inspect(f func()) bool {
 	done := make(chan struct{})
 	l.send(message{call: func() { f(); close(done) }})
@@ -145,13 +149,13 @@
 	}
 }
 
-// Dropped returns how many observations were lost for lack of room.
+// Dropped returns the number of events that Observe dropped.
 func (l *Loop) Dropped() uint64 {
 	return l.dropped.Load()
 }
 
-// Close ends the loop and closes all mailboxes. It returns after the
-// goroutine has ended.
+// Close stops the loop and closes all mailboxes. It returns after the goroutine of
+// the loop has ended.
 func (l *Loop) Close() {
 	l.close.Do(func() { close(l.stop) })
 	<-l.done
@@ -166,30 +170,30 @@
 
 func (l *Loop) run() {
 	defer close(l.done)
-	defer l.closeBoxes()
+	defer l.closeMailboxes()
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case m := <-l.ring:
-			l.take(m)
-			l.answerUnwanted()
+			l.process(m)
+			l.cancelUndelivered()
 		case <-ticker.C:
 			l.handle(wasabiridge.Ticked{})
-			l.answerUnwanted()
+			l.cancelUndelivered()
 		case <-l.stop:
 			return
 		}
 	}
 }
 
-func (l *Loop) closeBoxes() {
-	for _, box := range l.boxes {
+func (l *Loop) closeMailboxes() {
+	for _, box := range l.mailboxes {
 		box.close()
 	}
 }
 
-func (l *Loop) take(m message) {
+func (l *Loop) process(m message) {
 	if m.call != nil {
 		m.call()
 		return
@@ -199,24 +203,24 @@
 		return
 	}
 	if arrived, ok := m.event.(wasabiridge.RequestArrived); ok && m.box != nil {
-		l.boxes[arrived.Request.ID] = m.box
+		l.mailboxes[arrived.Request.ID] = m.box
 	}
 	l.handle(m.event)
 }
 
 func (l *Loop) forget(id wasabiridge.RequestID) {
-	box, ok := l.boxes[id]
+	box, ok := l.mailboxes[id]
 	if !ok {
 		return
 	}
-	delete(l.boxes, id)
+	delete(l.mailboxes, id)
 	box.close()
 	for e := range box.effects {
 		l.discard(e)
 	}
 }
 
-// handle gives the decider an event and carries out what it wants.
+// handle passes an event to the decider and carries out the effects.
 func (l *Loop) handle(e wasabiridge.Event) {
 	for _, effect := range l.options.Decider.Handle(l.options.Clock.Now(), e) {
 		l.carryOut(effect)
@@ -233,19 +237,20 @@
 	}
 }
 
-// discard notes a dispatch that nobody carries out.
+// discard marks a dispatch as undelivered. Other effects are dropped.
 func (l *Loop) discard(effect wasabiridge.Effect) {
 	if d, ok := effect.(wasabiridge.Dispatch); ok {
-		l.unwanted = append(l.unwanted, d)
+		l.undelivered = append(l.undelivered, d)
 	}
 }
 
-// answerUnwanted answers dispatches that nobody carries out. Without the
-// answer the decider would count them against their backend servers for ever.
-func (l *Loop) answerUnwanted() {
-	for len(l.unwanted) > 0 {
-		d := l.unwanted[0]
-		l.unwanted = l.unwanted[1:]
+// cancelUndelivered reports undelivered dispatches to the decider as cancelled.
+// Without a result the decider would count them as in flight at their backend
+// servers forever.
+func (l *Loop) cancelUndelivered() {
+	for len(l.undelivered) > 0 {
+		d := l.undelivered[0]
+		l.undelivered = l.undelivered[1:]
 		l.handle(wasabiridge.AttemptEnded{
 			Request: d.Request,
 			Attempt: d.Attempt,
@@ -261,11 +266,11 @@
 	}
 }
 
-// deliver puts an effect into its request's mailbox. It reports false when
-// the request is gone or stands still.
+// deliver puts an effect into the mailbox of its request. It returns false if the
+// request has no mailbox any more or its mailbox is full.
 func (l *Loop) deliver(effect wasabiridge.Effect) bool {
 	id := requestOf(effect)
-	box, ok := l.boxes[id]
+	box, ok := l.mailboxes[id]
 	if !ok {
 		return false
 	}
--- a/internal/wasabiloop/loop_test.go
+++ b/internal/wasabiloop/loop_test.go
@@ -14,13 +14,14 @@
 
 func TestLoop(t *testing.T) { wasabitest.Run(t, "loop") }
 
-// decider dispatches each request a number of times and keeps what it heard.
-// With a gate it stands still until the gate is closed.
+// decider dispatches each request a number of times, passes on the results of the
+// attempts and counts load reports. If gate is set, the decider blocks on each new
+// request until gate is closed.
 type decider struct {
 	dispatches int
 	gate       chan struct{}
 	ended      chan wasabiridge.AttemptEnded
-	heard      int
+	reports    int
 }
 
 func (d *decider) Handle(_ wasabiridge.Millis, e wasabiridge.Event) []wasabiridge.Effect {
@@ -37,7 +38,7 @@
 	case wasabiridge.AttemptEnded:
 		d.ended <- e
 	case wasabiridge.LoadReported:
-		d.heard++
+		d.reports++
 	}
 	return nil
 }
@@ -49,7 +50,7 @@
 }
 
 var _ = Describe("the loop", func() {
-	It("hands effects to the mailbox of their request", func() {
+	It("delivers effects to the mailbox of their request", func() {
 		l := newLoop(&decider{dispatches: 2}, 0)
 		box := wasabiloop.NewMailbox()
 		Expect(l.Submit(wasabiridge.Request{ID: "r"}, box)).To(Succeed())
@@ -57,18 +58,18 @@
 		Eventually(box.Effects()).Should(Receive(Equal(wasabiridge.Dispatch{Request: "r", Attempt: 2})))
 	})
 
-	// Decisions fall behind. A caller must hear at once that its request did
-	// not run, and requests that were taken must not lose an event.
-	It("refuses new requests while its ring is nearly full, and loses no event of others", func() {
+	// The decider falls behind, so the ring fills up. New requests must be refused
+	// immediately as not run, and accepted requests must not lose an event.
+	It("refuses new requests while its ring is nearly full, and loses no event of accepted ones", func() {
 		d := &decider{gate: make(chan struct{}), ended: make(chan wasabiridge.AttemptEnded, 8)}
 		l := newLoop(d, 8)
-		taken := 0
+		accepted := 0
 		for range 20 {
 			if l.Submit(wasabiridge.Request{ID: "r"}, wasabiloop.NewMailbox()) == nil {
-				taken++
+				accepted++
 			}
 		}
-		Expect(taken).To(BeNumerically("<=", 7))
+		Expect(accepted).To(BeNumerically("<=", 7))
 		l.Post(wasabiridge.AttemptEnded{Request: "r", Attempt: 9})
 		for l.Observe(wasabiridge.LoadReported{}) {
 		}
@@ -77,9 +78,9 @@
 		Eventually(d.ended).Should(Receive(HaveField("Attempt", wasabiridge.AttemptID(9))))
 	})
 
-	// The caller leaves while a dispatch is on its way to it. The decisions
-	// would count the attempt against its server for ever.
-	It("answers dispatches that nobody takes any more", func() {
+	// A request ends while dispatches are still in its mailbox. Without a result
+	// the decider would count these attempts as in flight forever.
+	It("reports dispatches that no request received as cancelled", func() {
 		d := &decider{dispatches: 3, ended: make(chan wasabiridge.AttemptEnded, 64)}
 		l := newLoop(d, 0)
 		Expect(l.Submit(wasabiridge.Request{ID: "r"}, wasabiloop.NewMailbox())).To(Succeed())
@@ -91,7 +92,7 @@
 		}
 	})
 
-	It("closes a mailbox that overflows, and itself goes on", func() {
+	It("closes a mailbox that overflows, and keeps running", func() {
 		d := &decider{dispatches: 40, ended: make(chan wasabiridge.AttemptEnded, 64)}
 		l := newLoop(d, 0)
 		box := wasabiloop.NewMailbox()
@@ -103,7 +104,7 @@
 		Eventually(box.Effects()).Should(BeClosed())
 	})
 
-	It("closes mailboxes and refuses requests at its end", func() {
+	It("closes all mailboxes when it is closed, and does not block events afterwards", func() {
 		l := newLoop(&decider{}, 0)
 		box := wasabiloop.NewMailbox()
 		Expect(l.Submit(wasabiridge.Request{ID: "r"}, box)).To(Succeed())
--- a/internal/wasabiloop/mailbox.go
+++ b/internal/wasabiloop/mailbox.go
@@ -2,8 +2,8 @@
 
 import "github.com/wasabiridge/wasabiridge"
 
-// Mailbox holds the effects that wait for one request. The goroutine of the
-// request reads it; only the loop writes and closes it.
+// Mailbox is the queue of effects for one request. The goroutine of the request
+// receives from it; only the loop sends to it and closes it.
 type Mailbox struct {
 	effects chan wasabiridge.Effect
 	closed  bool
@@ -14,15 +14,15 @@
 	return &Mailbox{effects: make(chan wasabiridge.Effect, mailboxSize)}
 }
 
-// Effects returns the effects in their order. The channel is closed when the
-// loop ends or when the mailbox overflowed; the request is to be given up
-// then.
+// Effects returns the channel of effects, in the order of the decider. The channel is
+// closed when the loop is closed, or when the mailbox overflows; the receiver must
+// abort its request then.
 func (m *Mailbox) Effects() <-chan wasabiridge.Effect {
 	return m.effects
 }
 
-// offer reports false when the mailbox is full. It never waits: one request
-// that stands still must not hold up the decisions of all others.
+// offer adds an effect, or returns false if the mailbox is full or closed. It never
+// blocks, because one stalled request must not delay the decisions for all others.
 func (m *Mailbox) offer(e wasabiridge.Effect) bool {
 	if m.closed {
 		return false
