--- a/internal/wasabirelay/body.go
+++ b/internal/wasabirelay/body.go
@@ -8,8 +8,8 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// readBody takes in the whole body. An attempt that did not run may be followed
-// by another one, which needs it again.
+// readBody reads the complete body into memory, because a further attempt after one
+// that did not run needs it again.
 func (c *call) readBody() *wasabiridge.Refusal {
 	if c.r.Body == nil || c.r.ContentLength == 0 {
 		return nil
@@ -20,8 +20,8 @@
 		c.body = make([]byte, n)
 		_, err = io.ReadFull(limited, c.body)
 		if err == nil {
-			// net/http watches for the end of the caller's connection only
-			// behind the end of the body.
+			// net/http detects that the caller closed its connection only
+			// after the end of the body has been read.
 			_, err = limited.Read(make([]byte, 1))
 		}
 	} else {
--- a/internal/wasabirelay/counts.go
+++ b/internal/wasabirelay/counts.go
@@ -8,7 +8,7 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Outcomes of requests, as logs and metrics name them.
+// Outcomes of requests, as they appear in logs and metrics.
 const (
 	OutcomeAnswered = "answered"
 	OutcomeRefused  = "refused"
@@ -18,21 +18,22 @@
 )
 
 const (
-	// longest is the longest time that is told apart, in milliseconds, and
-	// digits how exactly.
-	longest = 60000
-	digits  = 2
+	// maxMillis is the upper bound of the histograms, in milliseconds, and
+	// significantDigits their precision in decimal digits.
+	maxMillis         = 60000
+	significantDigits = 2
 )
 
-// Counts are the outcomes of requests since the start, with the times they
-// took. It is safe for concurrent use.
+// Counts holds counters of the request outcomes since the start, with histograms of
+// the durations. It is safe for concurrent use.
 type Counts struct {
 	mu     sync.Mutex
 	byName map[string]*hdrhistogram.Histogram
 	causes map[string]uint64
 }
 
-// Count is one outcome: how many, and the times in milliseconds.
+// Count is the summary of one histogram: the number of values and their quantiles in
+// milliseconds. Name is an outcome, or first_byte_stream or first_byte_plain.
 type Count struct {
 	Name          string
 	Total         int64
@@ -43,7 +44,8 @@
 	return &Counts{byName: map[string]*hdrhistogram.Histogram{}, causes: map[string]uint64{}}
 }
 
-// add counts a request that ended. The cause is one of a few words.
+// add counts a request that has ended. The cause becomes a metric label, so it must be
+// one of a small set of texts; it may be empty.
 func (c *Counts) add(outcome, cause string, took wasabiridge.Millis) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,8 +55,8 @@
 	}
 }
 
-// first notes the time to the first byte of an answer.
-func (c *Counts) first(stream bool, took wasabiridge.Millis) {
+// addFirstByte records the time to the first byte of an answer.
+func (c *Counts) addFirstByte(stream bool, took wasabiridge.Millis) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if stream {
@@ -64,8 +66,8 @@
 	}
 }
 
-// move counts a move of an answer by its outcome.
-func (c *Counts) move(outcome string) {
+// addMove counts an attempt to move an answer, by its outcome.
+func (c *Counts) addMove(outcome string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.causes["move/"+outcome]++
@@ -74,14 +76,14 @@
 func (c *Counts) observe(name string, took wasabiridge.Millis) {
 	h := c.byName[name]
 	if h == nil {
-		h = hdrhistogram.New(1, longest, digits)
+		h = hdrhistogram.New(1, maxMillis, significantDigits)
 		c.byName[name] = h
 	}
-	// A value beyond the range counts as the longest.
-	_ = h.RecordValue(min(max(int64(took), 1), longest))
+	// Values outside the range are clamped to it.
+	_ = h.RecordValue(min(max(int64(took), 1), maxMillis))
 }
 
-// Times returns all counts.
+// Times returns the summaries of all histograms, in no particular order.
 func (c *Counts) Times() []Count {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,7 +94,8 @@
 	return out
 }
 
-// Causes returns how often an outcome had a cause, by outcome/cause.
+// Causes returns the number of requests by "outcome/cause", and of moves by
+// "move/outcome".
 func (c *Counts) Causes() map[string]uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/wasabirelay/exchange.go
+++ b/internal/wasabirelay/exchange.go
@@ -12,35 +12,37 @@
 )
 
 const (
-	// heldBytes bounds an answer that is held back until it is whole, so that
-	// another attempt may take its place. A larger one is handed on as it
-	// comes.
-	heldBytes = 256 << 10
-	// finalMargin is how long before the end of the caller's time its answer
-	// is given: one that comes with the end is not read any more.
+	// maxBufferedBytes is the size up to which an answer is buffered until it is
+	// complete, so that it can be replaced by the answer of another attempt. A
+	// larger answer is streamed to the caller.
+	maxBufferedBytes = 256 << 10
+	// finalMargin is the time before the caller's deadline at which the final
+	// answer is sent. Callers do not read answers that arrive at the deadline.
 	finalMargin = 15 * wasabiridge.Millis(1)
 )
 
-var errSilent = wasabiridge.ErrSilent.New("relay: no byte in time")
+var errSilent = wasabiridge.ErrSilent.New("relay: backend server sent no byte within the time limit")
 
-// exchange is one request from the decision to its answer. The goroutine of
-// the request owns it.
+// exchange processes one request from its submission to the decider until it is
+// answered. It is owned by the goroutine of the request.
 type exchange struct {
 	*call
 	request wasabiridge.Request
 	header  http.Header
 	box     *wasabiloop.Mailbox
-	// ctx ends with the caller and with the request's time.
+	// ctx ends when the caller disconnects or the request's deadline is near.
 	ctx context.Context
-	// disposition is what may be said of the request as a whole.
+	// disposition is the disposition of the whole request, over all attempts.
 	disposition wasabiridge.Disposition
-	// began says that the caller has the head of the answer.
-	began bool
-	// status and held are an answer that is held back.
-	status int
-	head   http.Header
-	held   []byte
-	// events counts the events that the caller has, lastEvent names the last.
+	// headSent is set when the status and header have been written to the caller.
+	headSent bool
+	// status, head and buffered are those of the current answer. Status is 0 if there
+	// is none.
+	status   int
+	head     http.Header
+	buffered []byte
+	// events is the number of stream events sent to the caller, and lastEvent the
+	// identifier of the last one.
 	events    int
 	lastEvent string
 	backend   wasabiridge.BackendServerID
@@ -49,45 +51,46 @@
 }
 
 func newExchange(c *call) *exchange {
-	c.named = c.fingerprint()
+	c.fingerprint = c.computeFingerprint()
 	return &exchange{
 		call: c, request: c.request(), header: c.relay.options.Protocol.Forward(c.r.Header), box: wasabiloop.NewMailbox(),
-		lastEvent: c.asked.LastEvent,
+		lastEvent: c.parsed.LastEvent,
 	}
 }
 
-// request returns what the decisions need to know.
+// request returns the request in the form that the decider takes.
 func (c *call) request() wasabiridge.Request {
-	root := wasabiridge.CacheRoot{Model: c.asked.Model, Sharing: c.view.Sharing}
+	root := wasabiridge.CacheRoot{Model: c.parsed.Model, Sharing: c.view.Sharing}
 	if c.account.Isolated {
 		root.Account, root.Sharing = c.account.ID, ""
 	}
 	r := wasabiridge.Request{
-		ID: c.asked.ID, Account: c.account.ID, Method: c.r.Method, Path: c.r.URL.Path, Host: hostOf(c.r), Model: c.asked.Model,
-		MaxTokens: c.asked.MaxTokens, Stream: c.rule.Then.Stream, Arrived: c.arrived, Deadline: c.until,
-		EndsWithCaller: true, Fingerprint: c.named,
+		ID: c.parsed.ID, Account: c.account.ID, Method: c.r.Method, Path: c.r.URL.Path, Host: hostOf(c.r), Model: c.parsed.Model,
+		MaxTokens: c.parsed.MaxTokens, Stream: c.rule.Then.Stream, Arrived: c.arrived, Deadline: c.until,
+		EndsWithCaller: true, Fingerprint: c.fingerprint,
 	}.WithRule(c.rule).WithChain(wasabiridge.Chain{
-		Root: root, Blocks: c.asked.Blocks, Lengths: c.asked.Lengths, Tokens: c.asked.PromptTokens,
+		Root: root, Blocks: c.parsed.Blocks, Lengths: c.parsed.Lengths, Tokens: c.parsed.PromptTokens,
 	})
 	if c.account.Priority != nil {
 		r = r.WithPriority(*c.account.Priority)
 	}
 	if split := c.rule.Then.Split; len(split) > 0 {
-		r = r.WithPool(choosePool(split, c.asked.ID))
+		r = r.WithPool(choosePool(split, c.parsed.ID))
 	}
 	return r
 }
 
-// fingerprint names what the request asks.
-func (c *call) fingerprint() wasabiridge.Fingerprint {
+// computeFingerprint returns the keyed hash of the request's content.
+func (c *call) computeFingerprint() wasabiridge.Fingerprint {
 	return c.relay.options.Names.Name(wasabifingerprint.Content{
-		Account: c.account.ID, Method: c.r.Method, Host: hostOf(c.r), Path: c.r.URL.RequestURI(), Model: c.asked.Model, Body: c.body, Blocks: c.asked.Blocks,
+		Account: c.account.ID, Method: c.r.Method, Host: hostOf(c.r), Path: c.r.URL.RequestURI(), Model: c.parsed.Model, Body: c.body, Blocks: c.parsed.Blocks,
 	})
 }
 
-// run carries out what the decisions want until the caller has its answer. A
-// broken answer ends in a panic with http.ErrAbortHandler, which breaks the
-// connection: an end that looks clean would pass for a whole answer.
+// run submits the request to the decider and carries out the effects until the
+// caller has its answer. If an answer breaks off after its head was sent, run panics
+// with http.ErrAbortHandler to abort the connection, because the caller would take a
+// regular end for a complete answer.
 func (x *exchange) run() {
 	o := x.relay.options
 	if err := o.Loop.Submit(x.request, x.box); err != nil {
@@ -100,92 +103,93 @@
 	x.ctx, cancel = context.WithTimeout(x.r.Context(), left.Duration())
 	defer cancel()
 	control := http.NewResponseController(x.w)
-	// A writer without deadlines is one of a test.
+	// The error is ignored, because the response writers of tests may not support
+	// deadlines.
 	_ = control.SetWriteDeadline(time.Now().Add((x.until - o.Clock.Now() + wasabiridge.Second).Duration()))
 	defer func() { _ = control.SetWriteDeadline(time.Time{}) }()
 	for {
 		select {
 		case effect, ok := <-x.box.Effects():
 			if !ok {
-				x.giveUp(wasabiridge.Refuse{Reason: wasabiridge.RefusedBroken})
+				x.fail(wasabiridge.Refuse{Reason: wasabiridge.RefusedBroken})
 				return
 			}
 			if x.carryOut(effect) {
 				return
 			}
 		case <-x.ctx.Done():
-			x.timeOver()
+			x.contextDone()
 			return
 		}
 	}
 }
 
-// carryOut carries out one effect. It reports whether the request is over.
+// carryOut carries out one effect. It reports whether the request has ended.
 func (x *exchange) carryOut(effect wasabiridge.Effect) bool {
 	switch e := effect.(type) {
 	case wasabiridge.Dispatch:
-		return x.try(e)
+		return x.runAttempt(e)
 	case wasabiridge.Refuse:
-		x.giveUp(e)
+		x.fail(e)
 		return true
 	}
 	return false
 }
 
-// try runs an attempt and tells the decisions how it ended. It reports whether
-// the request is over.
-func (x *exchange) try(d wasabiridge.Dispatch) bool {
+// runAttempt runs an attempt and passes its result to the decider. It reports whether
+// the request has ended.
+func (x *exchange) runAttempt(d wasabiridge.Dispatch) bool {
 	x.attempts++
 	x.backend = d.Backend.ID
 	x.logPlaced(d)
 	ctx, cancel := context.WithCancelCause(x.ctx)
 	defer cancel(nil)
-	s := &sink{exchange: x, dispatch: d, cut: cancel}
+	s := &sink{exchange: x, dispatch: d, cancel: cancel}
 	if d.FirstByte > 0 {
-		s.silence = time.AfterFunc(d.FirstByte.Duration(), func() { cancel(errSilent) })
-		defer s.silence.Stop()
+		s.firstByteTimer = time.AfterFunc(d.FirstByte.Duration(), func() { cancel(errSilent) })
+		defer s.firstByteTimer.Stop()
 	}
-	before, began := x.disposition, x.relay.options.Clock.Now()
+	before, started := x.disposition, x.relay.options.Clock.Now()
 	end := wasabiridge.AttemptEnded{Request: d.Request, Attempt: d.Attempt, Backend: d.Backend.ID, Result: wasabiridge.AttemptNotRun}
 	if !x.request.Action.NonIdempotent || before == wasabiridge.NotRun {
 		end = x.relay.options.Runner.Run(ctx, x.attempt(d), s)
 	}
-	x.logFailed(end, began)
+	x.logFailed(end, started)
 	if end.Result == wasabiridge.AttemptNotRun {
 		x.disposition = before
 	}
-	whole := end.Result == wasabiridge.AttemptCompleted
-	if whole {
+	completed := end.Result == wasabiridge.AttemptCompleted
+	if completed {
 		x.disposition = wasabiridge.Ran
 	}
-	if whole && x.mayImprove(d) {
-		// Another server may still answer with success; this answer waits.
+	if completed && x.mayImprove(d) {
+		// Another server may still answer successfully. Keep this answer buffered.
 		end.Result, end.Failed = wasabiridge.AttemptBroken, true
-		whole = false
-	} else if !whole && !x.began {
-		// A part of an answer is none to hand on.
-		x.status, x.head, x.held = 0, nil, nil
+		completed = false
+	} else if !completed && !x.headSent {
+		// Discard the buffered part of an incomplete answer.
+		x.status, x.head, x.buffered = 0, nil, nil
 	}
 	end.Moved = x.takeMove(d, end)
 	x.relay.options.Loop.Post(end)
 	switch {
-	case whole:
+	case completed:
 		x.finish()
 		return true
 	case x.ctx.Err() != nil:
-		x.timeOver()
+		x.contextDone()
 		return true
 	}
 	return false
 }
 
-// mayImprove reports whether the answer is a failure of the server's own in
-// place of which another server may give a success.
+// mayImprove reports whether the buffered answer is a server error (status 500 or
+// above) and the rule allows another attempt, which may succeed.
 func (x *exchange) mayImprove(d wasabiridge.Dispatch) bool {
-	return !x.began && x.status >= http.StatusInternalServerError && x.request.Action.Retry && x.attempts < x.request.Action.Attempts && !d.Hedge
+	return !x.headSent && x.status >= http.StatusInternalServerError && x.request.Action.Retry && x.attempts < x.request.Action.Attempts && !d.Hedge
 }
 
-// attempt puts together what is sent.
+// attempt returns the attempt for a dispatch, as the runner takes it.
 func (x *exchange) attempt(d wasabiridge.Dispatch) wasabiridge.Attempt {
 	a := wasabiridge.Attempt{
 		ID: d.Attempt, Request: d.Request, Account: x.request.Account, Backend: d.Backend,
@@ -195,7 +199,7 @@
 		FetchFrom: d.FetchFrom, SaveTo: d.SaveTo, MemoryFrom: d.MemoryFrom, Until: x.until,
 	}
 	if x.account.ID != "" {
-		a.MaySend = x.proven
+		a.MaySend = x.keyInForce
 	}
 	if x.request.Model != "" {
 		root := x.request.Chain.Root
@@ -205,20 +209,20 @@
 	return a
 }
 
-// finish hands on what was held back. The answer is whole then.
+// finish writes the buffered rest of a complete answer to the caller.
 func (x *exchange) finish() {
-	if !x.began {
-		x.begin()
+	if !x.headSent {
+		x.sendHead()
 	}
-	if len(x.held) > 0 {
-		_, _ = x.w.Write(x.held)
+	if len(x.buffered) > 0 {
+		_, _ = x.w.Write(x.buffered)
 	}
 	x.log("Request answered.", OutcomeAnswered, "")
 }
 
-// begin writes the head of the answer to the caller.
-func (x *exchange) begin() {
-	x.began = true
+// sendHead writes the status and header of the answer to the caller.
+func (x *exchange) sendHead() {
+	x.headSent = true
 	h := x.w.Header()
 	for name, values := range x.head {
 		h[name] = values
@@ -226,47 +230,48 @@
 	x.w.WriteHeader(x.status)
 }
 
-// giveUp gives the caller its final negative answer.
-func (x *exchange) giveUp(e wasabiridge.Refuse) {
+// fail ends a request that the decider refused, with the answer that fits its state.
+func (x *exchange) fail(e wasabiridge.Refuse) {
 	switch {
-	case x.began:
-		x.cut(string(e.Reason))
+	case x.headSent:
+		x.abort(string(e.Reason))
 	case x.status > 0:
-		// A server's own failure is an answer, and a better one than ours.
+		// An error response of a backend server tells the caller more than a
+		// refusal of the router.
 		x.finish()
 	case x.disposition == wasabiridge.NotRun && e.Reason == wasabiridge.RefusedQuarantined:
-		// It would be refused again, so nothing invites it back.
+		// No Retry-After time: a repeat would be refused as well.
 		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalNotRun, Cause: string(e.Reason)})
 	case x.disposition == wasabiridge.NotRun && e.Reason == wasabiridge.RefusedQuota:
-		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalLimited, Cause: string(e.Reason), RetryAfter: x.comeBackApart(e.RetryAfter)})
+		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalLimited, Cause: string(e.Reason), RetryAfter: x.cappedRetryAfter(e.RetryAfter)})
 	case x.disposition == wasabiridge.NotRun:
-		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalNotRun, Cause: string(e.Reason), RetryAfter: x.comeBack(e.RetryAfter)})
+		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalNotRun, Cause: string(e.Reason), RetryAfter: x.retryAfter(e.RetryAfter)})
 	default:
 		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalBroken, Cause: string(e.Reason)})
 	}
 }
 
-// timeOver ends a request whose caller has left or whose time has passed.
-func (x *exchange) timeOver() {
+// contextDone ends a request whose caller disconnected or whose deadline was reached.
+func (x *exchange) contextDone() {
 	x.relay.options.Loop.Post(wasabiridge.CallerGone{Request: x.request.ID})
 	switch {
 	case x.r.Context().Err() != nil:
-		x.log("Caller left.", OutcomeGone, "")
-		// Nobody reads the connection any more.
+		x.log("Caller disconnected before the answer was complete.", OutcomeGone, "")
+		// The connection is closed, so no answer can be written.
 		panic(http.ErrAbortHandler)
-	case x.began:
-		x.cut("deadline")
+	case x.headSent:
+		x.abort("deadline")
 	case x.status > 0:
 		x.finish()
 	case x.disposition == wasabiridge.NotRun:
-		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalNotRun, Cause: "deadline", RetryAfter: x.comeBack(0)})
+		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalNotRun, Cause: "deadline", RetryAfter: x.retryAfter(0)})
 	default:
 		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalTimeout, Cause: "deadline"})
 	}
 }
 
-// cut breaks an answer off of which the caller has a part.
-func (x *exchange) cut(cause string) {
-	x.log("Answer cut.", OutcomeCut, cause)
+// abort cuts off an answer of which a part was already sent to the caller.
+func (x *exchange) abort(cause string) {
+	x.log("Answer cut off before its end.", OutcomeCut, cause)
 	panic(http.ErrAbortHandler)
 }
--- a/internal/wasabirelay/index.go
+++ b/internal/wasabirelay/index.go
@@ -10,8 +10,8 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabirule"
 )
 
-// hostOf returns the host that the caller asked for, without a port and in
-// lower case, in which configurations name hosts.
+// hostOf returns the host of the request without its port and in lower case, the form
+// in which rules name hosts.
 func hostOf(r *http.Request) string {
 	host := strings.ToLower(r.Host)
 	if name, _, err := net.SplitHostPort(host); err == nil {
@@ -20,9 +20,9 @@
 	return host
 }
 
-// ruleIndex finds rules by host, so that hundreds of rules of other hosts are
-// not looked at. It is built once for each configuration. The zero value is
-// safe for concurrent use.
+// ruleIndex finds rules by host, so that a request is not matched against hundreds of
+// rules for other hosts. The index is rebuilt when the configuration changes. The zero
+// value is ready to use. It is safe for concurrent use.
 type ruleIndex struct {
 	table atomic.Pointer[ruleTable]
 }
@@ -46,8 +46,8 @@
 	return wasabirule.Match(rules, wasabirule.View{Host: host, Path: path})
 }
 
-// newRuleTable keeps the order of the rules within each host. Rules without a
-// host stand in all lists.
+// newRuleTable groups the rules by host and keeps their order within each group. Rules
+// without a host are part of every group.
 func newRuleTable(cfg *wasabiridge.Config) *ruleTable {
 	t := &ruleTable{config: cfg, byHost: map[string]wasabiridge.Config{}}
 	for _, rule := range cfg.Rules {
--- a/internal/wasabirelay/log.go
+++ b/internal/wasabirelay/log.go
@@ -8,6 +8,8 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabiprefix"
 )
 
+// logPlaced logs the placement of an attempt. All segments of the prompt but the last
+// are taken as shared; the key of the last shared one is logged as part_key.
 func (x *exchange) logPlaced(d wasabiridge.Dispatch) {
 	shared, key := 0, uint64(0)
 	root := x.request.Chain.Root
@@ -38,8 +40,8 @@
 		Msg("Request placed.")
 }
 
-// logFailed tells how an attempt ended that brought no whole answer.
-func (x *exchange) logFailed(end wasabiridge.AttemptEnded, began wasabiridge.Millis) {
+// logFailed logs the result of an attempt that did not complete.
+func (x *exchange) logFailed(end wasabiridge.AttemptEnded, started wasabiridge.Millis) {
 	if end.Result == wasabiridge.AttemptCompleted {
 		return
 	}
@@ -56,10 +58,11 @@
 		Bool("other_weights", end.OtherWeights).
 		Bool("server_ended", end.ServerEnded).
 		Int("events", end.Delivered).
-		Int64("took_ms", int64(x.relay.options.Clock.Now()-began)).
+		Int64("took_ms", int64(x.relay.options.Clock.Now()-started)).
 		Msg("Attempt failed.")
 }
 
+// log counts and logs the end of a request.
 func (x *exchange) log(message, outcome, cause string) {
 	now := x.relay.options.Clock.Now()
 	x.relay.counts.add(outcome, cause, now-x.arrived)
--- a/internal/wasabirelay/move.go
+++ b/internal/wasabirelay/move.go
@@ -12,66 +12,69 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabilog"
 )
 
-// moveTimeout bounds one move of an answer. The callers of a stream wait
-// meanwhile; without the move they would be cut when the engine goes.
+// moveTimeout limits one move of an answer. The stream of the caller pauses during the
+// move; without it, the stream would be cut when the engine starts to load weights.
 const moveTimeout = wasabiridge.Second
 
-// movedEnd is how long the stream of an answer that was stopped may take to end.
-// The engine closes it at once; only its end can be lost on the way.
-const movedEnd = 300 * wasabiridge.Millis(1)
+// oldStreamTimeout limits the time from a move until the end of the old stream. The engine
+// closes the stream immediately, but the end may be lost in the network.
+const oldStreamTimeout = 300 * wasabiridge.Millis(1)
 
 const (
-	// movePause is the time between two tries to move an answer for which there was
-	// no place: those that run elsewhere end, and engines that were dark are back.
-	movePause = 150 * time.Millisecond
-	// movePasses is how often it is tried. An engine that waits for its answers
-	// longer than that waits for their end.
-	movePasses = 12
+	// movePassInterval is the delay before another pass over the answers that could not be
+	// moved. Meanwhile other answers end, and engines that did not respond return.
+	movePassInterval = 150 * time.Millisecond
+	// maxMovePasses is the maximum number of passes. Answers that are still not moved
+	// after the last one run to their end where they are.
+	maxMovePasses = 12
 )
 
-// Refuge chooses where an answer may go on that must leave an engine, and that could
-// not go to some others. It reports false when there is no such place.
-type Refuge func(r wasabiridge.Request, weights wasabiridge.WeightsVersion, not []wasabiridge.BackendServerID) (wasabiridge.BackendServer, bool)
+// Refuge selects the engine to which an answer is moved from an engine that is being
+// drained. Engines in excluded have refused an answer and must not be selected. It
+// reports false if no engine can take the answer.
+type Refuge func(r wasabiridge.Request, weights wasabiridge.WeightsVersion, excluded []wasabiridge.BackendServerID) (wasabiridge.BackendServer, bool)
 
-// running are the streams whose answers run, by attempt. It is safe for
-// concurrent use.
-type running struct {
+// activeRuns holds the resumable streams that are being answered, by attempt. It is
+// safe for concurrent use.
+type activeRuns struct {
 	mu       sync.Mutex
 	attempts map[wasabiridge.AttemptID]*run
 }
 
-// run is an attempt whose answer runs.
+// run is an attempt whose answer is being streamed.
 type run struct {
 	request  wasabiridge.Request
 	dispatch wasabiridge.Dispatch
-	// cut ends the attempt.
-	cut context.CancelCauseFunc
-	// moving is the move of the answer. Nil means that there is none.
-	moving *moving
+	// cancel ends the attempt.
+	cancel context.CancelCauseFunc
+	// move is the move of the answer, or nil if it is not being moved.
+	move *pendingMove
 }
 
-// moving is a move under way. What it brought may be read after done is closed.
-type moving struct {
+// pendingMove is a move in flight. Moved may be read after done is closed; its zero
+// value means that the move failed.
+type pendingMove struct {
 	done  chan struct{}
 	moved wasabiridge.Moved
 }
 
-func newRunning() *running { return &running{attempts: map[wasabiridge.AttemptID]*run{}} }
+func newActiveRuns() *activeRuns { return &activeRuns{attempts: map[wasabiridge.AttemptID]*run{}} }
 
-// add notes that an attempt's answer runs.
-func (l *running) add(r *run) {
+// add registers an attempt whose answer has started.
+func (l *activeRuns) add(r *run) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.attempts[r.dispatch.Attempt] = r
 }
 
-// at returns the answers that run at an engine, the first first.
-func (l *running) at(b wasabiridge.BackendServerID) []wasabiridge.AttemptID {
+// at returns the attempts that run at an engine and are not being moved, in the order
+// of their identifiers.
+func (l *activeRuns) at(b wasabiridge.BackendServerID) []wasabiridge.AttemptID {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []wasabiridge.AttemptID
 	for id, r := range l.attempts {
-		if r.dispatch.Backend.ID == b && r.moving == nil {
+		if r.dispatch.Backend.ID == b && r.move == nil {
 			out = append(out, id)
 		}
 	}
@@ -79,29 +82,29 @@
 	return out
 }
 
-// begin marks an answer as being moved. It returns nil when it has ended or is
-// being moved.
-func (l *running) begin(id wasabiridge.AttemptID) *run {
+// beginMove marks an answer as being moved. It returns nil if the answer has ended or
+// is already being moved.
+func (l *activeRuns) beginMove(id wasabiridge.AttemptID) *run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.attempts[id]
-	if r == nil || r.moving != nil {
+	if r == nil || r.move != nil {
 		return nil
 	}
-	r.moving = &moving{done: make(chan struct{})}
+	r.move = &pendingMove{done: make(chan struct{})}
 	return r
 }
 
-// stay notes that an answer was not moved.
-func (l *running) stay(r *run) {
+// cancelMove ends the move of an answer that stays at its engine.
+func (l *activeRuns) cancelMove(r *run) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	close(r.moving.done)
-	r.moving = nil
+	close(r.move.done)
+	r.move = nil
 }
 
-// end notes that an attempt has ended, and returns its move, or nil.
-func (l *running) end(id wasabiridge.AttemptID) *moving {
+// remove removes an attempt that has ended. It returns the move of its answer, or nil.
+func (l *activeRuns) remove(id wasabiridge.AttemptID) *pendingMove {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.attempts[id]
@@ -109,86 +112,88 @@
 	if r == nil {
 		return nil
 	}
-	return r.moving
+	return r.move
 }
 
-// MoveAway moves the answers that run at an engine to where refuge says, one after
-// the other: an engine's link carries one at a time. An answer that cannot be
-// moved runs on, and is tried again for a while.
+// MoveAway moves the answers that run at an engine to the engines that refuge selects,
+// one after the other, because the network link of an engine transfers one at a time. An
+// answer that cannot be moved keeps running, and the move is tried again up to
+// maxMovePasses times.
 //
-// The failure it guards against: the emptiest engine has gone dark. Each answer is
-// sent there in turn, each try takes 300 ms, and when the engines' link is free at
-// last the load still waits seconds for the longest answer.
+// An engine that did not take an answer is excluded for the rest of the pass. Otherwise,
+// if the engine with the most free capacity does not respond, every answer is offered to
+// it first, each offer takes 300 ms, and the load of the weights is delayed by seconds
+// until the longest answer has ended.
 func (l *Relay) MoveAway(ctx context.Context, b wasabiridge.BackendServerID, refuge Refuge) {
 	if l.options.Mover == nil {
 		return
 	}
 	left := l.running.at(b)
-	for range movePasses {
+	for range maxMovePasses {
 		if left = l.movePass(ctx, left, refuge); len(left) == 0 {
 			return
 		}
 		select {
-		case <-time.After(movePause):
+		case <-time.After(movePassInterval):
 		case <-ctx.Done():
 			return
 		}
 	}
-	l.counts.move("no place")
-	l.options.Log.Info().Str(wasabilog.BackendField, string(b)).Int("answers", len(left)).Msg("Answers stay.")
+	l.counts.addMove("no place")
+	l.options.Log.Info().Str(wasabilog.BackendField, string(b)).Int("answers", len(left)).Msg("Answers could not be moved and stay at their engine.")
 }
 
-// movePass tries to move some answers once, and returns those that run on where they
-// are. An engine that did not take one is not tried again in this pass: it is full or
-// dark.
+// movePass tries to move each of the answers, and returns those that stay at their
+// engine. An engine that did not take an answer is full or not responding, and is not
+// tried again in this pass.
 func (l *Relay) movePass(ctx context.Context, ids []wasabiridge.AttemptID, refuge Refuge) []wasabiridge.AttemptID {
 	var left []wasabiridge.AttemptID
-	var not []wasabiridge.BackendServerID
+	var excluded []wasabiridge.BackendServerID
 	for _, id := range ids {
 		for {
-			r := l.running.begin(id)
+			r := l.running.beginMove(id)
 			if r == nil {
-				break // It has ended, or is being moved.
+				break // The answer has ended or is already being moved.
 			}
-			to, ok := refuge(r.request, r.dispatch.Weights, not)
+			to, ok := refuge(r.request, r.dispatch.Weights, excluded)
 			if !ok {
-				l.running.stay(r)
+				l.running.cancelMove(r)
 				left = append(left, id)
 				break
 			}
 			if err := l.move(ctx, r, to); err == nil {
-				close(r.moving.done)
+				close(r.move.done)
 				break
 			}
-			l.running.stay(r)
-			not = append(not, to.ID)
+			l.running.cancelMove(r)
+			excluded = append(excluded, to.ID)
 		}
 	}
 	return left
 }
 
-// move moves one answer and notes what became of it. Its errors are those of
+// move moves one answer, and counts and logs the outcome. It returns the errors of
 // wasabiridge.RunMover.
 func (l *Relay) move(ctx context.Context, r *run, to wasabiridge.BackendServer) error {
-	began := l.options.Clock.Now()
+	started := l.options.Clock.Now()
 	timed, cancel := context.WithTimeout(ctx, moveTimeout.Duration())
 	defer cancel()
 	memory, err := l.options.Mover.MoveRun(timed, wasabiridge.RunMove{Request: r.request.ID, From: r.dispatch.Backend, To: to})
 	outcome := moveOutcome(err)
 	if err == nil {
-		r.moving.moved = wasabiridge.Moved{To: to, Memory: memory}
-		time.AfterFunc(movedEnd.Duration(), func() { r.cut(errSilent) })
+		r.move.moved = wasabiridge.Moved{To: to, Memory: memory}
+		time.AfterFunc(oldStreamTimeout.Duration(), func() { r.cancel(errSilent) })
 	}
-	l.counts.move(outcome)
+	l.counts.addMove(outcome)
 	l.options.Log.Info().
 		Str(wasabilog.RequestField, string(r.request.ID)).
 		Uint64("attempt", uint64(r.dispatch.Attempt)).
 		Str(wasabilog.BackendField, string(r.dispatch.Backend.ID)).
 		Str("to", string(to.ID)).
 		Uint64("weights", uint64(r.dispatch.Weights)).
-		Int64("took_ms", int64(l.options.Clock.Now()-began)).
+		Int64("took_ms", int64(l.options.Clock.Now()-started)).
 		Str("outcome", outcome).
-		Msg("Answer moved.")
+		Msg("Move of an answer ended.")
 	return err
 }
 
@@ -206,10 +211,11 @@
 	return "unknown"
 }
 
-// takeMove takes how the move of an attempt that has ended came out. A broken
-// answer goes on where its memory is; otherwise the memory is given back.
+// takeMove waits for the move of an attempt that has ended, if there is one. It returns
+// where a broken answer continues. If the answer is not broken or the request has ended,
+// the moved KV cache is released.
 func (x *exchange) takeMove(d wasabiridge.Dispatch, end wasabiridge.AttemptEnded) wasabiridge.Moved {
-	m := x.relay.running.end(d.Attempt)
+	m := x.relay.running.remove(d.Attempt)
 	if m == nil {
 		return wasabiridge.Moved{}
 	}
@@ -228,12 +234,12 @@
 	return m.moved
 }
 
-// dropRun gives memory back that nobody will use. Failing that, the engines do so
-// after some seconds.
+// dropRun releases a moved KV cache that will not be used. If the call fails, the engines
+// release it by themselves after some seconds.
 func (l *Relay) dropRun(from wasabiridge.BackendServer, memory string) {
 	ctx, cancel := context.WithTimeout(context.Background(), moveTimeout.Duration())
 	defer cancel()
 	if err := l.options.Mover.DropRun(ctx, from, memory); err != nil {
-		l.options.Log.Debug().Err(err).Str(wasabilog.BackendField, string(from.ID)).Msg("Moved memory not given back.")
+		l.options.Log.Debug().Err(err).Str(wasabilog.BackendField, string(from.ID)).Msg("Release of a moved KV cache failed.")
 	}
 }
--- a/internal/wasabirelay/move_test.go
+++ b/internal/wasabirelay/move_test.go
@@ -18,7 +18,7 @@
 type mover struct {
 	mu  sync.Mutex
 	err error
-	// refuses are the engines to which nothing can be moved.
+	// refuses lists the engines that do not accept a move.
 	refuses []wasabiridge.BackendServerID
 	stops   func()
 	moves   []wasabiridge.RunMove
@@ -54,8 +54,9 @@
 	return slices.Clone(m.dropped)
 }
 
-// streamsUntil sends events, says that it has, and ends when it is told to or cut.
-func streamsUntil(sent chan<- struct{}, end <-chan wasabiridge.AttemptResult, events ...string) try {
+// streamsUntil returns a scripted attempt that streams events, signals sent, and runs until
+// it receives its result from end or is cancelled.
+func streamsUntil(sent chan<- struct{}, end <-chan wasabiridge.AttemptResult, events ...string) scriptedAttempt {
 	first := streams(wasabiridge.AttemptBroken, events...)
 	return func(ctx context.Context, a wasabiridge.Attempt, s wasabiridge.AttemptSink) wasabiridge.AttemptResult {
 		first(ctx, a, s)
@@ -64,39 +65,40 @@
 		case result := <-end:
 			return result
 		case <-ctx.Done():
-			// As an attempt ends whose engine fell silent.
+			// The result of an attempt whose engine stopped responding.
 			return wasabiridge.AttemptBroken
 		}
 	}
 }
 
-var _ = Describe("An answer that must leave its engine", func() {
+var _ = Describe("An answer at an engine that is being drained", func() {
 	resumable := wasabiridge.Action{Resume: true, Retry: true, Stream: true, Attempts: 2}
 	other := wasabiridge.BackendServer{ID: "s9", URL: "http://i"}
 
-	// start asks for a stream that has sent two events, and moves it away.
-	start := func(m *mover, last try) (g *rig, done chan answer, end chan wasabiridge.AttemptResult) {
+	// startStream sends a request and returns when its stream has delivered two events. The
+	// relay moves answers with m, and a further attempt runs last.
+	startStream := func(m *mover, last scriptedAttempt) (g *rig, done chan answer, end chan wasabiridge.AttemptResult) {
 		sent := make(chan struct{}, 1)
 		end = make(chan wasabiridge.AttemptResult, 1)
 		g = newRig(resumable, streamsUntil(sent, end, "1", "2"), last)
 		g.move(m)
 		done = make(chan answer, 1)
-		go func() { done <- g.ask("/x", "k") }()
+		go func() { done <- g.send("/x", "k") }()
 		Eventually(sent).Should(Receive())
 		return g, done, end
 	}
 	moveAway := func(g *rig, found bool) {
-		g.relay.MoveAway(context.Background(), g.first().Backend.ID, func(_ wasabiridge.Request, _ wasabiridge.WeightsVersion, not []wasabiridge.BackendServerID) (wasabiridge.BackendServer, bool) {
-			return other, found && len(not) == 0
+		g.relay.MoveAway(context.Background(), g.first().Backend.ID, func(_ wasabiridge.Request, _ wasabiridge.WeightsVersion, excluded []wasabiridge.BackendServerID) (wasabiridge.BackendServer, bool) {
+			return other, found && len(excluded) == 0
 		})
 	}
 
-	// Story: an engine is about to load weights, and a stream runs there for some
-	// seconds more. It is stopped, and goes on at another engine from its memory; its
-	// caller sees one stream.
-	It("goes on at another one from its memory", func() {
+	// An engine is about to load weights while a stream would run there for some more
+	// seconds. The stream must be stopped and continued at another engine with its KV
+	// cache, and its caller must see one uninterrupted stream.
+	It("continues at another engine with its KV cache", func() {
 		m := &mover{}
-		g, done, ends := start(m, streams(wasabiridge.AttemptCompleted, "3", "4"))
+		g, done, ends := startStream(m, streams(wasabiridge.AttemptCompleted, "3", "4"))
 		m.stops = func() { ends <- wasabiridge.AttemptBroken }
 		moveAway(g, true)
 		a := <-done
@@ -110,19 +112,19 @@
 		Expect(m.drops()).To(BeEmpty())
 	})
 
-	// Story: a third of the engines crash while weights roll. The one with the most
-	// room is dark. Answers were sent there one by one and ran on where they were, and
-	// the load waited three seconds for their end.
-	It("goes to the next one when the first does not take it", func() {
+	// A third of the engines crash during an upgrade, and the engine with the most free
+	// capacity does not respond. If answers are only offered to that engine, they stay
+	// where they are, and the load of the weights is delayed by three seconds.
+	It("is moved to the next engine if the first does not take it", func() {
 		m := &mover{refuses: []wasabiridge.BackendServerID{"dark"}}
-		g, done, ends := start(m, streams(wasabiridge.AttemptCompleted, "3"))
+		g, done, ends := startStream(m, streams(wasabiridge.AttemptCompleted, "3"))
 		m.stops = func() {
 			if len(m.moves) == 2 {
 				ends <- wasabiridge.AttemptBroken
 			}
 		}
-		g.relay.MoveAway(context.Background(), g.first().Backend.ID, func(_ wasabiridge.Request, _ wasabiridge.WeightsVersion, not []wasabiridge.BackendServerID) (wasabiridge.BackendServer, bool) {
-			if len(not) == 0 {
+		g.relay.MoveAway(context.Background(), g.first().Backend.ID, func(_ wasabiridge.Request, _ wasabiridge.WeightsVersion, excluded []wasabiridge.BackendServerID) (wasabiridge.BackendServer, bool) {
+			if len(excluded) == 0 {
 				return wasabiridge.BackendServer{ID: "dark"}, true
 			}
 			return other, true
@@ -132,11 +134,11 @@
 		Expect(m.moves).To(HaveLen(2))
 	})
 
-	// Story: no engine has room at the moment at which an engine must be emptied. An
-	// answer ends elsewhere a moment later, and there is a place.
-	It("is tried again when there was no place", func() {
+	// No engine has free capacity when the drain starts, but an answer at another engine
+	// ends a moment later.
+	It("is moved in a later pass if no engine had free capacity", func() {
 		m := &mover{}
-		g, done, ends := start(m, streams(wasabiridge.AttemptCompleted, "3"))
+		g, done, ends := startStream(m, streams(wasabiridge.AttemptCompleted, "3"))
 		m.stops = func() { ends <- wasabiridge.AttemptBroken }
 		asked := 0
 		g.relay.MoveAway(context.Background(), g.first().Backend.ID, func(wasabiridge.Request, wasabiridge.WeightsVersion, []wasabiridge.BackendServerID) (wasabiridge.BackendServer, bool) {
@@ -147,18 +149,18 @@
 		Expect(asked).To(Equal(3))
 	})
 
-	// Story: the engine has stopped the answer, and the end of its stream is lost on
-	// the way. Its caller waited until its time was over.
-	It("goes on also when the end of its stream is lost", func() {
+	// The engine has stopped the answer, but the end of the stream is lost in the
+	// network. Without a time-out the caller would wait until its deadline.
+	It("continues even if the end of its old stream is lost", func() {
 		m := &mover{}
-		g, done, _ := start(m, streams(wasabiridge.AttemptCompleted, "3"))
+		g, done, _ := startStream(m, streams(wasabiridge.AttemptCompleted, "3"))
 		moveAway(g, true)
 		Expect((<-done).body).To(Equal("id:1 \n\nid:2 \n\nid:3 \n\n"))
 	})
 
-	It("gives the memory back that it does not need", func() {
+	It("releases the moved KV cache if the answer has completed", func() {
 		m := &mover{}
-		g, done, ends := start(m, streams(wasabiridge.AttemptCompleted, "never"))
+		g, done, ends := startStream(m, streams(wasabiridge.AttemptCompleted, "never"))
 		m.stops = func() { ends <- wasabiridge.AttemptCompleted }
 		moveAway(g, true)
 		Expect((<-done).body).To(Equal("id:1 \n\nid:2 \n\n"))
@@ -166,26 +168,26 @@
 		Expect(g.attempts()).To(Equal(1))
 	})
 
-	// What cannot be moved runs on; when its engine breaks it off all the same, it is
-	// resumed as any stream is, without the memory.
+	// An answer that cannot be moved keeps running. If its engine breaks it off
+	// nevertheless, it is resumed like any stream, without the KV cache.
 	failures := map[string]struct {
 		err   error
 		found bool
 		breaks,
 		resumed bool
 	}{
-		"runs on when there is no place":               {},
-		"runs on when the engine does not know it":     {err: wasabiridge.ErrNotFound.New("x"), found: true},
-		"runs on when it is being moved":               {err: wasabiridge.ErrConflict.New("x"), found: true},
-		"runs on when the engine refuses":              {err: wasabiridge.ErrUnavailable.New("x"), found: true},
-		"is resumed when the engine refuses and stops": {err: wasabiridge.ErrUnavailable.New("x"), found: true, breaks: true, resumed: true},
-		"is resumed when the move is not answered":     {err: wasabiridge.ErrOutcomeUnknown.New("x"), found: true, breaks: true, resumed: true},
+		"keeps running if no engine has capacity":       {},
+		"keeps running if the engine does not know it":  {err: wasabiridge.ErrNotFound.New("x"), found: true},
+		"keeps running if it is already being moved":    {err: wasabiridge.ErrConflict.New("x"), found: true},
+		"keeps running if the engine refuses":           {err: wasabiridge.ErrUnavailable.New("x"), found: true},
+		"is resumed if the engine refuses but stops it": {err: wasabiridge.ErrUnavailable.New("x"), found: true, breaks: true, resumed: true},
+		"is resumed if the move gets no response":       {err: wasabiridge.ErrOutcomeUnknown.New("x"), found: true, breaks: true, resumed: true},
 	}
 	for _, name := range slices.Sorted(maps.Keys(failures)) {
 		It(name, func() {
 			c := failures[name]
 			m := &mover{err: c.err}
-			g, done, ends := start(m, streams(wasabiridge.AttemptCompleted, "3"))
+			g, done, ends := startStream(m, streams(wasabiridge.AttemptCompleted, "3"))
 			if c.breaks {
 				m.stops = func() { ends <- wasabiridge.AttemptBroken }
 			}
@@ -206,13 +208,13 @@
 		})
 	}
 
-	It("is left alone when its rule does not let it go on elsewhere", func() {
+	It("is not moved if its rule does not allow resumption", func() {
 		sent, end := make(chan struct{}, 1), make(chan wasabiridge.AttemptResult, 1)
 		g := newRig(wasabiridge.Action{NonIdempotent: true, Stream: true}, streamsUntil(sent, end, "1"))
 		m := &mover{}
 		g.move(m)
 		done := make(chan answer, 1)
-		go func() { done <- g.ask("/x", "k") }()
+		go func() { done <- g.send("/x", "k") }()
 		Eventually(sent).Should(Receive())
 		moveAway(g, true)
 		Expect(m.moves).To(BeEmpty())
--- a/internal/wasabirelay/refusal.go
+++ b/internal/wasabirelay/refusal.go
@@ -7,44 +7,48 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabilog"
 )
 
-// notRun is a refusal with a time to come back that lies within what the
-// caller has left and differs from caller to caller, so that those that are
-// refused together do not come back together.
+// notRun returns a refusal of a request that has not run. Its Retry-After time lies
+// within the caller's remaining time and is randomized, so that callers that are refused
+// at the same time do not retry at the same time.
 func (c *call) notRun(cause string) *wasabiridge.Refusal {
-	return &wasabiridge.Refusal{Kind: wasabiridge.RefusalNotRun, Cause: cause, RetryAfter: c.comeBack(0)}
+	return &wasabiridge.Refusal{Kind: wasabiridge.RefusalNotRun, Cause: cause, RetryAfter: c.retryAfter(0)}
 }
 
-// awaits is a refusal until something is known that has not been since a time. What
-// has lasted long will last long: the caller comes back after as much time again, or
-// after the longest that it waits.
+// notRunSince returns a refusal of a request that has not run, because some information
+// has been missing since the given time. The Retry-After time is at least as long as the
+// outage has lasted so far, up to the longest time that the caller waits, because an
+// outage that has lasted long is expected to last as long again.
 //
-// The failure it guards against: the platform is silent for seconds after a restart
-// of all instances. Callers come back within moments, are refused once more, and do
-// not ask a third time.
-func (c *call) awaits(cause string, since wasabiridge.Millis) *wasabiridge.Refusal {
+// Without this, callers would retry within moments while the platform does not respond
+// for seconds after a restart of all instances. They would be refused a second time and
+// not retry a third time.
+func (c *call) notRunSince(cause string, since wasabiridge.Millis) *wasabiridge.Refusal {
 	lasted := max(0, c.relay.options.Clock.Now()-since)
-	return &wasabiridge.Refusal{Kind: wasabiridge.RefusalNotRun, Cause: cause, RetryAfter: c.comeBack(lasted)}
+	return &wasabiridge.Refusal{Kind: wasabiridge.RefusalNotRun, Cause: cause, RetryAfter: c.retryAfter(lasted)}
 }
 
-// comeBack spreads the return over the second half of the time that the caller
-// would wait, or from the advised time on.
-func (c *call) comeBack(advice wasabiridge.Millis) wasabiridge.Millis {
+// retryAfter returns a random Retry-After time. It is at least minRetryAfter and at least
+// the advised time, but never more than maxRetryShare of the caller's remaining time. The
+// random part spans up to a quarter of that maximum, or up to the advised time if that is
+// longer. If no time remains, retryAfter returns zero.
+func (c *call) retryAfter(advice wasabiridge.Millis) wasabiridge.Millis {
 	left := c.until - c.relay.options.Clock.Now()
-	most := wasabiridge.Millis(returnShare * float64(left))
-	least := min(max(returnLeast, advice), most)
-	if most <= 0 {
+	longest := wasabiridge.Millis(maxRetryShare * float64(left))
+	shortest := min(max(minRetryAfter, advice), longest)
+	if longest <= 0 {
 		return 0
 	}
-	spread := min(most-least, max(advice, most/4))
-	return least + wasabiridge.Millis(rand.Int64N(int64(spread)+1))
+	spread := min(longest-shortest, max(advice, longest/4))
+	return shortest + wasabiridge.Millis(rand.Int64N(int64(spread)+1))
 }
 
-// comeBackApart is comeBack for an advice that may be longer than the caller waits. Those
-// for whom it is come back apart from each other too.
-func (c *call) comeBackApart(advice wasabiridge.Millis) wasabiridge.Millis {
+// cappedRetryAfter is like retryAfter, but for an advised time that may be longer than
+// the caller waits. It caps the advised time at cappedAdviceShare of the maximum, so that
+// the retries of these callers are spread as well.
+func (c *call) cappedRetryAfter(advice wasabiridge.Millis) wasabiridge.Millis {
 	left := c.until - c.relay.options.Clock.Now()
-	most := wasabiridge.Millis(apartShare * returnShare * float64(left))
-	return c.comeBack(min(advice, most))
+	longest := wasabiridge.Millis(cappedAdviceShare * maxRetryShare * float64(left))
+	return c.retryAfter(min(advice, longest))
 }
 
 func (c *call) refuse(f wasabiridge.Refusal) {
@@ -54,10 +58,10 @@
 	}
 	c.relay.counts.add(outcome, f.Cause, c.relay.options.Clock.Now()-c.arrived)
 	c.relay.options.Log.Info().
-		Str(wasabilog.RequestField, string(c.asked.ID)).
+		Str(wasabilog.RequestField, string(c.parsed.ID)).
 		Str("account", string(c.account.ID)).
 		Str("rule", string(c.rule.ID)).
-		Stringer("fingerprint", c.named).
+		Stringer("fingerprint", c.fingerprint).
 		Str("kind", string(f.Kind)).
 		Str("cause", f.Cause).
 		Int64("retry_after_ms", int64(f.RetryAfter)).
--- a/internal/wasabirelay/relay.go
+++ b/internal/wasabirelay/relay.go
@@ -1,30 +1,31 @@
-// Package wasabirelay is the side of the router that callers see whose
-// requests pass through unread: an HTTP handler that finds the rule of a
-// request by host and path, and hands body and answer on byte by byte.
+// Package wasabirelay implements the HTTP handler for callers whose requests are
+// forwarded without interpreting them. It finds the rule of a request by host and
+// path, and relays the bodies of the request and the answer unchanged.
 //
-// A request passes a chain of filters: read, configuration, rule, account,
-// freshness of keys, body, decision, relay. Each either answers the caller or
-// hands on. The attempts of a request run one after the other in the goroutine
-// of the request.
+// A request passes a chain of filters, which read its header and check the
+// configuration, size limits, rule, account and freshness of the key, and finally read
+// the body. Each filter either refuses the request or passes it on. Then the request is
+// submitted to the decider. Its attempts run one after the other in the goroutine of
+// the request.
 //
-// # Honest refusals
+// # Refusals of requests that have not run
 //
-// A refusal of the kind wasabiridge.RefusalNotRun promises that the request
-// has not run and never will. It is given only while no byte of the request
-// was handed to a connection, or after the backend servers that got it said
-// themselves that they did not run it.
+// A refusal of the kind wasabiridge.RefusalNotRun guarantees that the request has
+// not run and never will. It is sent only if no byte of the request was written to a
+// connection, or if all backend servers that received the request reported that they
+// did not run it.
 //
-// # Keys that were taken away
+// # Revoked keys
 //
-// A request with a key is let through only while it is proven that the keys
-// known here were in force a short time ago. This is asked on arrival and once
-// more right before the first byte leaves, so that an instance that stood
-// still in between sends nothing.
+// A request with a key is accepted only if the configuration with the account's keys
+// was confirmed to be in force a short time ago. This is checked on arrival and again
+// right before the first byte is sent, so that an instance that was paused in between
+// sends nothing for a key that may have been revoked.
 //
 // # Usage
 //
 //	relay := wasabirelay.New(wasabirelay.Options{
-//		Clock: clock, Loop: loop, Runner: runner, Protocol: protocol, Catalog: catalog.View,
+//		Clock: clock, Loop: loop, Runner: runner, Protocol: protocol, View: view, KeyLife: keyLife, DenyLife: denyLife,
 //	})
 //	server := &http.Server{Handler: relay}
 package wasabirelay
@@ -42,37 +43,37 @@
 )
 
 const (
-	// returnShare is the part of the caller's remaining time after which it is
-	// asked to come back at the latest. Callers do not wait longer than a
-	// third.
-	returnShare = 0.3
-	// apartShare is the part of that time by which those come back at the earliest who
-	// would have to wait longer.
-	apartShare = 0.6
-	// returnLeast is the shortest advice: what is refused now is refused again
-	// at once.
-	returnLeast = 40 * wasabiridge.Millis(1)
-	// defaultPatience is how long callers wait that do not say.
-	defaultPatience = 30 * wasabiridge.Second
-	// defaultBodyBytes bounds a body when the configuration does not.
+	// maxRetryShare is the longest Retry-After time, as a share of the caller's
+	// remaining time. Callers wait for at most a third of that time.
+	maxRetryShare = 0.3
+	// cappedAdviceShare caps the advised Retry-After time, as a share of the longest one, for
+	// callers that would have to wait for longer than that.
+	cappedAdviceShare = 0.6
+	// minRetryAfter is the shortest Retry-After time. An immediate retry would only be
+	// refused again.
+	minRetryAfter = 40 * wasabiridge.Millis(1)
+	// defaultTimeLimit is the time limit of requests that do not state one.
+	defaultTimeLimit = 30 * wasabiridge.Second
+	// defaultBodyBytes is the body size limit if the configuration sets none.
 	defaultBodyBytes = 8 << 20
-	// defaultHeaderBytes bounds a header when the configuration does not.
+	// defaultHeaderBytes is the header size limit if the configuration sets none.
 	defaultHeaderBytes = 32 << 10
 )
 
-// View is what the relay needs to know of the catalog.
+// View is a snapshot of the parts of the catalog that the relay uses.
 type View struct {
-	// Config is the configuration in force with its backend servers. Its
-	// version is zero when none is known.
+	// Config is the configuration in force with its backend servers. It must not
+	// be nil. Its version is zero if no configuration has been received yet.
 	Config *wasabiridge.Config
-	// Proven is when it was last true, by the clock of the relay.
+	// Proven is the time at which Config was last confirmed to be in force, by the
+	// clock of the relay.
 	Proven wasabiridge.Millis
-	// Sharing names the accounts that share cached parts.
+	// Sharing identifies the set of accounts that share cached prefix segments.
 	Sharing string
 }
 
-// Options are the parts of a Relay. All but Log, Leaving and the bounds are
-// needed.
+// Options configures a Relay. Clock, Loop, Runner, Protocol, View, KeyLife and DenyLife
+// are required.
 type Options struct {
 	Instance wasabiridge.InstanceID
 	Clock    wasabiridge.Clock
@@ -80,20 +81,21 @@
 	Loop     *wasabiloop.Loop
 	Runner   wasabiridge.AttemptRunner
 	Protocol wasabiridge.CallerProtocol
-	// View returns what is known. It is safe for concurrent use.
+	// View returns the current snapshot. It must be safe for concurrent use.
 	View func() View
-	// KeyLife returns how old the proof of a key may be. It is safe for
-	// concurrent use, like DenyLife.
+	// KeyLife returns the maximum age of View.Proven for requests with a key. It
+	// must be safe for concurrent use, like DenyLife.
 	KeyLife func() wasabiridge.Millis
-	// DenyLife returns how old the configuration may be for a caller to hear
-	// that its route or its key does not exist. Behind an older one stands the
-	// possibility that it was added since.
+	// DenyLife returns the maximum age of View.Proven at which a request is
+	// rejected because its route or key does not exist. With an older
+	// configuration, the route or key may have been added since, so the request
+	// is refused as not run instead and may be retried.
 	DenyLife func() wasabiridge.Millis
-	// Mover moves answers between engines. Nil means that none are moved.
+	// Mover moves running answers between engines. Nil disables moves.
 	Mover wasabiridge.RunMover
-	// Names makes the fingerprints of requests. The zero value has an empty key.
+	// Names computes the fingerprints of requests. The zero value uses an empty key.
 	Names wasabifingerprint.Namer
-	// Leaving reports whether the instance is about to go. Nil means never.
+	// Leaving reports whether the instance is shutting down. Nil means never.
 	Leaving func() bool
 }
 
@@ -104,20 +106,20 @@
 	keys    wasabikey.Index
 	open    atomic.Int64
 	counts  *Counts
-	running *running
-	// started is when the relay was made.
+	running *activeRuns
+	// started is the time at which the relay was created.
 	started wasabiridge.Millis
 }
 
-// New returns a relay.
+// New returns a Relay.
 func New(o Options) *Relay {
-	return &Relay{options: o, counts: newCounts(), running: newRunning(), started: o.Clock.Now()}
+	return &Relay{options: o, counts: newCounts(), running: newActiveRuns(), started: o.Clock.Now()}
 }
 
-// Open returns how many requests are being served.
+// Open returns the number of requests that are being served.
 func (l *Relay) Open() int { return int(l.open.Load()) }
 
-// Counts returns the counters.
+// Counts returns the counters of request outcomes.
 func (l *Relay) Counts() *Counts { return l.counts }
 
 // ServeHTTP implements http.Handler.
@@ -125,8 +127,8 @@
 	l.open.Add(1)
 	defer l.open.Add(-1)
 	if l.options.Leaving != nil && l.options.Leaving() {
-		// Idle connections must not be closed under a request that is on its
-		// way, so the caller is asked to close them.
+		// The server cannot close an idle connection safely, because the caller
+		// may be sending a request on it. Have the caller close it instead.
 		w.Header().Set("Connection", "close")
 	}
 	c := &call{relay: l, w: w, r: r, arrived: l.options.Clock.Now(), view: l.options.View()}
@@ -137,26 +139,28 @@
 	newExchange(c).run()
 }
 
-// call is what the filters know of one request. One goroutine owns it.
+// call is the state of one request in the filters. It is owned by the goroutine of the
+// request.
 type call struct {
 	relay   *Relay
 	w       http.ResponseWriter
 	r       *http.Request
 	arrived wasabiridge.Millis
 	view    View
-	asked   wasabiridge.Asked
+	parsed  wasabiridge.Asked
 	rule    wasabiridge.Rule
 	account wasabiridge.ClientAccount
 	body    []byte
-	// named is the fingerprint. Zero means that the request was refused before it was read.
-	named wasabiridge.Fingerprint
-	// until is when the caller's or the rule's time is over.
+	// fingerprint identifies the content of the request. It is zero if the request was
+	// refused by a filter.
+	fingerprint wasabiridge.Fingerprint
+	// until is the deadline: the earlier of the caller's and the rule's.
 	until wasabiridge.Millis
 }
 
-// filters are asked in order. The first refusal ends the request.
+// filters are called in order. The first refusal ends the request.
 var filters = []func(*call) *wasabiridge.Refusal{
-	(*call).read, (*call).checkConfig, (*call).checkSize, (*call).match, (*call).authenticate, (*call).checkProof, (*call).readBody,
+	(*call).read, (*call).checkConfig, (*call).checkSize, (*call).match, (*call).authenticate, (*call).checkKeyFreshness, (*call).readBody,
 }
 
 func (c *call) prepare() *wasabiridge.Refusal {
@@ -170,24 +174,24 @@
 
 func (c *call) read() *wasabiridge.Refusal {
 	var err error
-	if c.asked, err = c.relay.options.Protocol.Read(c.r); err != nil {
+	if c.parsed, err = c.relay.options.Protocol.Read(c.r); err != nil {
 		return &wasabiridge.Refusal{Kind: wasabiridge.RefusalInvalid, Cause: "unreadable request"}
 	}
-	if c.asked.Patience == 0 {
-		c.asked.Patience = defaultPatience
+	if c.parsed.Patience == 0 {
+		c.parsed.Patience = defaultTimeLimit
 	}
-	c.until = c.arrived + c.asked.Patience
+	c.until = c.arrived + c.parsed.Patience
 	return nil
 }
 
 func (c *call) checkConfig() *wasabiridge.Refusal {
 	if c.view.Config.Version == 0 {
-		return c.awaits("no configuration known yet", c.relay.started)
+		return c.notRunSince("no configuration known yet", c.relay.started)
 	}
 	return nil
 }
 
-// checkSize turns down what the operators do not let callers send.
+// checkSize refuses requests whose header or declared body exceeds the size limits.
 func (c *call) checkSize() *wasabiridge.Refusal {
 	limits := c.view.Config.CallerLimits
 	if headerBytes(c.r) > orDefault(limits.HeaderBytes, defaultHeaderBytes) {
@@ -208,7 +212,7 @@
 	return defaultBodyBytes
 }
 
-// headerBytes returns the size of a request's line and header.
+// headerBytes returns the approximate size of the request line and header.
 func headerBytes(r *http.Request) int {
 	size := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
@@ -242,17 +246,17 @@
 		return nil
 	}
 	var ok bool
-	if c.asked.Key == "" {
+	if c.parsed.Key == "" {
 		return c.deny(wasabiridge.RefusalNoKey, "no key given")
 	}
-	if c.account, ok = c.relay.keys.Find(c.view.Config, c.asked.Key); !ok {
+	if c.account, ok = c.relay.keys.Find(c.view.Config, c.parsed.Key); !ok {
 		return c.deny(wasabiridge.RefusalNoKey, "key not known")
 	}
 	return nil
 }
 
-// deny turns a request down that the configuration does not allow, if the
-// configuration is new enough to say so.
+// deny rejects a request whose route or key is not in the configuration. If the
+// configuration is older than DenyLife, the request is refused as not run instead.
 func (c *call) deny(kind wasabiridge.RefusalKind, cause string) *wasabiridge.Refusal {
 	if c.arrived-c.view.Proven > c.relay.options.DenyLife() {
 		return c.notRun(cause + ", by a configuration that may be old")
@@ -260,17 +264,17 @@
 	return &wasabiridge.Refusal{Kind: kind, Cause: cause}
 }
 
-// checkProof refuses requests whose keys may have been taken away meanwhile.
-func (c *call) checkProof() *wasabiridge.Refusal {
-	if c.account.ID != "" && !c.proven() {
-		return c.awaits("key not proven lately", c.view.Proven+c.relay.options.KeyLife())
+// checkKeyFreshness refuses requests whose key may have been revoked meanwhile.
+func (c *call) checkKeyFreshness() *wasabiridge.Refusal {
+	if c.account.ID != "" && !c.keyInForce() {
+		return c.notRunSince("key not proven lately", c.view.Proven+c.relay.options.KeyLife())
 	}
 	return nil
 }
 
-// proven reports whether the account's key was in force a short time ago. It
-// looks at the newest proof, not at that of the request's arrival.
-func (c *call) proven() bool {
+// keyInForce reports whether the account's key was confirmed to be in force within the
+// last KeyLife. It uses the current snapshot, not that of the request's arrival.
+func (c *call) keyInForce() bool {
 	view := c.relay.options.View()
 	if c.relay.options.Clock.Now()-view.Proven > c.relay.options.KeyLife() {
 		return false
@@ -278,6 +282,6 @@
 	if view.Config == c.view.Config {
 		return true
 	}
-	account, ok := c.relay.keys.Find(view.Config, c.asked.Key)
+	account, ok := c.relay.keys.Find(view.Config, c.parsed.Key)
 	return ok && account.ID == c.account.ID
 }
--- a/internal/wasabirelay/relay_test.go
+++ b/internal/wasabirelay/relay_test.go
@@ -29,13 +29,13 @@
 // hash is the SHA-256 hash of the key "k".
 const hash = "8254c329a92850f6d539dd376f4816ee2764517da5e0235514af433164480d7a"
 
-// try is what a scripted attempt does.
-type try func(ctx context.Context, a wasabiridge.Attempt, sink wasabiridge.AttemptSink) wasabiridge.AttemptResult
+// scriptedAttempt plays the part of the backend server in one attempt.
+type scriptedAttempt func(ctx context.Context, a wasabiridge.Attempt, sink wasabiridge.AttemptSink) wasabiridge.AttemptResult
 
-// runner carries out scripted attempts in order.
+// runner runs scripted attempts in order, and repeats the last one.
 type runner struct {
 	mu       sync.Mutex
-	script   []try
+	script   []scriptedAttempt
 	attempts []wasabiridge.Attempt
 }
 
@@ -62,7 +62,7 @@
 	return s.AttemptSink.Chunk(n, data)
 }
 
-// protocol reads plain headers.
+// protocol is a caller protocol that uses plain headers.
 type protocol struct{}
 
 func (protocol) Read(r *http.Request) (wasabiridge.Asked, error) {
@@ -83,7 +83,7 @@
 	return ""
 }
 
-// rig is a relay with scripted backend servers.
+// rig is a test setup: a relay with scripted backend servers.
 type rig struct {
 	runner *runner
 	server *httptest.Server
@@ -92,24 +92,24 @@
 	clock  *wasabiclock.Virtual
 	relay  *wasabirelay.Relay
 	mover  moverOf
-	judge  *verdict
+	judge  *fixedVerdict
 }
 
-// verdict judges all requests alike.
-type verdict struct{ standing wasabiridge.Standing }
+// fixedVerdict is a quarantine that reports the same standing for every request.
+type fixedVerdict struct{ standing wasabiridge.Standing }
 
-func (v *verdict) Judge(wasabiridge.Millis, wasabiridge.Request) wasabiridge.Standing {
+func (v *fixedVerdict) Judge(wasabiridge.Millis, wasabiridge.Request) wasabiridge.Standing {
 	return v.standing
 }
 
-func (*verdict) Sent(wasabiridge.Millis, wasabiridge.Request, wasabiridge.AttemptID, wasabiridge.BackendServer) {
+func (*fixedVerdict) Sent(wasabiridge.Millis, wasabiridge.Request, wasabiridge.AttemptID, wasabiridge.BackendServer) {
 }
-func (*verdict) Observe(wasabiridge.Millis, wasabiridge.Event) {}
+func (*fixedVerdict) Observe(wasabiridge.Millis, wasabiridge.Event) {}
 
-// moverOf hands moves to the mover of a test.
+// moverOf forwards moves to the mover that a test sets.
 type moverOf struct{ wasabiridge.RunMover }
 
-// move lets the relay move answers with a mover.
+// move sets the mover of the relay.
 func (g *rig) move(m wasabiridge.RunMover) { g.mover.RunMover = m }
 
 // first returns the first attempt.
@@ -119,10 +119,10 @@
 	return g.runner.attempts[0]
 }
 
-func newRig(then wasabiridge.Action, script ...try) *rig {
-	// The relay's deadlines are timers of the real clock; only proofs are
-	// compared with the virtual one, which the test moves.
-	g := &rig{runner: &runner{script: script}, clock: wasabiclock.NewVirtual(1e6), judge: &verdict{}}
+func newRig(then wasabiridge.Action, script ...scriptedAttempt) *rig {
+	// The deadlines of the relay are timers of the real clock. Only the age of the
+	// configuration depends on the virtual clock, which the test advances.
+	g := &rig{runner: &runner{script: script}, clock: wasabiclock.NewVirtual(1e6), judge: &fixedVerdict{}}
 	then.Pool = "p"
 	servers := []wasabiridge.BackendServer{{ID: "s1", URL: "http://a", Slots: 9}, {ID: "s2", URL: "http://b", Slots: 9}, {ID: "s3", URL: "http://c", Slots: 9}}
 	cfg := &wasabiridge.Config{
@@ -136,7 +136,7 @@
 	cfg.Rules[0].Then.Anonymous = true
 	g.view = wasabirelay.View{Config: cfg, Proven: g.clock.Now()}
 	placer := wasabireplica.New(wasabireplica.Options{Seed: 1, RetrySlack: 100})
-	// An instance that has run for long has a part of the retry budget.
+	// An instance that has run for long has its share of the retry budget.
 	placer.Observe(g.clock.Now()-2*wasabiridge.Minute, wasabiridge.Ticked{})
 	core := wasabicore.New(wasabicore.Options{Placer: placer, Limiter: wasabireplica.NewLimiter(placer), Quarantine: g.judge})
 	loop := wasabiloop.New(wasabiloop.Options{Decider: core, Clock: g.clock})
@@ -158,13 +158,13 @@
 	return g.view
 }
 
-func (g *rig) know(change func(v *wasabirelay.View)) {
+func (g *rig) setView(change func(v *wasabirelay.View)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	change(&g.view)
 }
 
-// answer is what a caller got. err says that it was no whole answer.
+// answer is the response that a caller received. If err is set, it is incomplete.
 type answer struct {
 	status int
 	kind   string
@@ -173,7 +173,7 @@
 	err    error
 }
 
-func (g *rig) ask(path, key string) answer {
+func (g *rig) send(path, key string) answer {
 	r, err := http.NewRequest(http.MethodPost, g.server.URL+path, strings.NewReader("question"))
 	Expect(err).NotTo(HaveOccurred())
 	r.Host = "h"
@@ -194,8 +194,8 @@
 	return len(g.runner.attempts)
 }
 
-// Scripted attempts.
-func answers(status int, body string) try {
+// answers returns a scripted attempt with a complete answer.
+func answers(status int, body string) scriptedAttempt {
 	return func(_ context.Context, _ wasabiridge.Attempt, s wasabiridge.AttemptSink) wasabiridge.AttemptResult {
 		s.Sent()
 		if s.Head(status, http.Header{}) != nil || s.Chunk(0, []byte(body)) != nil {
@@ -205,7 +205,8 @@
 	}
 }
 
-func streams(result wasabiridge.AttemptResult, events ...string) try {
+// streams returns a scripted attempt that streams events and ends with result.
+func streams(result wasabiridge.AttemptResult, events ...string) scriptedAttempt {
 	return func(_ context.Context, _ wasabiridge.Attempt, s wasabiridge.AttemptSink) wasabiridge.AttemptResult {
 		s.Sent()
 		if s.Head(http.StatusOK, http.Header{"Content-Type": {"text/event-stream"}}) != nil {
@@ -220,17 +221,20 @@
 	}
 }
 
-func sentAnd(result wasabiridge.AttemptResult) try {
+// sentAnd returns a scripted attempt that is sent, gets no answer and ends with result.
+func sentAnd(result wasabiridge.AttemptResult) scriptedAttempt {
 	return func(_ context.Context, _ wasabiridge.Attempt, s wasabiridge.AttemptSink) wasabiridge.AttemptResult {
 		s.Sent()
 		return result
 	}
 }
 
+// unsent is a scripted attempt that fails before its first byte is sent.
 func unsent(context.Context, wasabiridge.Attempt, wasabiridge.AttemptSink) wasabiridge.AttemptResult {
 	return wasabiridge.AttemptNotRun
 }
 
+// hangs is a scripted attempt that is sent and gets no answer until it is cancelled.
 func hangs(ctx context.Context, _ wasabiridge.Attempt, s wasabiridge.AttemptSink) wasabiridge.AttemptResult {
 	s.Sent()
 	<-ctx.Done()
@@ -246,33 +250,33 @@
 var _ = Describe("A request", func() {
 	cases := map[string]struct {
 		then     wasabiridge.Action
-		script   []try
+		script   []scriptedAttempt
 		status   int
 		kind     wasabiridge.RefusalKind
 		body     string
 		attempts int
 		cut      bool
 	}{
-		"answered":                                  {then: once, script: []try{answers(200, "ok")}, status: 200, body: "ok", attempts: 1},
-		"once, a failure of the server's":           {then: once, script: []try{answers(500, "no")}, status: 500, body: "no", attempts: 1},
-		"once, broken after sending":                {then: once, script: []try{sentAnd(wasabiridge.AttemptBroken), answers(200, "second")}, kind: wasabiridge.RefusalBroken, attempts: 1},
-		"once, refused by the server, then run":     {then: once, script: []try{sentAnd(wasabiridge.AttemptNotRun), answers(200, "ok")}, status: 200, body: "ok", attempts: 2},
-		"once, unsent everywhere":                   {then: once, script: []try{unsent}, kind: wasabiridge.RefusalNotRun, attempts: 3},
-		"safe, broken, then answered":               {then: safe, script: []try{sentAnd(wasabiridge.AttemptBroken), answers(200, "ok")}, status: 200, body: "ok", attempts: 2},
-		"safe, broken as often as allowed":          {then: safe, script: []try{sentAnd(wasabiridge.AttemptBroken)}, kind: wasabiridge.RefusalBroken, attempts: 2},
-		"safe, a failure, then a success":           {then: safe, script: []try{answers(500, "no"), answers(200, "ok")}, status: 200, body: "ok", attempts: 2},
-		"safe, two failures":                        {then: safe, script: []try{answers(500, "one"), answers(503, "two")}, status: 503, body: "two", attempts: 2},
-		"safe, a failure, then broken":              {then: safe, script: []try{answers(500, "one"), sentAnd(wasabiridge.AttemptBroken)}, kind: wasabiridge.RefusalBroken, attempts: 2},
-		"a whole stream":                            {then: stream, script: []try{streams(wasabiridge.AttemptCompleted, "1", "2")}, status: 200, body: "id:1 \n\nid:2 \n\n", attempts: 1},
-		"a stream that goes on elsewhere":           {then: stream, script: []try{streams(wasabiridge.AttemptBroken, "1"), streams(wasabiridge.AttemptCompleted, "2", "3")}, status: 200, body: "id:1 \n\nid:2 \n\nid:3 \n\n", attempts: 2},
-		"a stream that breaks twice is cut visibly": {then: stream, script: []try{streams(wasabiridge.AttemptBroken, "1")}, status: 200, attempts: 2, cut: true},
-		"a stream that may not go on is cut":        {then: once, script: []try{streams(wasabiridge.AttemptBroken, "1")}, status: 200, attempts: 1, cut: true},
+		"answered":                   {then: once, script: []scriptedAttempt{answers(200, "ok")}, status: 200, body: "ok", attempts: 1},
+		"once, server error":         {then: once, script: []scriptedAttempt{answers(500, "no")}, status: 500, body: "no", attempts: 1},
+		"once, broken after sending": {then: once, script: []scriptedAttempt{sentAnd(wasabiridge.AttemptBroken), answers(200, "second")}, kind: wasabiridge.RefusalBroken, attempts: 1},
+		"once, not run by the first server, then answered": {then: once, script: []scriptedAttempt{sentAnd(wasabiridge.AttemptNotRun), answers(200, "ok")}, status: 200, body: "ok", attempts: 2},
+		"once, not sent to any server":                     {then: once, script: []scriptedAttempt{unsent}, kind: wasabiridge.RefusalNotRun, attempts: 3},
+		"safe, broken, then answered":                      {then: safe, script: []scriptedAttempt{sentAnd(wasabiridge.AttemptBroken), answers(200, "ok")}, status: 200, body: "ok", attempts: 2},
+		"safe, broken in every allowed attempt":            {then: safe, script: []scriptedAttempt{sentAnd(wasabiridge.AttemptBroken)}, kind: wasabiridge.RefusalBroken, attempts: 2},
+		"safe, server error, then success":                 {then: safe, script: []scriptedAttempt{answers(500, "no"), answers(200, "ok")}, status: 200, body: "ok", attempts: 2},
+		"safe, two server errors":                          {then: safe, script: []scriptedAttempt{answers(500, "one"), answers(503, "two")}, status: 503, body: "two", attempts: 2},
+		"safe, server error, then broken":                  {then: safe, script: []scriptedAttempt{answers(500, "one"), sentAnd(wasabiridge.AttemptBroken)}, kind: wasabiridge.RefusalBroken, attempts: 2},
+		"a complete stream":                                {then: stream, script: []scriptedAttempt{streams(wasabiridge.AttemptCompleted, "1", "2")}, status: 200, body: "id:1 \n\nid:2 \n\n", attempts: 1},
+		"a stream that is resumed at another server":       {then: stream, script: []scriptedAttempt{streams(wasabiridge.AttemptBroken, "1"), streams(wasabiridge.AttemptCompleted, "2", "3")}, status: 200, body: "id:1 \n\nid:2 \n\nid:3 \n\n", attempts: 2},
+		"a stream that breaks twice is aborted":            {then: stream, script: []scriptedAttempt{streams(wasabiridge.AttemptBroken, "1")}, status: 200, attempts: 2, cut: true},
+		"a stream that may not be resumed is aborted":      {then: once, script: []scriptedAttempt{streams(wasabiridge.AttemptBroken, "1")}, status: 200, attempts: 1, cut: true},
 	}
 	for _, name := range slices.Sorted(maps.Keys(cases)) {
 		c := cases[name]
-		It("gets what it may: "+name, func() {
+		It("is retried, resumed or refused as its rule allows: "+name, func() {
 			g := newRig(c.then, c.script...)
-			got := g.ask("/open/x", "")
+			got := g.send("/open/x", "")
 			Expect(g.attempts()).To(Equal(c.attempts))
 			Expect(got.kind).To(Equal(string(c.kind)))
 			Expect(got.err != nil).To(Equal(c.cut), "%v", got.err)
@@ -285,39 +289,39 @@
 		})
 	}
 
-	It("that is resumed names the last event and the answer's first head", func() {
+	It("that is resumed states the last event and the number of events received", func() {
 		g := newRig(stream, streams(wasabiridge.AttemptBroken, "1", "7"), streams(wasabiridge.AttemptCompleted, "8"))
-		Expect(g.ask("/open/x", "").body).To(HaveSuffix("id:8 \n\n"))
+		Expect(g.send("/open/x", "").body).To(HaveSuffix("id:8 \n\n"))
 		Expect(g.runner.attempts[1].LastEvent).To(Equal("7"))
 		Expect(g.runner.attempts[1].ResumeFrom).To(Equal(2))
 		Expect(g.runner.attempts[1].Backend.ID).NotTo(Equal(g.runner.attempts[0].Backend.ID))
 	})
 
-	// Story: servers ended under a request, so it reaches none any more. Were its caller
-	// told when to come back, it would be refused again and again.
-	It("that reaches no server any more is not invited back", func() {
+	// Servers terminated while running a request, so the quarantine blocks it. With a
+	// Retry-After time its caller would send it again and be refused each time.
+	It("that is blocked by the quarantine gets no Retry-After time", func() {
 		g := newRig(wasabiridge.Action{}, answers(200, "ok"))
 		g.judge.standing = wasabiridge.StandingBarred
-		got := g.ask("/x", "k")
+		got := g.send("/x", "k")
 		Expect(got.kind).To(Equal(string(wasabiridge.RefusalNotRun)))
 		Expect(got.back).To(BeEmpty())
 		Expect(g.attempts()).To(BeZero())
 	})
 
-	// Story: a refusal names a time to come back. Callers wait for a third of
-	// what they have left at most; a longer advice makes them give up.
-	It("that is refused may come back within a third of its time", func() {
+	// Callers wait for at most a third of their remaining time. A longer Retry-After
+	// time would make them give up.
+	It("that is refused may be retried within a third of its time limit", func() {
 		g := newRig(once, unsent)
-		back, err := time.ParseDuration(g.ask("/open/x", "").back)
+		back, err := time.ParseDuration(g.send("/open/x", "").back)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(back).To(BeNumerically(">", 0))
 		Expect(back).To(BeNumerically("<=", 2*time.Second/3))
 	})
 
-	// Story: the platform is silent after a restart of all instances. Callers come
-	// back at once, are refused a second time and give up, moments before the
-	// platform answers again.
-	It("that waits for the platform comes back the later, the longer that has lasted", func() {
+	// The platform does not respond after a restart of all instances. Callers that
+	// retry immediately are refused a second time and give up, moments before the
+	// platform responds again.
+	It("that is refused during a platform outage is retried the later, the longer the outage has lasted", func() {
 		g := newRig(once)
 		waits := map[string]func(){
 			"the key's proof": func() {},
@@ -327,7 +331,7 @@
 			waits[name]()
 			g.clock.Advance(6 * wasabiridge.Second)
 			for range 10 {
-				back, err := time.ParseDuration(g.ask("/x", "key").back)
+				back, err := time.ParseDuration(g.send("/x", "key").back)
 				Expect(err).NotTo(HaveOccurred(), name)
 				Expect(back).To(BeNumerically(">=", 500*time.Millisecond), name)
 				Expect(back).To(BeNumerically("<=", 2*time.Second/3), name)
@@ -335,10 +339,10 @@
 		}
 	})
 
-	It("that comes right after the start may come back soon", func() {
+	It("that arrives right after the start may be retried soon", func() {
 		g := newRig(once)
 		g.view.Config = &wasabiridge.Config{}
-		back, err := time.ParseDuration(g.ask("/x", "key").back)
+		back, err := time.ParseDuration(g.send("/x", "key").back)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(back).To(BeNumerically("<=", 300*time.Millisecond))
 	})
@@ -351,15 +355,15 @@
 		"safe": {safe, wasabiridge.RefusalTimeout},
 	}
 	for _, name := range slices.Sorted(maps.Keys(timeouts)) {
-		It("whose rule's time is over hears so, and its server is left: "+name, func() {
+		It("that exceeds the time limit of its rule is refused with a time-out: "+name, func() {
 			c := timeouts[name]
 			c.then.Timeout = 120
 			g := newRig(c.then, hangs)
-			Expect(g.ask("/open/x", "").kind).To(Equal(string(c.kind)))
+			Expect(g.send("/open/x", "").kind).To(Equal(string(c.kind)))
 		})
 	}
 
-	It("whose caller leaves ends at its server too", func() {
+	It("whose caller disconnects is cancelled at its server", func() {
 		ended := make(chan struct{})
 		g := newRig(once, func(ctx context.Context, a wasabiridge.Attempt, s wasabiridge.AttemptSink) wasabiridge.AttemptResult {
 			defer close(ended)
@@ -385,22 +389,22 @@
 		status    int
 		kind      wasabiridge.RefusalKind
 	}{
-		"known and proven":                       {path: "/x", key: "k", status: 200},
-		"known, proof nearly too old":            {path: "/x", key: "k", age: 4000, status: 200},
-		"known, proof too old":                   {path: "/x", key: "k", age: 4001, kind: wasabiridge.RefusalNotRun},
-		"unknown":                                {path: "/x", key: "z", kind: wasabiridge.RefusalNoKey},
-		"unknown to an old configuration":        {path: "/x", key: "z", age: 1600, kind: wasabiridge.RefusalNotRun},
-		"none":                                   {path: "/x", kind: wasabiridge.RefusalNoKey},
-		"none where none is needed, very old":    {path: "/open/x", age: 99999, status: 200},
-		"no rule of a new configuration":         {path: "x", kind: wasabiridge.RefusalNoRule},
-		"no rule of a configuration that is old": {path: "x", age: 1600, kind: wasabiridge.RefusalNotRun},
+		"known and fresh":                     {path: "/x", key: "k", status: 200},
+		"known, confirmation nearly too old":  {path: "/x", key: "k", age: 4000, status: 200},
+		"known, confirmation too old":         {path: "/x", key: "k", age: 4001, kind: wasabiridge.RefusalNotRun},
+		"unknown":                             {path: "/x", key: "z", kind: wasabiridge.RefusalNoKey},
+		"unknown to an old configuration":     {path: "/x", key: "z", age: 1600, kind: wasabiridge.RefusalNotRun},
+		"none":                                {path: "/x", kind: wasabiridge.RefusalNoKey},
+		"none where none is needed, very old": {path: "/open/x", age: 99999, status: 200},
+		"no rule in a fresh configuration":    {path: "x", kind: wasabiridge.RefusalNoRule},
+		"no rule in an old configuration":     {path: "x", age: 1600, kind: wasabiridge.RefusalNotRun},
 	}
 	for _, name := range slices.Sorted(maps.Keys(cases)) {
 		c := cases[name]
-		It("decide: "+name, func() {
+		It("determine whether a request is accepted: "+name, func() {
 			g := newKeyed()
 			if c.path == "x" {
-				g.know(func(v *wasabirelay.View) {
+				g.setView(func(v *wasabirelay.View) {
 					cfg := *v.Config
 					cfg.Rules = cfg.Rules[:1]
 					v.Config = &cfg
@@ -408,7 +412,7 @@
 				c.path = "/x"
 			}
 			g.clock.Advance(c.age)
-			got := g.ask(c.path, c.key)
+			got := g.send(c.path, c.key)
 			Expect(got.kind).To(Equal(string(c.kind)))
 			if c.status > 0 {
 				Expect(got.status).To(Equal(c.status))
@@ -416,13 +420,13 @@
 		})
 	}
 
-	// Story: an instance stands still between the arrival of a request and the
-	// moment its bytes leave. Meanwhile the key is taken away. When the
-	// instance goes on, the request must not run.
+	// An instance is paused between the arrival of a request and the sending of its
+	// first byte, and the key is revoked meanwhile. When the instance resumes, it must
+	// not send the request.
 	stale := map[string]func(g *rig){
-		"the proof has grown old": func(g *rig) { g.clock.Advance(5000) },
-		"the key was taken away": func(g *rig) {
-			g.know(func(v *wasabirelay.View) {
+		"the confirmation is too old": func(g *rig) { g.clock.Advance(5000) },
+		"the key was revoked": func(g *rig) {
+			g.setView(func(v *wasabirelay.View) {
 				cfg := *v.Config
 				cfg.Accounts = nil
 				v.Config = &cfg
@@ -430,7 +434,7 @@
 		},
 	}
 	for _, name := range slices.Sorted(maps.Keys(stale)) {
-		It("are asked for again right before the first byte: "+name, func() {
+		It("are checked again right before the first byte is sent: "+name, func() {
 			var g *rig
 			allowed := true
 			g = newRig(once, func(_ context.Context, a wasabiridge.Attempt, _ wasabiridge.AttemptSink) wasabiridge.AttemptResult {
@@ -438,7 +442,7 @@
 				allowed = a.MaySend()
 				return wasabiridge.AttemptNotRun
 			})
-			Expect(g.ask("/x", "k").kind).To(Equal(string(wasabiridge.RefusalNotRun)))
+			Expect(g.send("/x", "k").kind).To(Equal(string(wasabiridge.RefusalNotRun)))
 			Expect(allowed).To(BeFalse())
 		})
 	}
--- a/internal/wasabirelay/sink.go
+++ b/internal/wasabirelay/sink.go
@@ -10,21 +10,22 @@
 )
 
 var (
-	errNotContinued = wasabiridge.Errors.NewType("not_continued").New("relay: the answer does not continue the stream")
-	errCallerGone   = wasabiridge.Errors.NewType("caller_gone").New("relay: the caller takes no more")
+	errNotContinued = wasabiridge.Errors.NewType("not_continued").New("relay: answer of the backend server does not continue the event stream")
+	errCallerGone   = wasabiridge.Errors.NewType("caller_gone").New("relay: write to the caller failed")
 )
 
-// sink takes what comes back of one attempt, in the goroutine of the request.
+// sink receives the answer of one attempt. It is called in the goroutine of the
+// request.
 type sink struct {
 	exchange *exchange
 	dispatch wasabiridge.Dispatch
-	// silence ends the attempt when no byte comes. Nil when nothing does.
-	silence *time.Timer
-	// cut ends the attempt.
-	cut    context.CancelCauseFunc
+	// firstByteTimer cancels the attempt if its first byte is late. Nil means no limit.
+	firstByteTimer *time.Timer
+	// cancel cancels the attempt.
+	cancel context.CancelCauseFunc
 	stream bool
-	// first says that the first piece of the answer has come.
-	first bool
+	// gotChunk is set when the first chunk of the body has been received.
+	gotChunk bool
 }
 
 var _ wasabiridge.AttemptSink = (*sink)(nil)
@@ -35,26 +36,25 @@
 	s.exchange.relay.options.Loop.Post(wasabiridge.AttemptSent{Request: s.dispatch.Request, Attempt: s.dispatch.Attempt})
 }
 
-// Head implements wasabiridge.AttemptSink. The caller gets it only when
-// something of the answer is handed on.
+// Head implements wasabiridge.AttemptSink. The head is sent to the caller only
+// together with the first part of the body.
 func (s *sink) Head(status int, h http.Header) error {
 	x := s.exchange
-	if s.silence != nil {
-		s.silence.Stop()
+	if s.firstByteTimer != nil {
+		s.firstByteTimer.Stop()
 	}
 	s.stream = strings.HasPrefix(h.Get("Content-Type"), "text/event-stream")
-	if x.began {
-		// The stream goes on behind what the caller has; its head stays that
-		// of the first answer.
+	if x.headSent {
+		// This answer continues a stream whose head the caller already has.
 		if status != http.StatusOK || !s.stream {
 			return errNotContinued
 		}
 		return nil
 	}
-	x.status, x.head, x.held = status, h, nil
+	x.status, x.head, x.buffered = status, h, nil
 	if s.stream {
-		// Its length would be that of one run, and the caller may get a stream
-		// of two.
+		// The length is that of this answer only, but the stream may be
+		// continued by the answer of another attempt.
 		x.head.Del("Content-Length")
 	}
 	return nil
@@ -65,24 +65,24 @@
 	x := s.exchange
 	if x.firstByte == 0 {
 		x.firstByte = x.relay.options.Clock.Now()
-		x.relay.counts.first(s.stream, x.firstByte-x.arrived)
+		x.relay.counts.addFirstByte(s.stream, x.firstByte-x.arrived)
 	}
-	if !s.first {
-		s.first = true
+	if !s.gotChunk {
+		s.gotChunk = true
 		if s.stream && x.request.Action.Resume {
-			x.relay.running.add(&run{request: x.request, dispatch: s.dispatch, cut: s.cut})
+			x.relay.running.add(&run{request: x.request, dispatch: s.dispatch, cancel: s.cancel})
 		}
 		x.relay.options.Loop.Post(wasabiridge.AttemptFirstToken{Request: s.dispatch.Request, Attempt: s.dispatch.Attempt})
 	}
-	if !s.stream && len(x.held)+len(data) <= heldBytes && !x.began {
-		x.held = append(x.held, data...)
+	if !s.stream && len(x.buffered)+len(data) <= maxBufferedBytes && !x.headSent {
+		x.buffered = append(x.buffered, data...)
 		return nil
 	}
-	if !x.began {
-		x.begin()
-		if len(x.held) > 0 {
-			data = append(x.held, data...)
-			x.held = nil
+	if !x.headSent {
+		x.sendHead()
+		if len(x.buffered) > 0 {
+			data = append(x.buffered, data...)
+			x.buffered = nil
 		}
 	}
 	if _, err := x.w.Write(data); err != nil {
--- a/internal/wasabirelay/split.go
+++ b/internal/wasabirelay/split.go
@@ -6,8 +6,9 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// choosePool shares requests among pools by weight. The same request goes to
-// the same pool at every instance.
+// choosePool selects a pool at random in proportion to the weights. The choice depends
+// only on the split and the request identifier, so all instances choose the same pool
+// for a request.
 func choosePool(split []wasabiridge.PoolShare, id wasabiridge.RequestID) wasabiridge.PoolID {
 	sum := uint64(0)
 	for _, s := range split {
