--- a/internal/wasabiupgrade/event.go
+++ b/internal/wasabiupgrade/event.go
@@ -5,30 +5,36 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabilease"
 )
 
-// Event is something that the machine is told.
+// Event is an input of Machine.
 type Event interface{ isEvent() }
 
-// Ticked says that time has passed, what the platform lists, which weights are
-// wanted, and the lease.
+// Ticked reports that time has passed. It carries the replicas that the platform
+// lists, the target version of each model, and the state of the lease.
 type Ticked struct {
 	Entries []wasabiridge.BackendEntry
 	Wanted  map[wasabiridge.ModelID]wasabiridge.WeightsVersion
 	Grant   wasabilease.Grant
 }
 
-// Ordered is the outcome of a SendOrder.
+// Ordered is the result of a SendOrder effect. If no flag is set, the replica accepted the
+// order.
 type Ordered struct {
 	Backend wasabiridge.BackendServerID
 	Model   wasabiridge.ModelID
 	Fencing wasabiridge.FencingNumber
-	Fenced  bool
+	// Fenced is set if the replica rejected the order because it has seen a higher
+	// fencing number.
+	Fenced bool
+	// Refused is set if the order was not accepted, for example because it was not
+	// sent in time.
 	Refused bool
-	// Unsure says that nothing shows whether the order was accepted: there was
-	// no answer, or the replica carries out another order.
+	// Unsure is set if it is not known whether the order was accepted: there was no
+	// answer, or the replica is carrying out another order.
 	Unsure bool
 }
 
-// StateRead is the outcome of a ReadState.
+// StateRead is the result of a ReadState effect. Failed is set if the replica did not
+// answer.
 type StateRead struct {
 	Backend wasabiridge.BackendServerID
 	Model   wasabiridge.ModelID
@@ -36,8 +42,8 @@
 	Failed  bool
 }
 
-// Heard says that another instance told of a replica, as it does when it gives
-// orders.
+// Heard reports that another instance has sent a state update about a replica, as it
+// does when it sends orders.
 type Heard struct{ Backend wasabiridge.BackendServerID }
 
 func (Ticked) isEvent()    {}
@@ -45,27 +51,29 @@
 func (Ordered) isEvent()   {}
 func (StateRead) isEvent() {}
 
-// Effect is something that the machine wants done.
+// Effect is an output of Machine, which the caller must carry out.
 type Effect interface{ isEffect() }
 
-// Tell asks to tell all instances, this one included.
+// Tell requests that a state update is sent to all instances, including this one.
 type Tell struct{ News wasabiridge.RestNews }
 
-// SendOrder asks for an order that must not be sent after Before.
+// SendOrder requests that an upgrade order is sent to a replica. It must not be sent after
+// Before.
 type SendOrder struct {
 	Server wasabiridge.BackendServer
 	Order  wasabiridge.EngineOrder
 	Before wasabiridge.Millis
 }
 
-// ReadState asks what a replica is now.
+// ReadState requests that the current state of a replica is read.
 type ReadState struct {
 	Server wasabiridge.BackendServer
 	Model  wasabiridge.ModelID
 }
 
-// Upgraded says that a replica serves new weights: how long it rested before its
-// order, and how long the order took, with the answers that ended first.
+// Upgraded reports that a replica serves new weights. Rested is the time in backoff before
+// its order. Loaded is the time from the order until the new weights were served, which
+// includes the time until the running answers had ended.
 type Upgraded struct {
 	Backend wasabiridge.BackendServerID
 	Model   wasabiridge.ModelID
--- a/internal/wasabiupgrade/keeper.go
+++ b/internal/wasabiupgrade/keeper.go
@@ -14,64 +14,67 @@
 
 const (
 	tickEvery = 50 * time.Millisecond
-	// leaseName is one for all pools, so that one instance orders everything.
+	// leaseName is the same for all pools, so that a single instance sends all orders.
 	leaseName = "upgrade"
-	// resultsSize bounds the results that wait. There is at most one call
-	// under way for each replica.
+	// resultsSize is the capacity of the queue of results. At most one call is in
+	// flight for each replica.
 	resultsSize = 64
-	// readTimeout bounds one reading of a replica.
+	// readTimeout limits one read of a replica's state.
 	readTimeout = 500 * time.Millisecond
-	// rankWait is how long work must lie undone for each rank before this
-	// instance's own, until it contends too.
-	rankWait = 900 * wasabiridge.Millis(1)
+	// rankDelay is the delay, for each instance of a lower rank, after which an
+	// instance contends for the lease because the outstanding upgrades make no
+	// progress.
+	rankDelay = 900 * wasabiridge.Millis(1)
 )
 
-// LeaseTiming is the pace of the lease. The holder believes for less than the
-// platform's bound on turns. What an earlier life of the same instance held is
-// taken at once: it had the same listener, and so is over. Without that, after a
-// restart of all instances nobody gives orders until the lease of one of them has
-// ended.
+// LeaseTiming is the timing of the lease. The holder considers it valid for less time than
+// the platform's limit on lease terms. A lease that an earlier incarnation of the same
+// instance held is taken over immediately: that process used the same listen address, so
+// it must have ended. Otherwise no instance would send orders after a restart of all
+// instances until the old lease has expired.
 var LeaseTiming = wasabilease.Timing{TTL: 2400, Drift: 600, Renew: 1100, Poll: 600, Reclaim: true}
 
-// Options are the parts of a Keeper. Log and Timing may be left out.
+// Options configures a Keeper. Recorder, Leaving, Log and Timing are optional.
 type Options struct {
 	Self wasabiridge.InstanceID
-	// Address is where the instance listens. With its name it tells it from a
-	// successor on another machine.
+	// Address is the listen address of the instance. Together with Self it
+	// distinguishes the instance from a successor on another machine.
 	Address     string
 	Incarnation wasabiridge.Incarnation
 	Clock       wasabiridge.Clock
 	Table       wasabiridge.Table
 	Engines     wasabiridge.EngineOperator
 	Recorder    wasabiridge.Recorder
-	// Catalog returns what the platform lists and which weights are wanted.
+	// Catalog returns the replicas that the platform lists and the target version of
+	// each model.
 	Catalog func() ([]wasabiridge.BackendEntry, map[wasabiridge.ModelID]wasabiridge.WeightsVersion)
-	// Rank is this instance's place among the living ones.
+	// Rank returns the position of this instance among the live instances, from 0.
 	Rank func() int
-	// Leaving reports whether the instance is about to go. It then gives the
-	// lease back, so that the next one need not wait for its end. Nil means
-	// never.
+	// Leaving reports whether the instance is shutting down. It then releases the
+	// lease, so that the next holder need not wait for its expiry. Nil means never.
 	Leaving func() bool
-	// Tell tells the instances that place requests or may give orders next, this
-	// one included. It must not block.
-	Tell   func(news []wasabiridge.RestNews)
+	// Tell sends state updates about replicas to all instances that place requests or
+	// may send the next orders, including this one. It must not block.
+	Tell   func(updates []wasabiridge.RestNews)
 	Log    zerolog.Logger
 	Timing Timing
 }
 
-// Keeper drives a Machine with a clock, the lease and the replicas. It is safe
-// for concurrent use.
+// Keeper runs a Machine: it holds the lease, passes it the time, the catalog and the
+// results of its effects, and sends its orders to the replicas. It is safe for concurrent
+// use.
 type Keeper struct {
 	options Options
 	lease   *wasabilease.Lease
 	times   Times
 	results chan Event
-	// idleSince is when work began to lie undone.
-	undone wasabiridge.Millis
-	seen   int
+	// stalledSince is the time since which the outstanding upgrades make no progress.
+	stalledSince wasabiridge.Millis
+	// lastOutstanding is the number of outstanding upgrades at the last check.
+	lastOutstanding int
 }
 
-// NewKeeper returns a keeper. Run starts it.
+// NewKeeper returns a Keeper that is not running yet. Run runs it.
 func NewKeeper(o Options) *Keeper {
 	return &Keeper{
 		options: o,
@@ -83,10 +86,11 @@
 	}
 }
 
-// Times returns how long upgrades took since the start.
+// Times returns the durations of the upgrades since the start.
 func (k *Keeper) Times() *Times { return &k.times }
 
-// Hear takes that another instance told of a replica.
+// Hear is called when another instance has sent a state update about a replica. It does
+// not block; the update is dropped if the queue is full.
 func (k *Keeper) Hear(b wasabiridge.BackendServerID) {
 	select {
 	case k.results <- Heard{Backend: b}:
@@ -94,7 +98,7 @@
 	}
 }
 
-// Run drives the machine until the context ends.
+// Run runs the keeper until the context is cancelled.
 func (k *Keeper) Run(ctx context.Context) {
 	go k.lease.Run(ctx)
 	m := NewMachine(k.options.Timing)
@@ -111,30 +115,31 @@
 			e = Ticked{Entries: entries, Wanted: wanted, Grant: k.lease.Grant()}
 		}
 		now := k.options.Clock.Now()
-		var told []wasabiridge.RestNews
+		var updates []wasabiridge.RestNews
 		for _, effect := range slices.Clone(m.Handle(now, e)) {
 			if tell, ok := effect.(Tell); ok {
-				told = append(told, tell.News)
+				updates = append(updates, tell.News)
 			} else {
 				k.carryOut(ctx, effect)
 			}
 		}
-		k.tell(told)
-		k.lease.Contend(k.wants(now, m.Outstanding()))
+		k.notify(updates)
+		k.lease.Contend(k.wantsLease(now, m.Outstanding()))
 	}
 }
 
-// wants reports whether this instance should hold the lease: while there is
-// work, the lowest rank at once, and the others when the work lies undone.
-func (k *Keeper) wants(now wasabiridge.Millis, outstanding int) bool {
-	if outstanding == 0 || outstanding < k.seen || k.undone == 0 {
-		k.undone = now
+// wantsLease reports whether this instance should hold or contend for the lease. While
+// upgrades are outstanding, the instance of the lowest rank contends immediately, and the
+// others only if the upgrades make no progress for their rank's delay.
+func (k *Keeper) wantsLease(now wasabiridge.Millis, outstanding int) bool {
+	if outstanding == 0 || outstanding < k.lastOutstanding || k.stalledSince == 0 {
+		k.stalledSince = now
 	}
-	k.seen = outstanding
+	k.lastOutstanding = outstanding
 	if outstanding == 0 || k.options.Leaving != nil && k.options.Leaving() {
 		return false
 	}
-	return k.lease.Grant().Fencing != 0 || now-k.undone >= wasabiridge.Millis(k.options.Rank())*rankWait
+	return k.lease.Grant().Fencing != 0 || now-k.stalledSince >= wasabiridge.Millis(k.options.Rank())*rankDelay
 }
 
 func (k *Keeper) carryOut(ctx context.Context, e Effect) {
@@ -150,29 +155,29 @@
 	}
 }
 
-// tell hands on what one event brought, in one message.
-func (k *Keeper) tell(news []wasabiridge.RestNews) {
-	if len(news) == 0 {
+// notify logs the state updates that one event caused, and sends them in one message.
+func (k *Keeper) notify(updates []wasabiridge.RestNews) {
+	if len(updates) == 0 {
 		return
 	}
-	for _, n := range news {
-		k.options.Log.Info().Str("backend", string(n.Backend)).Int64("resting_ms", int64(n.Resting)).Int64("easing_ms", int64(n.Easing)).
-			Uint64("weights", uint64(n.Weights)).Uint64("fencing", uint64(k.lease.Grant().Fencing)).Msg("Replica told of.")
+	for _, u := range updates {
+		k.options.Log.Info().Str("backend", string(u.Backend)).Int64("resting_ms", int64(u.Resting)).Int64("easing_ms", int64(u.Easing)).
+			Uint64("weights", uint64(u.Weights)).Uint64("fencing", uint64(k.lease.Grant().Fencing)).Msg("Replica state announced.")
 	}
-	k.options.Tell(news)
+	k.options.Tell(updates)
 }
 
-// send gives an order, unless its time was used up on the way here. The lease
-// covers an order only until then.
+// send sends an order, unless its latest send time has passed. The lease is only
+// guaranteed to be held until then.
 func (k *Keeper) send(ctx context.Context, e SendOrder) {
 	result := Ordered{Backend: e.Server.ID, Model: e.Order.Model, Fencing: e.Order.Fencing}
 	defer func() { k.post(ctx, result) }()
-	rest := e.Before - k.options.Clock.Now()
-	if rest <= 0 {
+	remaining := e.Before - k.options.Clock.Now()
+	if remaining <= 0 {
 		result.Refused = true
 		return
 	}
-	timed, cancel := context.WithTimeout(ctx, rest.Duration())
+	timed, cancel := context.WithTimeout(ctx, remaining.Duration())
 	defer cancel()
 	err := k.options.Engines.SendOrder(timed, e.Server, e.Order)
 	result.Fenced = errorx.IsOfType(err, wasabiridge.ErrFenced)
@@ -183,7 +188,7 @@
 		outcome = err.Error()
 	}
 	k.options.Log.Info().Str("backend", string(e.Server.ID)).Uint64("weights", uint64(e.Order.Weights)).
-		Uint64("fencing", uint64(e.Order.Fencing)).Str("outcome", outcome).Msg("Order given.")
+		Uint64("fencing", uint64(e.Order.Fencing)).Str("outcome", outcome).Msg("Upgrade order sent.")
 }
 
 func (k *Keeper) read(ctx context.Context, e ReadState) {
--- a/internal/wasabiupgrade/keeper_test.go
+++ b/internal/wasabiupgrade/keeper_test.go
@@ -14,29 +14,30 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabiupgrade"
 )
 
-// deafEngines take orders and never carry them out, so that work stays.
-type deafEngines struct{}
+// stuckEngines accept orders and never carry them out, so that the upgrade stays
+// outstanding.
+type stuckEngines struct{}
 
-func (deafEngines) SendOrder(context.Context, wasabiridge.BackendServer, wasabiridge.EngineOrder) error {
+func (stuckEngines) SendOrder(context.Context, wasabiridge.BackendServer, wasabiridge.EngineOrder) error {
 	return nil
 }
 
-func (deafEngines) ReadState(context.Context, wasabiridge.BackendServer) (wasabiridge.EngineState, error) {
+func (stuckEngines) ReadState(context.Context, wasabiridge.BackendServer) (wasabiridge.EngineState, error) {
 	return wasabiridge.EngineState{Weights: 1}, nil
 }
 
 var _ = Describe("A keeper", func() {
-	// Story: all machines are restarted, one every two seconds, while new weights
-	// are named. Each time the holder of the lease leaves, nobody gives orders
-	// until its lease has ended three seconds after its last renewal.
-	It("gives the lease back when its instance leaves", func(ctx SpecContext) {
+	// All machines are restarted, one every two seconds, during an upgrade. If a holder
+	// keeps its lease when it shuts down, no instance sends orders until the lease expires,
+	// three seconds after the last renewal.
+	It("releases the lease when its instance shuts down", func(ctx SpecContext) {
 		running, cancel := context.WithCancel(ctx)
 		defer cancel()
 		var leaving atomic.Bool
 		clock := wasabiclock.Boot()
 		table := wasabitable.NewMemory(wasabitable.MemoryOptions{Clock: clock})
 		keeper := wasabiupgrade.NewKeeper(wasabiupgrade.Options{
-			Self: "i", Incarnation: 1, Clock: clock, Table: table, Engines: deafEngines{},
+			Self: "i", Incarnation: 1, Clock: clock, Table: table, Engines: stuckEngines{},
 			Catalog: func() ([]wasabiridge.BackendEntry, map[wasabiridge.ModelID]wasabiridge.WeightsVersion) {
 				return []wasabiridge.BackendEntry{{
 					Server: wasabiridge.BackendServer{ID: "e"}, Weights: map[wasabiridge.ModelID]wasabiridge.WeightsVersion{model: 1},
@@ -46,7 +47,7 @@
 		})
 		go keeper.Run(running)
 
-		// Another instance that wants the lease gets it as soon as it is free.
+		// Another instance that contends for the lease must get it once it is released.
 		other := wasabilease.New(wasabilease.Options{
 			Name: "upgrade", Self: "j", Incarnation: 1, Table: table, Clock: clock,
 			Timing: wasabilease.Timing{TTL: wasabiridge.Day, Drift: wasabiridge.Hour, Renew: 100, Poll: 50},
--- a/internal/wasabiupgrade/machine.go
+++ b/internal/wasabiupgrade/machine.go
@@ -1,40 +1,42 @@
-// Package wasabiupgrade brings replicas to the weights that operators name.
+// Package wasabiupgrade performs rolling upgrades of replicas to the versions of model
+// weights that operators set as targets.
 //
-// One instance at a time gives orders: the holder of a lease in the platform's
-// table, whose fencing number goes with each order. A replica goes straight to
-// the newest version, whatever was named in between.
+// Only one instance sends orders at a time: the holder of a lease in the platform's
+// table. Each order carries the fencing number of the lease. A replica is upgraded
+// directly to the newest version, without the versions in between.
 //
-// # One replica
+// # Upgrade of one replica
 //
-// A replica is read before anything else: one that does not answer takes nobody's
-// turn. While it waits for its turn to load, all instances are told that it takes
-// only light work, so that it has little to finish then. Next they are told that
-// it takes no new work. When it has had a short time to run dry it gets its
-// order, and is read back until it serves the new version; then all instances are
-// told so.
+// The state of a replica is read first, so that a replica that does not respond takes no
+// slot from others. While it waits for a slot, it is draining: all instances are notified
+// that they should send it only light requests, so that it has little work left when its
+// slot becomes free. Then it is in backoff: all instances are notified that they should
+// send it no new requests. After a short time for running answers to end it gets its
+// order. Its state is polled until it serves the new version, and all instances are
+// notified of that.
 //
 // # Orders without an answer
 //
-// Such an order may have been accepted, may be carried out seconds later, or
-// never. The replica is read a moment later, and gets the order again unless it
-// has accepted one. Every order names how many the replica had accepted before,
-// so that of the two only one is carried out, and a late one cannot undo what a
-// newer one brought. Until it is seen to load, such a replica serves light work as
-// before, and another one has its place: engines that answer late would otherwise
-// stand idle for seconds, all of those that may load at once.
+// An order without an answer may have been accepted, may be carried out seconds later, or
+// may be lost. The state of the replica is read after Timing.Recheck, and the order is
+// sent again unless the replica has accepted one. Every order states how many orders the
+// replica had accepted before. So only one of the two is carried out, and a late order
+// cannot replace newer weights. Until the replica is seen to load, it serves light
+// requests as before and its slot is given to another replica. Otherwise, all slots could
+// be taken by engines that answer late, and these would be idle for seconds.
 //
-// # How many at once
+// # Concurrent upgrades
 //
-// The weight store serves few loads at full speed, and more take longer each; a
-// pool should not miss more than a fifth of its replicas either. So many are away
-// at once, and as many more take light work only. One that fell silent under its
-// order does not count.
+// The weight store serves only a few loads at full speed; with more, each load takes
+// longer. Also, a pool should not lose more than a fifth of its replicas at a time. So at
+// most a fifth of the replicas, and at least 2, are in backoff or loading, and as many
+// others are draining. A replica that stops responding after its order is not counted.
 //
-// # Turns of holders
+// # Change of the lease holder
 //
-// Orders of an earlier holder may still be on their way when its lease has
-// ended. Instances hear of each other's orders, so a new holder leaves a
-// replica alone for the length of a turn after another one has told of it.
+// Orders of an earlier holder may still be in flight when its lease has expired.
+// Instances receive state updates about each other's orders, so a new holder sends no
+// order to a replica within one lease term after such an update from another instance.
 //
 // # Usage
 //
@@ -53,84 +55,86 @@
 )
 
 const (
-	// loadsLeast is how many replicas may load at once however few there are,
-	// loadShare the part of them that may when there are many.
-	loadsLeast = 2
-	loadShare  = 5
-	// servingLeast is how many replicas must serve for one of them to go.
-	servingLeast = 2
+	// minLoads is the minimum of the default limit of concurrent loads. For many
+	// replicas the limit is their number divided by loadsDivisor.
+	minLoads     = 2
+	loadsDivisor = 5
+	// minServing is the number of serving replicas from which one may be taken out of
+	// service.
+	minServing = 2
 )
 
-// maxLoads is how many replicas may load at once.
+// maxLoads returns the maximum number of replicas that are in backoff or loading.
 func (m *Machine) maxLoads() int {
 	if m.timing.MaxLoads > 0 {
 		return m.timing.MaxLoads
 	}
-	return max(loadsLeast, len(m.order)/loadShare)
+	return max(minLoads, len(m.order)/loadsDivisor)
 }
 
 const (
-	// restLife is how long the others leave a replica alone without further
-	// news. It covers a load with others beside it.
-	restLife = 4 * wasabiridge.Second
-	// restMost is how long a replica rests at most without an order.
-	restMost = 2500 * wasabiridge.Millis(1)
-	// easeLife is how long a replica takes light work only without further news.
-	// It covers the load of the replicas before it.
-	easeLife = 4 * wasabiridge.Second
-	// silentAfter is for how long a replica that loads may not be read until it
-	// does not count any more among those that are away.
-	silentAfter = 800 * wasabiridge.Millis(1)
-	// retryAfter is how long a replica is left as it is that could not be read
-	// or did not take its order.
-	retryAfter = wasabiridge.Second
+	// backoffTTL is the time after which the backoff of a replica expires at other
+	// instances without a further update. It covers a load with concurrent loads.
+	backoffTTL = 4 * wasabiridge.Second
+	// maxBackoff is the maximum time that a replica is in backoff before its order.
+	maxBackoff = 2500 * wasabiridge.Millis(1)
+	// drainTTL is the time after which the draining state of a replica expires at
+	// other instances without a further update. It covers the loads of the replicas
+	// before it.
+	drainTTL = 4 * wasabiridge.Second
+	// unresponsiveAfter is the time without a successful read after which a loading
+	// replica is no longer counted against maxLoads.
+	unresponsiveAfter = 800 * wasabiridge.Millis(1)
+	// retryDelay is the delay before the next upgrade attempt of a replica that
+	// could not be read or did not accept its order.
+	retryDelay = wasabiridge.Second
 )
 
-// Machine decides which replica gets which order when. It is deterministic and
-// not safe for concurrent use.
+// Machine is the state machine that decides when each replica gets which order. It is
+// deterministic and not safe for concurrent use.
 type Machine struct {
 	timing   Timing
 	replicas map[unit]*replica
 	order    []unit
 	wanted   map[wasabiridge.ModelID]wasabiridge.WeightsVersion
 	grant    wasabilease.Grant
-	// heard is when another instance last told of a replica.
-	heard map[wasabiridge.BackendServerID]wasabiridge.Millis
-	// fenced is the fencing number that a replica refused.
-	fenced  wasabiridge.FencingNumber
-	effects []Effect
+	// reported is the time of the last update about a replica from another instance.
+	reported map[wasabiridge.BackendServerID]wasabiridge.Millis
+	// rejectedFencing is the highest fencing number that a replica rejected as outdated.
+	rejectedFencing wasabiridge.FencingNumber
+	effects         []Effect
 }
 
-// NewMachine returns a machine that knows no replica.
+// NewMachine returns a Machine without replicas.
 func NewMachine(t Timing) *Machine {
 	t = t.withDefaults()
 	return &Machine{
 		timing: t, replicas: map[unit]*replica{},
-		heard: map[wasabiridge.BackendServerID]wasabiridge.Millis{},
+		reported: map[wasabiridge.BackendServerID]wasabiridge.Millis{},
 	}
 }
 
-// Handle takes one event and returns what has to be done. The returned slice is
-// valid until the next call.
+// Handle processes one event and returns the effects that the caller must carry out. The
+// returned slice is valid until the next call.
 func (m *Machine) Handle(now wasabiridge.Millis, e Event) []Effect {
 	m.effects = m.effects[:0]
 	switch e := e.(type) {
 	case Ticked:
-		m.take(now, e)
+		m.updateReplicas(now, e)
 		m.grant = e.Grant
 		m.step(now)
 	case Ordered:
-		m.ordered(now, e)
+		m.handleOrdered(now, e)
 	case StateRead:
-		m.stateRead(now, e)
+		m.handleStateRead(now, e)
 	case Heard:
-		m.heard[e.Backend] = now
+		m.reported[e.Backend] = now
 	}
 	return m.effects
 }
 
-// Outstanding counts the replicas that do not serve the weights that are
-// wanted.
+// Outstanding returns the number of replicas that do not serve the target version, with
+// each model of a replica counted separately.
 func (m *Machine) Outstanding() int {
 	n := 0
 	for _, id := range m.order {
@@ -141,8 +145,8 @@
 	return n
 }
 
-// take notes what the platform lists.
-func (m *Machine) take(now wasabiridge.Millis, e Ticked) {
+// updateReplicas updates the replicas from the platform's list.
+func (m *Machine) updateReplicas(now wasabiridge.Millis, e Ticked) {
 	m.wanted = e.Wanted
 	for _, r := range m.replicas {
 		r.present = false
@@ -163,10 +167,10 @@
 				m.replicas[u] = r
 			}
 			r.present = true
-			if !r.live(now, entry.Server.Incarnation) {
+			if !r.observeIncarnation(now, entry.Server.Incarnation) {
 				continue
 			}
-			entry.Server.Incarnation = r.life.Known()
+			entry.Server.Incarnation = r.incarnation.Known()
 			r.server = entry.Server
 			r.serves = max(r.serves, version)
 		}
@@ -174,7 +178,7 @@
 	for id, r := range m.replicas {
 		if !r.present {
 			delete(m.replicas, id)
-			delete(m.heard, id.backend)
+			delete(m.reported, id.backend)
 			continue
 		}
 		m.order = append(m.order, id)
@@ -184,29 +188,30 @@
 	})
 }
 
-// holds reports whether this instance may give an order now.
-func (m *Machine) holds(now wasabiridge.Millis) bool {
-	return m.grant.Covers(now, m.timing.OrderTime) && m.fenced < m.grant.Fencing
+// mayOrder reports whether this instance holds the lease for long enough to send an order,
+// and no replica has rejected its fencing number.
+func (m *Machine) mayOrder(now wasabiridge.Millis) bool {
+	return m.grant.Covers(now, m.timing.OrderTime) && m.rejectedFencing < m.grant.Fencing
 }
 
-// step lets every replica go on.
+// step advances all replicas, sends the orders that are due, and starts further upgrades.
 func (m *Machine) step(now wasabiridge.Millis) {
 	for _, id := range m.order {
 		m.advance(now, m.replicas[id])
 	}
-	if !m.holds(now) {
+	if !m.mayOrder(now) {
 		return
 	}
 	for _, id := range m.order {
 		r := m.replicas[id]
-		if r.phase == resting && now-r.since >= m.timing.Rest && r.asked && !r.busy {
+		if r.phase == inBackoff && now-r.since >= m.timing.Rest && r.readInBackoff && !r.busy {
 			m.send(now, r)
 		}
 	}
-	m.begin(now)
+	m.startNext(now)
 }
 
-// advance takes a replica on that is in some phase.
+// advance handles the transitions of one replica that depend on time or on what it serves.
 func (m *Machine) advance(now wasabiridge.Millis, r *replica) {
 	switch {
 	case r.phase == idle:
@@ -214,58 +219,58 @@
 		m.finish(now, r)
 	case r.phase == ordered, r.phase == unanswered:
 		m.watch(now, r)
-	case r.phase == easing && now-r.since > easeLife, r.phase == resting && now-r.since > restMost:
-		// The lease has ended, or no place to load became free. The replica
-		// serves on as it is.
-		m.giveUp(now, r)
+	case r.phase == draining && now-r.since > drainTTL, r.phase == inBackoff && now-r.since > maxBackoff:
+		// The lease has expired, or no slot for a load became free. The
+		// replica continues to serve its current weights.
+		m.abandon(now, r)
 	}
 }
 
-// begin lets the next replicas rest while fewer are away than may be, and as many
-// more ease.
-func (m *Machine) begin(now wasabiridge.Millis) {
-	away, eased, serving := m.count(now)
-	unsure := m.unsure()
-	for _, id := range m.next() {
+// startNext puts the next replicas into backoff while slots are free, and starts to drain
+// as many more.
+func (m *Machine) startNext(now wasabiridge.Millis) {
+	away, drained, serving := m.count(now)
+	unsure := m.countUnanswered()
+	for _, id := range m.upgradeOrder() {
 		r := m.replicas[id]
 		if r.busy || r.serves >= m.wanted[r.model] {
 			continue
 		}
 		switch {
-		case r.phase == easing && away < m.maxLoads() && away+unsure < 2*m.maxLoads() && m.maySpare(serving):
-			m.rest(now, r)
-			away, eased, serving = away+1, eased-1, serving-1
-		case r.phase == idle && away+eased < 2*m.maxLoads() && now >= r.notBefore && !m.isTurnOfOther(now, id.backend) && !m.isBusy(id.backend):
-			r.phase, r.since, r.target = easing, now, m.wanted[r.model]
-			r.told, r.busy = false, true
-			eased++
+		case r.phase == draining && away < m.maxLoads() && away+unsure < 2*m.maxLoads() && m.maySpare(serving):
+			m.startBackoff(now, r)
+			away, drained, serving = away+1, drained-1, serving-1
+		case r.phase == idle && away+drained < 2*m.maxLoads() && now >= r.notBefore && !m.mayBeOrderedByOther(now, id.backend) && !m.isBusy(id.backend):
+			r.phase, r.since, r.target = draining, now, m.wanted[r.model]
+			r.drainAnnounced, r.busy = false, true
+			drained++
 			m.effects = append(m.effects, ReadState{Server: r.server, Model: r.model})
 		}
 	}
 }
 
-// maySpare reports whether one of so many replicas that serve may go. The last one
-// goes only when it is the only one at all.
+// maySpare reports whether one of the serving replicas may be taken out of service. The
+// last serving one may be taken only if there is no other replica.
 func (m *Machine) maySpare(serving int) bool {
-	return serving >= servingLeast || len(m.order) == 1
+	return serving >= minServing || len(m.order) == 1
 }
 
-// rest lets a replica run dry.
-func (m *Machine) rest(now wasabiridge.Millis, r *replica) {
-	r.phase, r.since, r.target = resting, now, m.wanted[r.model]
-	r.asked, r.busy = false, true
-	m.effects = append(m.effects, Tell{News: wasabiridge.RestNews{Backend: r.server.ID, Resting: restLife}}, ReadState{Server: r.server, Model: r.model})
+// startBackoff takes a replica out of service, so that its running answers can end.
+func (m *Machine) startBackoff(now wasabiridge.Millis, r *replica) {
+	r.phase, r.since, r.target = inBackoff, now, m.wanted[r.model]
+	r.readInBackoff, r.busy = false, true
+	m.effects = append(m.effects, Tell{News: wasabiridge.RestNews{Backend: r.server.ID, Resting: backoffTTL}}, ReadState{Server: r.server, Model: r.model})
 }
 
-// isTurnOfOther reports whether another instance may have given the replica an
-// order a short time ago.
-func (m *Machine) isTurnOfOther(now wasabiridge.Millis, id wasabiridge.BackendServerID) bool {
-	at, ok := m.heard[id]
+// mayBeOrderedByOther reports whether another instance may have sent the replica an order
+// within the last lease term.
+func (m *Machine) mayBeOrderedByOther(now wasabiridge.Millis, id wasabiridge.BackendServerID) bool {
+	at, ok := m.reported[id]
 	return ok && now-at < m.timing.Turn
 }
 
-// isBusy reports whether a replica rests or loads for any of its models. It
-// takes one order at a time.
+// isBusy reports whether an upgrade of any model of the replica is in progress. A
+// replica carries out one order at a time.
 func (m *Machine) isBusy(id wasabiridge.BackendServerID) bool {
 	for _, u := range m.order {
 		if u.backend == id && m.replicas[u].phase != idle {
@@ -275,28 +280,29 @@
 	return false
 }
 
-// next returns the replicas in the order of their turns. Those that ease come
-// first, then those with the oldest weights: with versions named in quick
-// succession, those at the end would otherwise never have their turn.
-func (m *Machine) next() []unit {
+// upgradeOrder returns the replicas in the order of their upgrades. Draining replicas
+// come first, then those with the oldest weights. With a fixed order, the replicas at the
+// end would never be upgraded if target versions follow each other quickly.
+func (m *Machine) upgradeOrder() []unit {
 	ids := slices.Clone(m.order)
 	slices.SortStableFunc(ids, func(a, b unit) int {
 		ra, rb := m.replicas[a], m.replicas[b]
-		return cmp.Or(cmp.Compare(easesNot(ra), easesNot(rb)), cmp.Compare(ra.serves, rb.serves))
+		return cmp.Or(cmp.Compare(drainRank(ra), drainRank(rb)), cmp.Compare(ra.serves, rb.serves))
 	})
 	return ids
 }
 
-// easesNot is 0 for a replica that eases, and 1 for others.
-func easesNot(r *replica) int {
-	if r.phase == easing {
+// drainRank returns the sort key of a replica: 0 if it is draining, and 1 otherwise.
+func drainRank(r *replica) int {
+	if r.phase == draining {
 		return 0
 	}
 	return 1
 }
 
-// unsure counts the replicas that may carry out an order at any moment.
-func (m *Machine) unsure() int {
+// countUnanswered returns the number of replicas that have not answered their order and
+// may start to load at any time.
+func (m *Machine) countUnanswered() int {
 	n := 0
 	for _, r := range m.replicas {
 		if r.phase == unanswered {
@@ -306,19 +312,20 @@
 	return n
 }
 
-// count counts the replicas that are away, those that ease, and those that serve.
-func (m *Machine) count(now wasabiridge.Millis) (away, eased, serving int) {
+// count returns the number of replicas that are away (in backoff or loading), draining, and
+// serving. Draining replicas also count as serving.
+func (m *Machine) count(now wasabiridge.Millis) (away, drained, serving int) {
 	for _, id := range m.order {
 		switch r := m.replicas[id]; {
-		case r.phase == resting, r.phase == ordered && !r.isSilent(now):
+		case r.phase == inBackoff, r.phase == ordered && !r.isUnresponsive(now):
 			away++
 		case r.phase == ordered:
-		case r.phase == easing:
-			eased++
+		case r.phase == draining:
+			drained++
 			serving++
 		default:
 			serving++
 		}
 	}
-	return away, eased, serving
+	return away, drained, serving
 }
--- a/internal/wasabiupgrade/order.go
+++ b/internal/wasabiupgrade/order.go
@@ -2,57 +2,58 @@
 
 import "github.com/wasabiridge/wasabiridge"
 
-// send gives a replica that rests its order.
+// send sends the order to a replica in backoff.
 func (m *Machine) send(now wasabiridge.Millis, r *replica) {
-	r.rested = now - r.since
-	r.phase, r.since, r.heardAt = ordered, now, now
+	r.backoffTime = now - r.since
+	r.phase, r.since, r.lastRead = ordered, now, now
 	r.target = max(r.target, m.wanted[r.model])
-	m.give(now, r)
+	m.emitOrder(now, r)
 }
 
-// give sends the order to a replica, for the first time or again.
-func (m *Machine) give(now wasabiridge.Millis, r *replica) {
+// emitOrder emits the order for a replica, for the first time or again.
+func (m *Machine) emitOrder(now wasabiridge.Millis, r *replica) {
 	r.busy, r.accepted = true, false
-	r.readAt = now + m.timing.Poll
+	r.nextRead = now + m.timing.Poll
 	m.effects = append(m.effects, SendOrder{
 		Server: r.server,
 		Order: wasabiridge.EngineOrder{
-			Model: r.model, Weights: r.target, Fencing: m.grant.Fencing, Conditional: true, After: r.orders,
+			Model: r.model, Weights: r.target, Fencing: m.grant.Fencing, Conditional: true, After: r.acceptedOrders,
 		},
 		Before: min(now+m.timing.OrderTime, m.grant.Until),
 	})
 }
 
-// watch reads a replica back that loads, and gives it up when it takes too
-// long; then it is tried again.
+// watch polls the state of a replica that has got its order. It abandons the upgrade
+// after Timing.Patience; it is tried again later.
 func (m *Machine) watch(now wasabiridge.Millis, r *replica) {
 	if r.busy {
 		return
 	}
 	if now-r.since > m.timing.Patience {
-		m.giveUp(now, r)
+		m.abandon(now, r)
 		return
 	}
-	if now >= r.readAt {
-		r.busy, r.readAt = true, now+m.timing.Poll
+	if now >= r.nextRead {
+		r.busy, r.nextRead = true, now+m.timing.Poll
 		m.effects = append(m.effects, ReadState{Server: r.server, Model: r.model})
 	}
 }
 
-// giveUp lets a replica serve on as it is, and tries it again later.
-func (m *Machine) giveUp(now wasabiridge.Millis, r *replica) {
-	silent := r.phase == easing && !r.told
-	r.phase, r.notBefore = idle, now+retryAfter
+// abandon lets a replica serve its current weights, and delays the next attempt to upgrade
+// it. Other instances are notified unless they were not notified before.
+func (m *Machine) abandon(now wasabiridge.Millis, r *replica) {
+	silent := r.phase == draining && !r.drainAnnounced
+	r.phase, r.notBefore = idle, now+retryDelay
 	if silent {
 		return
 	}
 	m.effects = append(m.effects, Tell{News: wasabiridge.RestNews{Backend: r.server.ID}})
 }
 
-func (m *Machine) ordered(now wasabiridge.Millis, e Ordered) {
+func (m *Machine) handleOrdered(now wasabiridge.Millis, e Ordered) {
 	r := m.replicas[unit{e.Backend, e.Model}]
 	if e.Fenced {
-		m.fenced = max(m.fenced, e.Fencing)
+		m.rejectedFencing = max(m.rejectedFencing, e.Fencing)
 	}
 	if r == nil {
 		return
@@ -60,103 +61,104 @@
 	r.busy = false
 	switch {
 	case e.Fenced, e.Refused:
-		// Nothing was ordered. The replica serves on as it is.
-		m.giveUp(now, r)
+		// The order will not be carried out.
+		m.abandon(now, r)
 	case e.Unsure:
-		r.readAt = now + m.timing.Recheck
+		r.nextRead = now + m.timing.Recheck
 		m.serveOn(now, r)
 	default:
-		m.accept(now, r)
+		m.markAccepted(now, r)
 	}
 }
 
-// serveOn lets a replica serve that has not answered its order.
+// serveOn lets a replica serve light requests that has not answered its order.
 func (m *Machine) serveOn(now wasabiridge.Millis, r *replica) {
 	if r.phase != ordered {
 		return
 	}
-	r.phase, r.heardAt = unanswered, now
-	m.effects = append(m.effects, Tell{News: wasabiridge.RestNews{Backend: r.server.ID, Easing: easeLife}})
+	r.phase, r.lastRead = unanswered, now
+	m.effects = append(m.effects, Tell{News: wasabiridge.RestNews{Backend: r.server.ID, Easing: drainTTL}})
 }
 
-// accept notes that an order is carried out. One that was not answered begins to
-// load only now.
-func (m *Machine) accept(now wasabiridge.Millis, r *replica) {
+// markAccepted records that a replica has accepted its order. If the order had no answer
+// so far, the replica goes back into backoff, because it starts to load only now.
+func (m *Machine) markAccepted(now wasabiridge.Millis, r *replica) {
 	r.accepted = true
 	if r.phase != unanswered {
 		return
 	}
-	r.phase, r.heardAt = ordered, now
-	m.effects = append(m.effects, Tell{News: wasabiridge.RestNews{Backend: r.server.ID, Resting: restLife}})
+	r.phase, r.lastRead = ordered, now
+	m.effects = append(m.effects, Tell{News: wasabiridge.RestNews{Backend: r.server.ID, Resting: backoffTTL}})
 }
 
-func (m *Machine) stateRead(now wasabiridge.Millis, e StateRead) {
+func (m *Machine) handleStateRead(now wasabiridge.Millis, e StateRead) {
 	r := m.replicas[unit{e.Backend, e.Model}]
 	if r == nil {
 		return
 	}
 	r.busy = false
-	if !e.Failed && !r.live(now, e.State.Incarnation) {
+	if !e.Failed && !r.observeIncarnation(now, e.State.Incarnation) {
 		return
 	}
 	if !e.Failed {
-		r.heardAt = now
+		r.lastRead = now
 	}
 	serves := e.State.Weights
 	if e.State.Models != nil {
 		serves = e.State.Models[e.Model]
 	}
 	switch {
-	case e.Failed && (r.phase == resting || r.phase == easing):
-		m.giveUp(now, r)
+	case e.Failed && (r.phase == inBackoff || r.phase == draining):
+		m.abandon(now, r)
 	case e.Failed:
 	case !e.State.Loading && serves >= r.target:
 		r.serves = max(r.serves, serves)
 		if r.phase != idle {
 			m.finish(now, r)
 		}
-	case r.phase == easing:
-		m.eased(now, r)
-	case r.phase == resting:
-		r.asked, r.orders = true, e.State.Orders
+	case r.phase == draining:
+		m.drainingRead(now, r)
+	case r.phase == inBackoff:
+		r.readInBackoff, r.acceptedOrders = true, e.State.Orders
 	case (r.phase == ordered || r.phase == unanswered) && !r.accepted:
-		m.orderAgain(now, r, e.State)
+		m.resolveUnsure(now, r, e.State)
 	}
 }
 
-// eased takes that a replica answers. It rests at once when there is a place;
-// otherwise it takes light work only until there is one.
-func (m *Machine) eased(now wasabiridge.Millis, r *replica) {
+// drainingRead handles the first successful read of a draining replica. The replica goes
+// into backoff immediately if a slot is free. Otherwise the other instances are notified
+// that it is draining.
+func (m *Machine) drainingRead(now wasabiridge.Millis, r *replica) {
 	away, _, serving := m.count(now)
 	switch {
-	case !m.holds(now):
+	case !m.mayOrder(now):
 		r.phase = idle
 	case away < m.maxLoads() && m.maySpare(serving):
-		m.rest(now, r)
-	case !r.told:
-		r.told, r.since = true, now
-		m.effects = append(m.effects, Tell{News: wasabiridge.RestNews{Backend: r.server.ID, Easing: easeLife}})
+		m.startBackoff(now, r)
+	case !r.drainAnnounced:
+		r.drainAnnounced, r.since = true, now
+		m.effects = append(m.effects, Tell{News: wasabiridge.RestNews{Backend: r.server.ID, Easing: drainTTL}})
 	}
 }
 
-// orderAgain decides about an order of unsure outcome by what the replica says
-// a moment later.
-func (m *Machine) orderAgain(now wasabiridge.Millis, r *replica, s wasabiridge.EngineState) {
-	if s.Loading || s.Orders > r.orders {
-		m.accept(now, r)
-		r.readAt = now + m.timing.Poll
+// resolveUnsure decides by the state of a replica whether its order without an answer was
+// accepted. If not, the order is sent again.
+func (m *Machine) resolveUnsure(now wasabiridge.Millis, r *replica, s wasabiridge.EngineState) {
+	if s.Loading || s.Orders > r.acceptedOrders {
+		m.markAccepted(now, r)
+		r.nextRead = now + m.timing.Poll
 		return
 	}
-	r.orders = s.Orders
-	if m.holds(now) {
-		m.give(now, r)
+	r.acceptedOrders = s.Orders
+	if m.mayOrder(now) {
+		m.emitOrder(now, r)
 	}
 }
 
-// finish lets a replica serve again.
+// finish ends the upgrade of a replica and notifies all instances of its new weights.
 func (m *Machine) finish(now wasabiridge.Millis, r *replica) {
 	if r.phase == ordered || r.phase == unanswered {
-		m.effects = append(m.effects, Upgraded{Backend: r.server.ID, Model: r.model, Weights: r.serves, Rested: r.rested, Loaded: now - r.since})
+		m.effects = append(m.effects, Upgraded{Backend: r.server.ID, Model: r.model, Weights: r.serves, Rested: r.backoffTime, Loaded: now - r.since})
 	}
 	r.phase = idle
 	m.effects = append(m.effects, Tell{News: wasabiridge.RestNews{Backend: r.server.ID, Model: r.model, Weights: r.serves, Incarnation: r.server.Incarnation}})
--- a/internal/wasabiupgrade/replica.go
+++ b/internal/wasabiupgrade/replica.go
@@ -5,70 +5,78 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabilife"
 )
 
-// phase is how far a replica is.
+// phase is the phase of the upgrade of a replica.
 type phase uint8
 
 const (
 	idle phase = iota
-	// easing replicas wait for their turn.
-	easing
-	// resting replicas run dry.
-	resting
-	// unanswered replicas have got an order that they have not answered. They
-	// serve on until they are seen to carry it out.
+	// draining replicas wait for a slot and should get only light requests.
+	draining
+	// inBackoff replicas should get no new requests, so that running answers can end.
+	inBackoff
+	// unanswered replicas have not answered their order. They serve light requests
+	// until they are seen to carry it out.
 	unanswered
-	// ordered replicas load, or are about to.
+	// ordered replicas have got an order and are loading or about to load.
 	ordered
 )
 
-// unit is a model at a replica.
+// unit identifies one model at one backend server.
 type unit struct {
 	backend wasabiridge.BackendServerID
 	model   wasabiridge.ModelID
 }
 
-// replica is a unit that needs new weights, or did.
+// replica is the upgrade state of a unit.
 type replica struct {
-	server wasabiridge.BackendServer
-	life   wasabilife.Life
-	model  wasabiridge.ModelID
-	// serves is the newest version that the replica was seen to serve.
+	server      wasabiridge.BackendServer
+	incarnation wasabilife.Life
+	model       wasabiridge.ModelID
+	// serves is the newest version that the replica was observed to serve, and target
+	// the version to which it is being upgraded.
 	serves wasabiridge.WeightsVersion
 	phase  phase
 	target wasabiridge.WeightsVersion
-	// since is when the phase began, readAt when the replica is read next.
-	since   wasabiridge.Millis
-	rested  wasabiridge.Millis
-	readAt  wasabiridge.Millis
-	busy    bool
+	// since is the start of the phase, backoffTime the time in backoff before the order,
+	// and nextRead the time of the next read.
+	since       wasabiridge.Millis
+	backoffTime wasabiridge.Millis
+	nextRead    wasabiridge.Millis
+	// busy is set while an order or a read is in flight.
+	busy bool
+	// present is set if the platform lists the replica.
 	present bool
-	// told says that the others know that the replica eases, heardAt when it was
-	// last read.
-	told    bool
-	heardAt wasabiridge.Millis
-	// asked says that the replica was read since it rests, orders how many
-	// orders it had accepted then.
-	asked  bool
-	orders uint64
-	// accepted says that the order is known to be carried out.
+	// drainAnnounced is set if the other instances were notified that the replica is draining.
+	// lastRead is the time of the last successful read.
+	drainAnnounced bool
+	lastRead       wasabiridge.Millis
+	// readInBackoff is set if the replica was read since its backoff began. acceptedOrders is the
+	// number of orders that it had accepted at the last read.
+	readInBackoff  bool
+	acceptedOrders uint64
+	// accepted is set if the replica is known to have accepted the order.
 	accepted bool
-	// notBefore delays the next try after a refused order.
+	// notBefore is the earliest time of the next upgrade attempt after a failed one.
 	notBefore wasabiridge.Millis
 }
 
-// live takes in which life something was said of the replica. It reports false for
-// one that is over. A new life has accepted no orders, may serve older weights, and
-// has its turn still to come; it can have it at once.
-func (r *replica) live(now wasabiridge.Millis, said wasabiridge.Incarnation) bool {
-	switch r.life.Take(now, said) {
+// observeIncarnation updates the incarnation of the replica from a report. It returns false
+// if the report is about an earlier incarnation and must be ignored. A new incarnation has
+// accepted no orders and may serve older weights, so its upgrade state is reset, and it can
+// be upgraded immediately.
+func (r *replica) observeIncarnation(now wasabiridge.Millis, said wasabiridge.Incarnation) bool {
+	switch r.incarnation.Take(now, said) {
 	case wasabilife.Over:
 		return false
 	case wasabilife.New:
-		*r = replica{server: r.server, life: r.life, model: r.model, present: r.present, busy: r.busy}
+		*r = replica{server: r.server, incarnation: r.incarnation, model: r.model, present: r.present, busy: r.busy}
 	}
-	r.server.Incarnation = r.life.Known()
+	r.server.Incarnation = r.incarnation.Known()
 	return true
 }
 
-// isSilent reports whether the replica has not been read for long.
-func (r *replica) isSilent(now wasabiridge.Millis) bool { return now-r.heardAt > silentAfter }
+// isUnresponsive reports whether the last successful read was more than unresponsiveAfter
+// ago.
+func (r *replica) isUnresponsive(now wasabiridge.Millis) bool {
+	return now-r.lastRead > unresponsiveAfter
+}
--- a/internal/wasabiupgrade/times.go
+++ b/internal/wasabiupgrade/times.go
@@ -8,21 +8,22 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// timesMost is the longest time that is told apart, in milliseconds, and timesDigits
-// how exactly.
+// maxMillis is the upper bound of the histograms, in milliseconds, and significantDigits their
+// precision in significant decimal digits.
 const (
-	timesMost   = 60000
-	timesDigits = 2
+	maxMillis         = 60000
+	significantDigits = 2
 )
 
-// Times are how long the phases of upgrades took, in milliseconds. The zero value is
-// empty. It is safe for concurrent use.
+// Times holds histograms of the durations of upgrade phases, in milliseconds. The zero
+// value is empty and ready to use. It is safe for concurrent use.
 type Times struct {
 	mu             sync.Mutex
 	rested, loaded *hdrhistogram.Histogram
 }
 
-// Phase is one phase of the upgrades that have ended.
+// Phase is the summary of one phase over all completed upgrades, with quantiles of the
+// duration in milliseconds. Name is "rested" or "loaded"; see Upgraded.
 type Phase struct {
 	Name     string
 	Total    int64
@@ -33,18 +34,18 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.rested == nil {
-		t.rested, t.loaded = hdrhistogram.New(1, timesMost, timesDigits), hdrhistogram.New(1, timesMost, timesDigits)
+		t.rested, t.loaded = hdrhistogram.New(1, maxMillis, significantDigits), hdrhistogram.New(1, maxMillis, significantDigits)
 	}
 	record(t.rested, e.Rested)
 	record(t.loaded, e.Loaded)
 }
 
-// record takes a value beyond the range as the longest.
+// record records a duration. Values outside the range are clamped to it.
 func record(h *hdrhistogram.Histogram, took wasabiridge.Millis) {
-	_ = h.RecordValue(min(max(int64(took), 1), timesMost))
+	_ = h.RecordValue(min(max(int64(took), 1), maxMillis))
 }
 
-// Phases returns all phases. None is returned before the first upgrade has ended.
+// Phases returns the summaries of all phases, or nil if no upgrade has completed yet.
 func (t *Times) Phases() []Phase {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/wasabiupgrade/timing.go
+++ b/internal/wasabiupgrade/timing.go
@@ -2,32 +2,32 @@
 
 import "github.com/wasabiridge/wasabiridge"
 
-// Timing sets the pace. A zero field takes its default.
+// Timing holds the limits and intervals of upgrades. Zero fields take their defaults.
 type Timing struct {
-	// MaxLoads is how many replicas load at once. The default is a fifth of
-	// all, and at least 2.
+	// MaxLoads is the maximum number of replicas that are in backoff or loading at a
+	// time. The default is a fifth of all replicas, and at least 2.
 	MaxLoads int
-	// Rest is how long a replica runs dry before its order, 200 ms by default:
-	// most answers take less, and those that take longer are finished under
-	// the old weights.
+	// Rest is the time in backoff before a replica gets its order. The default is
+	// 200 ms: most answers take less time, and longer ones are completed with the
+	// old weights.
 	Rest wasabiridge.Millis
-	// Poll is the time between two readings of a replica that loads, 150 ms by
-	// default: what replicas tell of themselves is about that old.
+	// Poll is the interval between reads of a loading replica. The default is 150 ms,
+	// which is about the age of the state that replicas report.
 	Poll wasabiridge.Millis
-	// Recheck is how long after an order of unsure outcome the replica is read.
-	// What replicas tell of themselves is a fifth of a second old. The default
-	// is 300 ms.
+	// Recheck is the delay before a replica is read after an order of unknown outcome.
+	// The default is 300 ms, because the state that replicas report is up to 200 ms
+	// old.
 	Recheck wasabiridge.Millis
-	// Patience is how long after an order a replica that does not serve the
-	// new version gets it again, 5 s by default: orders may be carried out
-	// late.
+	// Patience is the time after an order at which the upgrade is abandoned, to be
+	// tried again, if the replica does not serve the new version. The default is 5 s,
+	// because orders may be carried out late.
 	Patience wasabiridge.Millis
-	// Turn is how long orders of two holders to one replica lie apart, 3 s by
-	// default.
+	// Turn is the minimum time between orders of two lease holders to one replica. The
+	// default is 3 s.
 	Turn wasabiridge.Millis
-	// OrderTime bounds one order. The lease must cover it. 250 ms by default:
-	// replicas answer within a few, and a packet that is lost on the way is sent
-	// again within 200.
+	// OrderTime is the time limit of one order, for which the lease must be held. The
+	// default is 250 ms: replicas answer within a few milliseconds, and a lost packet
+	// is retransmitted within 200 ms.
 	OrderTime wasabiridge.Millis
 }
 
--- a/internal/wasabiupgrade/upgrade_test.go
+++ b/internal/wasabiupgrade/upgrade_test.go
@@ -19,31 +19,32 @@
 
 const model wasabiridge.ModelID = "m"
 
-// fleet is a machine with engines that carry out orders in virtual time.
+// fleet is a Machine with simulated engines that carry out orders in virtual time.
 type fleet struct {
 	machine *wasabiupgrade.Machine
 	now     wasabiridge.Millis
 	wanted  wasabiridge.WeightsVersion
 	grant   wasabilease.Grant
 	serves  map[wasabiridge.BackendServerID]wasabiridge.WeightsVersion
-	// done is when an order is carried out, target what it asks for.
+	// done is the time at which the load of an engine completes, and target the
+	// version that it loads.
 	done   map[wasabiridge.BackendServerID]wasabiridge.Millis
 	target map[wasabiridge.BackendServerID]wasabiridge.WeightsVersion
-	// accepted counts the orders of each engine. late are orders that are to be
-	// carried out at a time if their condition holds then.
+	// accepted is the number of orders that each engine has accepted. late holds
+	// delayed orders, which are carried out if their condition holds at their time.
 	accepted map[wasabiridge.BackendServerID]uint64
 	late     []lateOrder
-	// lose leaves the orders without an answer for which it reports true. They
-	// are carried out after lateBy, or never when that is zero.
+	// lose reports whether the order to an engine gets no answer. Such an order is
+	// carried out after lateBy, or never if lateBy is zero.
 	lose   func(id wasabiridge.BackendServerID) bool
 	lateBy wasabiridge.Millis
-	// born are the starts of the engines, where they tell them.
-	born map[wasabiridge.BackendServerID]wasabiridge.Incarnation
-	// dark engines do not answer.
-	dark    map[wasabiridge.BackendServerID]bool
-	orders  []wasabiupgrade.SendOrder
-	rests   []wasabiridge.RestNews
-	loading int
+	// incarnations holds the incarnations of the engines that report one.
+	incarnations map[wasabiridge.BackendServerID]wasabiridge.Incarnation
+	// unresponsive holds the engines that do not respond.
+	unresponsive map[wasabiridge.BackendServerID]bool
+	orders       []wasabiupgrade.SendOrder
+	updates      []wasabiridge.RestNews
+	loading      int
 }
 
 type lateOrder struct {
@@ -67,6 +68,7 @@
 	return wasabiridge.BackendServerID(fmt.Sprintf("e%02d", i))
 }
 
+// hold grants the lease with a fencing number for a minute.
 func (f *fleet) hold(fencing wasabiridge.FencingNumber) {
 	f.grant = wasabilease.Grant{Lease: "l", Fencing: fencing, Until: f.now + wasabiridge.Minute}
 }
@@ -75,13 +77,13 @@
 	var out []wasabiridge.BackendEntry
 	for id, v := range f.serves {
 		out = append(out, wasabiridge.BackendEntry{
-			Server: wasabiridge.BackendServer{ID: id, Incarnation: f.born[id]}, Weights: map[wasabiridge.ModelID]wasabiridge.WeightsVersion{model: v},
+			Server: wasabiridge.BackendServer{ID: id, Incarnation: f.incarnations[id]}, Weights: map[wasabiridge.ModelID]wasabiridge.WeightsVersion{model: v},
 		})
 	}
 	return out
 }
 
-// run lets time pass in ticks of 50 ms.
+// run advances the time by span, in ticks of 50 ms.
 func (f *fleet) run(span wasabiridge.Millis) {
 	for end := f.now + span; f.now < end; f.now += 50 {
 		for id, at := range f.done {
@@ -103,7 +105,8 @@
 	}
 }
 
-// accept carries out an order whose condition holds, unless the engine loads.
+// accept starts to load for an order whose condition holds, unless the engine is loading.
+// It reports whether the order was accepted.
 func (f *fleet) accept(x wasabiupgrade.SendOrder) bool {
 	id := x.Server.ID
 	if _, busy := f.done[id]; busy || x.Order.Conditional && x.Order.After != f.accepted[id] {
@@ -118,7 +121,7 @@
 	for _, effect := range slices.Clone(f.machine.Handle(f.now, e)) {
 		switch x := effect.(type) {
 		case wasabiupgrade.Tell:
-			f.rests = append(f.rests, x.News)
+			f.updates = append(f.updates, x.News)
 		case wasabiupgrade.SendOrder:
 			f.orders = append(f.orders, x)
 			id := x.Server.ID
@@ -132,18 +135,19 @@
 			f.handle(result)
 		case wasabiupgrade.ReadState:
 			id := x.Server.ID
-			if f.dark[id] {
+			if f.unresponsive[id] {
 				f.handle(wasabiupgrade.StateRead{Backend: id, Model: x.Model, Failed: true})
 				continue
 			}
 			_, busy := f.done[id]
 			f.handle(wasabiupgrade.StateRead{Backend: id, Model: x.Model, State: wasabiridge.EngineState{
-				Weights: f.serves[id], Loading: busy, Orders: f.accepted[id], Incarnation: f.born[id],
+				Weights: f.serves[id], Loading: busy, Orders: f.accepted[id], Incarnation: f.incarnations[id],
 			}})
 		}
 	}
 }
 
+// left returns the number of engines that do not serve the target version.
 func (f *fleet) left() int {
 	n := 0
 	for _, v := range f.serves {
@@ -160,7 +164,7 @@
 		within wasabiridge.Millis
 	}{1: {1, 2000}, 2: {1, 4000}, 9: {2, 8000}, 44: {8, 11000}}
 	for n, c := range sizes {
-		It(fmt.Sprintf("of %d replicas loads %d at once and is soon done", n, c.most), func() {
+		It(fmt.Sprintf("of %d replicas loads %d at a time and completes in time", n, c.most), func() {
 			f := newFleet(n)
 			f.hold(1)
 			f.wanted = 2
@@ -171,17 +175,17 @@
 		})
 	}
 
-	It("tells all instances before the order, and after the load", func() {
+	It("notifies all instances before the order and after the load", func() {
 		f := newFleet(1)
 		f.hold(1)
 		f.wanted = 2
 		f.run(3000)
-		Expect(f.rests).To(HaveLen(2))
-		Expect(f.rests[0].Resting).To(BeNumerically(">", 0))
-		Expect(f.rests[1]).To(Equal(wasabiridge.RestNews{Backend: id(0), Model: model, Weights: 2}))
+		Expect(f.updates).To(HaveLen(2))
+		Expect(f.updates[0].Resting).To(BeNumerically(">", 0))
+		Expect(f.updates[1]).To(Equal(wasabiridge.RestNews{Backend: id(0), Model: model, Weights: 2}))
 	})
 
-	It("gives no order without the lease, and stops when it ends", func() {
+	It("sends no order without the lease, and stops when the lease expires", func() {
 		f := newFleet(9)
 		f.wanted = 2
 		f.run(2000)
@@ -192,7 +196,7 @@
 		Expect(len(f.orders)).To(BeNumerically("<", 5))
 	})
 
-	It("goes straight to the newest version", func() {
+	It("upgrades directly to the newest version", func() {
 		f := newFleet(9)
 		f.hold(1)
 		f.wanted = 2
@@ -205,10 +209,10 @@
 		}
 	})
 
-	// Story: versions are named every four seconds, less than an upgrade takes.
-	// With replicas ordered by name, the last ones never had their turn and
-	// served weights that were replaced long ago.
-	It("reaches every replica in turn when versions follow each other quickly", func() {
+	// Target versions change every four seconds, faster than an upgrade of all replicas
+	// completes. If replicas were upgraded in the order of their names, the last ones
+	// would never be upgraded and would serve outdated weights.
+	It("reaches every replica when target versions change quickly", func() {
 		f := newFleet(9)
 		f.hold(1)
 		named := map[wasabiridge.WeightsVersion]wasabiridge.Millis{1: f.now}
@@ -222,7 +226,7 @@
 		}
 	})
 
-	It("orders again what was lost or is late", func() {
+	It("sends lost orders again", func() {
 		f := newFleet(3)
 		f.hold(1)
 		f.wanted = 2
@@ -231,11 +235,11 @@
 		Expect(f.left()).To(BeZero())
 	})
 
-	// Story: half of the orders get no answer and are carried out seconds later.
-	// Each of them held one of two places to load for five seconds, while others
-	// stood by without work; with engines crashed besides, half of the pool was
-	// away, and every answer late.
-	It("does not wait for orders that are late, and leaves few away meanwhile", func() {
+	// Half of the orders get no answer and are carried out seconds later. If each of them
+	// kept one of two load slots for five seconds, replicas in backoff would be idle
+	// meanwhile; with crashed engines in addition, half of the pool would be out of
+	// service and all answers late.
+	It("does not wait for delayed orders, and keeps few replicas in backoff meanwhile", func() {
 		f := newFleet(12)
 		f.hold(1)
 		f.wanted = 2
@@ -244,12 +248,12 @@
 		f.lose = func(wasabiridge.BackendServerID) bool { n++; return n%2 == 0 }
 		f.run(11000)
 		Expect(f.left()).To(BeZero())
-		resting, most := map[wasabiridge.BackendServerID]bool{}, 0
-		for _, news := range f.rests {
-			resting[news.Backend] = news.Resting > 0
+		backoffs, most := map[wasabiridge.BackendServerID]bool{}, 0
+		for _, update := range f.updates {
+			backoffs[update.Backend] = update.Resting > 0
 			away := 0
-			for _, rests := range resting {
-				if rests {
+			for _, inBackoff := range backoffs {
+				if inBackoff {
 					away++
 				}
 			}
@@ -258,9 +262,9 @@
 		Expect(most).To(BeNumerically("<=", 4))
 	})
 
-	// Story: an order gets no answer, and is carried out three seconds later. The engine
-	// was left alone all that time, with nothing to do, while the others were full.
-	It("lets a replica serve on that has not answered its order, until it loads", func() {
+	// An order gets no answer and is carried out three seconds later. If the engine stayed
+	// in backoff until then, it would be idle while the others are overloaded.
+	It("lets a replica that has not answered its order serve until it loads", func() {
 		f := newFleet(4)
 		f.hold(1)
 		f.wanted = 2
@@ -272,30 +276,30 @@
 			}
 			return id == lost
 		}
-		rests := func() bool {
+		inBackoff := func() bool {
 			last := wasabiridge.RestNews{}
-			for _, news := range f.rests {
-				if news.Backend == lost {
-					last = news
+			for _, update := range f.updates {
+				if update.Backend == lost {
+					last = update
 				}
 			}
 			return last.Resting > 0
 		}
 		f.run(1000)
 		Expect(lost).NotTo(BeEmpty())
-		Expect(rests()).To(BeFalse())
+		Expect(inBackoff()).To(BeFalse())
 		f.run(2800)
 		Expect(f.serves[lost]).To(BeEquivalentTo(1))
-		Expect(rests()).To(BeTrue(), "it has begun to load")
+		Expect(inBackoff()).To(BeTrue(), "the replica has started to load")
 		f.run(4000)
 		Expect(f.left()).To(BeZero())
-		Expect(rests()).To(BeFalse())
+		Expect(inBackoff()).To(BeFalse())
 	})
 
-	// Story: an order gets no answer. The engine is upgraded twice meanwhile.
-	// Then the first order is carried out and brings the old weights back, on an
-	// engine that everybody takes for new.
-	It("is not undone by an order that is carried out late", func() {
+	// An order gets no answer, and the engine is upgraded twice meanwhile. If the first
+	// order were carried out then, the engine would load old weights while all instances
+	// assume that it serves the new ones.
+	It("is not reverted by an order that is carried out late", func() {
 		f := newFleet(3)
 		f.hold(1)
 		f.wanted = 2
@@ -309,68 +313,68 @@
 		Expect(f.left()).To(BeZero())
 	})
 
-	// Story: two of nine engines are dark when new weights are named. They took the
-	// two places to load again and again, and the others waited.
-	It("does not wait for replicas that do not answer, and brings them up when they do", func() {
+	// Two of nine engines do not respond when the target version changes. They must not
+	// take the two load slots again and again while the others wait.
+	It("does not wait for replicas that do not respond, and upgrades them once they do", func() {
 		f := newFleet(9)
 		f.hold(1)
 		f.wanted = 2
-		f.dark = map[wasabiridge.BackendServerID]bool{id(0): true, id(1): true}
+		f.unresponsive = map[wasabiridge.BackendServerID]bool{id(0): true, id(1): true}
 		f.run(6500)
 		Expect(f.left()).To(Equal(2))
-		for _, news := range f.rests {
-			Expect(f.dark).NotTo(HaveKey(news.Backend), "nobody is told of a replica that does not answer")
+		for _, update := range f.updates {
+			Expect(f.unresponsive).NotTo(HaveKey(update.Backend), "no update is sent about a replica that does not respond")
 		}
-		f.dark = nil
+		f.unresponsive = nil
 		f.run(3500)
 		Expect(f.left()).To(BeZero())
 	})
 
-	// Story: an engine goes dark under its order. It held one of two places for five
-	// seconds.
-	It("goes on beside a replica that falls silent while it loads", func() {
+	// An engine stops responding after its order. It must not keep one of two load slots
+	// for five seconds.
+	It("continues with other replicas if one stops responding while it loads", func() {
 		f := newFleet(6)
 		f.hold(1)
 		f.wanted = 2
 		f.run(400)
 		fell := f.orders[0].Server.ID
 		delete(f.done, fell)
-		f.dark = map[wasabiridge.BackendServerID]bool{fell: true}
+		f.unresponsive = map[wasabiridge.BackendServerID]bool{fell: true}
 		f.run(5500)
 		Expect(f.left()).To(Equal(1))
 	})
 
-	// Story: an engine that is next to load is given long work until the last moment,
-	// and must finish it first.
-	It("lets those that come next take light work only, before they rest", func() {
+	// Without draining, the engines that load next would get long requests until their
+	// backoff starts, and would have to finish these before the load.
+	It("drains the next replicas before their backoff", func() {
 		f := newFleet(9)
 		f.hold(1)
 		f.wanted = 2
 		f.run(8000)
 		Expect(f.left()).To(BeZero())
-		eased := map[wasabiridge.BackendServerID]bool{}
-		for _, news := range f.rests {
-			if news.Easing > 0 {
-				eased[news.Backend] = true
-				Expect(news.Resting).To(BeZero())
+		drained := map[wasabiridge.BackendServerID]bool{}
+		for _, update := range f.updates {
+			if update.Easing > 0 {
+				drained[update.Backend] = true
+				Expect(update.Resting).To(BeZero())
 			}
 		}
-		Expect(eased).To(HaveLen(7), "all but the two that load at once")
+		Expect(drained).To(HaveLen(7), "all but the two that load immediately")
 	})
 
-	// Story: an engine that has been upgraded, or is about to be, starts again under its
-	// name with the weights that it had before. Taken for the same, it passed for
-	// upgraded and kept old weights; an order that counted on what it had accepted
-	// before was refused.
-	restarts := map[string]wasabiridge.Millis{"after its load": 7500, "while it rests": 100, "under its order": 700}
+	// An engine restarts under its name, during or after its upgrade, and serves the weights
+	// that it had before. If the restart is not detected, the engine is assumed to be
+	// upgraded and keeps old weights, or it rejects its order, whose condition counts the
+	// orders that the earlier incarnation accepted.
+	restarts := map[string]wasabiridge.Millis{"after its load": 7500, "in backoff": 100, "after its order": 700}
 	for _, name := range slices.Sorted(maps.Keys(restarts)) {
-		It("brings a replica up that starts again under its name "+name, func() {
+		It("upgrades a replica that restarts under its name "+name, func() {
 			f := newFleet(3)
-			f.born = map[wasabiridge.BackendServerID]wasabiridge.Incarnation{id(0): 10, id(1): 10, id(2): 10}
+			f.incarnations = map[wasabiridge.BackendServerID]wasabiridge.Incarnation{id(0): 10, id(1): 10, id(2): 10}
 			f.hold(1)
 			f.wanted = 2
 			f.run(restarts[name])
-			f.born[id(0)] = 20
+			f.incarnations[id(0)] = 20
 			f.serves[id(0)], f.accepted[id(0)] = 1, 0
 			delete(f.done, id(0))
 			f.run(9000)
@@ -378,7 +382,7 @@
 		})
 	}
 
-	It("brings a replica up that came back with old weights", func() {
+	It("upgrades a new replica that has old weights", func() {
 		f := newFleet(3)
 		f.hold(1)
 		f.wanted = 2
@@ -389,10 +393,10 @@
 		Expect(f.left()).To(BeZero())
 	})
 
-	// Story: the holder of the lease is cut off. Its last order is on its way to
-	// a replica when the next holder orders the same replica; the replica is
-	// ordered by two holders in turn.
-	It("leaves a replica alone of which another instance told a moment ago", func() {
+	// The holder of the lease is partitioned, and its last order is still in flight to a
+	// replica when the next holder takes over. The next holder must not send an order to
+	// the same replica yet.
+	It("sends no order to a replica about which another instance has just sent an update", func() {
 		f := newFleet(2)
 		f.hold(7)
 		f.wanted = 2
@@ -405,10 +409,10 @@
 		Expect(f.left()).To(BeZero())
 	})
 
-	// Story: engines serve two models, whose versions are numbered apart. Taking
-	// the higher number for that of both, an upgrade of the other model would
-	// never begin, or never be seen to end.
-	It("tells the models of one replica apart, and orders one at a time", func() {
+	// Engines serve two models, whose versions are numbered independently. If the higher
+	// number were used for both, an upgrade of the other model would never start, or
+	// never be detected as complete.
+	It("upgrades the models of one replica separately, one at a time", func() {
 		m := wasabiupgrade.NewMachine(wasabiupgrade.Timing{})
 		serves := map[wasabiridge.ModelID]wasabiridge.WeightsVersion{"a": 7, "b": 2}
 		wanted := map[wasabiridge.ModelID]wasabiridge.WeightsVersion{"a": 8, "b": 3}
@@ -440,7 +444,7 @@
 		Expect(most).To(Equal(1))
 	})
 
-	It("stops for good under a fencing number that a replica refused", func() {
+	It("sends no more orders with a fencing number that a replica rejected", func() {
 		f := newFleet(3)
 		f.hold(3)
 		f.wanted = 2
