--- a/internal/wasabiprefix/prefix.go
+++ b/internal/wasabiprefix/prefix.go
@@ -1,14 +1,15 @@
 // Package wasabiprefix turns prompts into chains of cache blocks.
 //
-// A block is a run of about as many tokens as a model engine caches in one
-// piece. Without a tokenizer the length in tokens is estimated from the text
-// at BytesPerToken. Each block's hash covers the block, every block before it
-// and the root, so two prompts share a hash exactly when they share the whole
-// prefix under the same client account, model, adapter and weights.
+// A block has about as many tokens as a model engine caches as a unit. There is no
+// tokenizer; the number of tokens is estimated from the length of the text with
+// BytesPerToken. The hash of a block covers the block, all blocks before it and the
+// root. So, apart from hash collisions, two prompts share a block hash only if they
+// share the complete prefix under the same root: the client account or sharing group,
+// model, adapter and weights.
 //
-// Hashes only steer requests. They are not collision resistant against an
-// attacker, and they need not be: what an engine may reuse is bound by the
-// salt, which the engine mixes into its own cache keys.
+// Hashes are only used to select backend servers. They are not collision resistant
+// against an attacker, and need not be: which blocks an engine may reuse depends on
+// the salt, which the engine includes in its own cache keys.
 //
 // # Usage
 //
@@ -28,14 +29,14 @@
 )
 
 const (
-	// BytesPerToken is the estimated length of one token of text.
+	// BytesPerToken is the estimated length of a token, in bytes of text.
 	BytesPerToken = 4
-	// DefaultBlockTokens is the size of a block when none is configured.
+	// DefaultBlockTokens is the default block size, in tokens.
 	DefaultBlockTokens = 2048
 )
 
-// Of returns the chain of the prompt. Only full blocks get a hash. A block
-// size of zero or less means DefaultBlockTokens. The prompt is not kept.
+// Of returns the chain of the prompt. Only full blocks have a hash. If blockTokens is
+// zero or less, DefaultBlockTokens is used. The prompt is not retained.
 func Of(root wasabiridge.CacheRoot, prompt []byte, blockTokens int) wasabiridge.Chain {
 	if blockTokens <= 0 {
 		blockTokens = DefaultBlockTokens
@@ -62,33 +63,33 @@
 	return chain
 }
 
-// Salt returns a text that differs for different roots. An engine that mixes
-// it into its cache keys never shares a block between two roots. The text
-// does not show the names in the root.
+// Salt returns a string that differs for different roots. An engine that includes it in
+// its cache keys never shares a block between two roots. The salt is a SHA-256 hash, so
+// it does not reveal the names in the root.
 func Salt(root wasabiridge.CacheRoot) string {
 	sum := sha256.Sum256(encode(root))
 	return hex.EncodeToString(sum[:])
 }
 
-// shortDigits is the length of a short salt: 96 bits, far beyond what could meet
-// by chance.
-const shortDigits = 24
+// shortSaltDigits is the length of a short salt in hexadecimal digits. With 96 bits,
+// accidental collisions are practically impossible.
+const shortSaltDigits = 24
 
-// ShortSalt returns the first part of Salt, for caches that tell their salts.
-func ShortSalt(root wasabiridge.CacheRoot) string { return Salt(root)[:shortDigits] }
+// ShortSalt returns a prefix of Salt, for caches that report the salts of their contents.
+func ShortSalt(root wasabiridge.CacheRoot) string { return Salt(root)[:shortSaltDigits] }
 
-// PartKey names a part of a prompt in the caches that find it under a salt.
-func PartKey(salt string, part wasabiridge.BlockHash) uint64 {
-	return xxhash.Sum64(binary.LittleEndian.AppendUint64([]byte(salt), uint64(part)))
+// PartKey returns the key of a prompt segment in caches that store segments by salt.
+func PartKey(salt string, segment wasabiridge.BlockHash) uint64 {
+	return xxhash.Sum64(binary.LittleEndian.AppendUint64([]byte(salt), uint64(segment)))
 }
 
 func rootHash(root wasabiridge.CacheRoot) uint64 {
 	return xxhash.Sum64(encode(root))
 }
 
-// encode writes every field behind its length. Without the lengths the
-// account "a" with model "bc" and the account "ab" with model "c" would share
-// a cache.
+// encode returns an unambiguous encoding of the root. The names are prefixed with their
+// lengths; without these, account "a" with model "bc" and account "ab" with model "c"
+// would share a cache.
 func encode(root wasabiridge.CacheRoot) []byte {
 	out := make([]byte, 0, 64)
 	for _, field := range [...]string{string(root.Account), string(root.Model), string(root.Adapter)} {
--- a/internal/wasabiprefix/prefix_test.go
+++ b/internal/wasabiprefix/prefix_test.go
@@ -36,8 +36,8 @@
 	return n
 }
 
-var _ = Describe("chains", func() {
-	DescribeTable("share exactly their common prefix", func(a, b string, want int) {
+var _ = Describe("Chains", func() {
+	DescribeTable("share exactly the blocks of the common prefix:", func(a, b string, want int) {
 		Expect(shared(
 			wasabiprefix.Of(root, prompt(a), blockTokens),
 			wasabiprefix.Of(root, prompt(b), blockTokens))).To(Equal(want))
@@ -48,17 +48,17 @@
 		Entry("longer prompt", "mh", "mhq", 2),
 	)
 
-	It("hashes full blocks only and counts all tokens", func() {
+	It("contain hashes of full blocks only, and count all tokens", func() {
 		chain := wasabiprefix.Of(root, append(prompt("mh"), "rest!"...), blockTokens)
 		Expect(chain.Blocks).To(HaveLen(2))
 		Expect(chain.Tokens).To(Equal(2*blockTokens + 2))
 		Expect(wasabiprefix.Of(root, nil, 0).BlockTokens).To(Equal(wasabiprefix.DefaultBlockTokens))
 	})
 
-	// Story: two client accounts read the same manual. If their chains met,
-	// one would be sent to blocks that belong to the other. The cause would
-	// be a root that is left out of the hash or joined without lengths.
-	DescribeTable("separate roots", func(change func(*wasabiridge.CacheRoot)) {
+	// Two client accounts send prompts with the same manual. If a part of the root were
+	// missing in the hash, or its names concatenated without lengths, the chains would
+	// share hashes, and one account would be routed to cached blocks of the other.
+	DescribeTable("share nothing if their roots differ in the", func(change func(*wasabiridge.CacheRoot)) {
 		other := root
 		change(&other)
 		Expect(shared(
@@ -70,7 +70,7 @@
 		Entry("model", func(r *wasabiridge.CacheRoot) { r.Model = "x" }),
 		Entry("adapter", func(r *wasabiridge.CacheRoot) { r.Adapter = "x" }),
 		Entry("weights", func(r *wasabiridge.CacheRoot) { r.Weights = 2 }),
-		Entry("moved border", func(r *wasabiridge.CacheRoot) { r.Account, r.Model = "a", "bc" }),
+		Entry("boundary between account and model", func(r *wasabiridge.CacheRoot) { r.Account, r.Model = "a", "bc" }),
 	)
 })
 
