--- a/internal/wasabicache/cache_test.go
+++ b/internal/wasabicache/cache_test.go
@@ -30,7 +30,7 @@
 	return wasabiridge.CacheEvent{Backend: "e", Incarnation: 1, Sequence: sequence, Kind: kind, Block: b}
 }
 
-var _ = Describe("picture", func() {
+var _ = Describe("The estimate of a cache", func() {
 	var (
 		p *wasabicache.Picture
 		e wasabicache.ServerIndex
@@ -55,44 +55,43 @@
 		p.Reborn(e, 1, 1)
 	})
 
-	DescribeTable("drops what cannot be relied on", func(news func(), want float64) {
+	DescribeTable("drops blocks that the engine may no longer hold:", func(change func(), want float64) {
 		p.Touch(start, e, document, 4)
-		news()
+		change()
 		Expect(tokens(start, document)).To(BeNumerically("~", want, 1))
 	},
-		Entry("nothing happened", func() {}, 400.0),
+		Entry("no change", func() {}, 400.0),
 		Entry("new incarnation", func() { p.Reborn(e, 2, 1) }, 0.0),
 		Entry("new weights", func() { p.Reborn(e, 1, 2) }, 0.0),
-		Entry("news of an earlier incarnation", func() { Expect(p.Reborn(e, 0, 1)).To(BeTrue()) }, 400.0),
+		Entry("report from an earlier incarnation", func() { Expect(p.Reborn(e, 0, 1)).To(BeTrue()) }, 400.0),
 		Entry("cleared cache", func() { p.Audit(start, event(1, wasabiridge.CacheCleared, 0)) }, 0.0),
 		Entry("evicted leaf", func() { p.Audit(start, event(1, wasabiridge.BlockEvicted, 14)) }, 300.0),
 		Entry("evicted root", func() { p.Audit(start, event(1, wasabiridge.BlockEvicted, 11)) }, 0.0),
 		Entry("failed attempt", func() { p.Forget(e, document, 1) }, 100.0),
-		Entry("pause longer than ticks last", func() {
+		Entry("pause longer than the range of ticks", func() {
 			p.Tick(start)
 			p.Tick(start + 2*wasabiridge.Hour)
 		}, 0.0),
 	)
 
-	DescribeTable("believes an entry that was stored 40 s ago", func(news func(), low, high float64) {
+	DescribeTable("estimates the probability of blocks that were stored 40 s ago:", func(change func(), low, high float64) {
 		stored(start, 1, 4)
-		news()
+		change()
 		Expect(tokens(start+40*second, document)).To(And(BeNumerically(">=", low), BeNumerically("<=", high)))
 	},
-		Entry("while the stream is whole", func() { stored(start+39*second, 5, 8) }, 20.0, 60.0),
-		Entry("while a whole stream has lasted", func() {
+		Entry("low after a few events without gaps", func() { stored(start+39*second, 5, 8) }, 20.0, 60.0),
+		Entry("high after many events without gaps", func() {
 			for s := uint64(5); s < 400; s++ {
 				p.Audit(start+39*second, event(s, wasabiridge.BlockStored, wasabiridge.BlockHash(10+s)))
 			}
 		}, 200.0, 400.0),
-		Entry("little after a long gap", func() { stored(start+39*second, 100, 104) }, 0.0, 10.0),
-		Entry("little when an event is overdue", func() { p.Expect(start+second, e) }, 0.0, 10.0),
+		Entry("very low after a long gap", func() { stored(start+39*second, 100, 104) }, 0.0, 10.0),
+		Entry("very low while an event is overdue", func() { p.Expect(start+second, e) }, 0.0, 10.0),
 	)
 
-	// Story: an engine with a small cache evicts within two seconds, but a
-	// request is sent there for a manual that it read ten seconds ago, and the
-	// technician waits for the whole manual to be read again. The cause is a
-	// lifetime that is assumed and never learned.
+	// An engine with a small cache evicts blocks within two seconds. With a fixed
+	// lifetime, requests would still be sent there for a prefix that it computed ten
+	// seconds ago, and callers would wait until it is computed again.
 	It("learns the block lifetime from answers", func() {
 		for i := range 60 {
 			at := start + wasabiridge.Millis(i)*4*second
@@ -109,7 +108,7 @@
 		Expect(p.Lifetime(e)).To(BeNumerically(">", before))
 	})
 
-	It("keeps within its bound and gives up old levels first", func() {
+	It("keeps to the maximum number of blocks and evicts old ones first", func() {
 		p = wasabicache.New(wasabicache.Options{MaxLevels: 100})
 		e = p.Server("e")
 		for i := range 1000 {
@@ -119,10 +118,10 @@
 		Expect(tokens(start+100*second, chain(1000))).To(BeNumerically(">", 50))
 	})
 
-	// Story: a manual is so hot that more engines hold it than an entry can
-	// name. A request for one lift's history goes to an engine that holds
-	// manual and history, although the manual's entry does not name it.
-	It("trusts a deep level when the levels above name too few holders", func() {
+	// More engines hold a popular prefix than its entries can list. A request that
+	// extends the prefix must be sent to an engine that holds the extension too, although
+	// the entries of the prefix do not list that engine.
+	It("takes a holder of a later block as a holder of earlier blocks whose entries are full", func() {
 		p.Touch(start, e, document, 4)
 		for _, id := range []wasabiridge.BackendServerID{"a", "b", "c", "d", "f", "g", "h"} {
 			p.Touch(start+second, p.Server(id), document, 2)
@@ -130,7 +129,7 @@
 		Expect(tokens(start+second, document)).To(BeNumerically("~", 400, 1))
 	})
 
-	It("removes what nobody holds or asks for", func() {
+	It("removes blocks without holders and requests", func() {
 		p.Touch(start, e, document, 4)
 		p.Reborn(e, 2, 1)
 		for at := start; at < start+10*wasabiridge.Minute; at += 50 {
@@ -139,7 +138,7 @@
 		Expect(p.Levels()).To(BeZero())
 	})
 
-	It("never lets a used number of a life claim old entries", func() {
+	It("does not attribute old entries to a reused generation number", func() {
 		p.Touch(start, e, document, 4)
 		for i := range wasabiridge.Incarnation(70_000) {
 			p.Reborn(e, i+2, 1)
@@ -160,7 +159,7 @@
 	return p
 }
 
-// BenchmarkMemory reports the heap that known levels take.
+// BenchmarkMemory reports the heap memory per block.
 func BenchmarkMemory(b *testing.B) {
 	for _, levels := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("levels=%d", levels), func(b *testing.B) {
@@ -178,7 +177,7 @@
 	}
 }
 
-// BenchmarkTick reports the time of the cleaning that is due each 50 ms.
+// BenchmarkTick reports the time of one Tick, which runs every 50 ms.
 func BenchmarkTick(b *testing.B) {
 	for _, levels := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("levels=%d", levels), func(b *testing.B) {
@@ -190,7 +189,7 @@
 	}
 }
 
-// BenchmarkAudit reports the time to take one cache event.
+// BenchmarkAudit reports the time to process one cache event.
 func BenchmarkAudit(b *testing.B) {
 	for _, levels := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("levels=%d", levels), func(b *testing.B) {
--- a/internal/wasabicache/hits.go
+++ b/internal/wasabicache/hits.go
@@ -7,43 +7,42 @@
 )
 
 const (
-	// maxHits bounds how many holders one look returns.
+	// maxHits is the maximum number of engines that one lookup returns.
 	maxHits = 64
-	// maxWalk bounds how many blocks of one chain are looked up.
+	// maxWalk is the maximum number of blocks of a chain that are looked up.
 	maxWalk = 256
-	// heatHalfLife is the time in which the heat of a level halves.
-	heatHalfLife = 20 * wasabiridge.Second
-	// coldAfter is the time without a request after which a level that
-	// nobody holds is forgotten.
-	coldAfter = 8 * heatHalfLife
+	// countHalfLife is the half-life of request counts.
+	countHalfLife = 20 * wasabiridge.Second
+	// unusedAfter is the time without a request after which an entry without
+	// holders is removed.
+	unusedAfter = 8 * countHalfLife
 )
 
-// Hit is an engine that is believed to hold the beginning of a chain.
+// Hit is an engine that is estimated to hold a prefix of a chain.
 type Hit struct {
 	Server ServerIndex
 	// Tokens is the expected number of cached tokens.
 	Tokens float64
-	// Depth is the number of leading blocks that it may hold.
+	// Depth is the number of leading blocks that the engine may hold.
 	Depth int
-	// Firm is the number of leading blocks that it rather holds than not, or
-	// will when its queue is done. Shown is how many of them it has shown to
-	// hold.
+	// Firm is the number of leading blocks that the engine holds, or will hold after
+	// its queued requests, with a probability of at least 0.5. Shown is the number of
+	// those that are not pending: the engine has been shown to hold them.
 	Firm  int
 	Shown int
 }
 
-// walk is the state of one engine during one look.
+// walk is the state of one engine during one lookup.
 type walk struct {
-	round   uint64
-	hit     int32
-	trust   float64
-	pending bool
+	round       uint64
+	hit         int32
+	probability float64
+	pending     bool
 }
 
-// Hits returns the engines that are believed to hold the beginning of the
-// chain, in the order in which they were found. Engines whose weights are
-// known to differ from those of the chain are left out. The slice is valid
-// until the next call.
+// Hits returns the engines that are estimated to hold a prefix of the chain, in the order
+// in which they are found. Engines that are known to serve other weights than those of the
+// chain are omitted. The slice is valid until the next call.
 func (p *Picture) Hits(now wasabiridge.Millis, c wasabiridge.Chain) []Hit {
 	p.hits = p.hits[:0]
 	p.round++
@@ -54,7 +53,7 @@
 			break
 		}
 		for _, h := range e.holders {
-			p.meet(now, c, h, i, fullFrom)
+			p.visitHolder(now, c, h, i, fullFrom)
 		}
 		if !e.full() {
 			fullFrom = i + 1
@@ -63,14 +62,14 @@
 	return p.hits
 }
 
-// meet adds one holder of block i. Levels from fullFrom to i-1 know only some
-// of their holders, so missing there is no sign that the engine lacks the
-// block: whoever holds a block computed every block before it.
-func (p *Picture) meet(now wasabiridge.Millis, c wasabiridge.Chain, h holder, i, fullFrom int) {
-	if h.life() == 0 || p.lives[h.life()] == noServer {
+// visitHolder adds block i to the hit of one of its holders. The entries of the blocks from
+// fullFrom to i-1 are full, so they may lack holders. An engine that is missing there is
+// assumed to hold these blocks too, because it must have computed all blocks before i.
+func (p *Picture) visitHolder(now wasabiridge.Millis, c wasabiridge.Chain, h holder, i, fullFrom int) {
+	if h.generation() == 0 || p.generations[h.generation()] == noServer {
 		return
 	}
-	s := p.lives[h.life()]
+	s := p.generations[h.generation()]
 	sv := &p.servers[s]
 	if w := c.Root.Weights; w != 0 && sv.weights != 0 && w != sv.weights {
 		return
@@ -79,17 +78,17 @@
 		if len(p.hits) == maxHits {
 			return
 		}
-		sv.walk = walk{round: p.round, hit: int32(len(p.hits)), trust: 1}
+		sv.walk = walk{round: p.round, hit: int32(len(p.hits)), probability: 1}
 		p.hits = append(p.hits, Hit{Server: s})
 	}
 	hit := &p.hits[sv.walk.hit]
 	if hit.Depth < i && hit.Depth < fullFrom {
 		return
 	}
-	sv.walk.trust = min(sv.walk.trust, p.trust(now, sv, h))
-	hit.Tokens += sv.walk.trust * float64((i+1-hit.Depth)*c.BlockTokens)
+	sv.walk.probability = min(sv.walk.probability, p.heldProbability(now, sv, h))
+	hit.Tokens += sv.walk.probability * float64((i+1-hit.Depth)*c.BlockTokens)
 	hit.Depth = i + 1
-	if sv.walk.trust < believed {
+	if sv.walk.probability < heldThreshold {
 		return
 	}
 	hit.Firm = i + 1
@@ -98,34 +97,34 @@
 	}
 }
 
-// Heat counts one request for every level of the chain.
+// Heat counts one request for each block of the chain.
 func (p *Picture) Heat(now wasabiridge.Millis, c wasabiridge.Chain) {
 	at := tickOf(now)
 	for _, b := range c.Blocks[:min(len(c.Blocks), maxWalk)] {
 		e := p.entry(now, b)
-		e.heat = cooled(e.heat, e.heatAt.age(at)) + 1
-		e.heatAt = at
+		e.count = decayCount(e.count, e.countedAt.age(at)) + 1
+		e.countedAt = at
 	}
 }
 
-// HeatOf returns the decayed number of requests for one level.
+// HeatOf returns the number of requests for a block, with exponential decay.
 func (p *Picture) HeatOf(now wasabiridge.Millis, b wasabiridge.BlockHash) float64 {
 	e := p.table.find(b)
 	if e == nil {
 		return 0
 	}
-	return float64(cooled(e.heat, e.heatAt.age(tickOf(now))))
+	return float64(decayCount(e.count, e.countedAt.age(tickOf(now))))
 }
 
-// Cooled returns what is left of a count of requests after a time, by the same
-// half-life as the heat of levels.
+// Cooled returns the value of a request count after the given time of decay, with the same
+// half-life as HeatOf.
 func (p *Picture) Cooled(count float64, age wasabiridge.Millis) float64 {
-	return float64(cooled(float32(count), age))
+	return float64(decayCount(float32(count), age))
 }
 
-func cooled(heat float32, age wasabiridge.Millis) float32 {
+func decayCount(count float32, age wasabiridge.Millis) float32 {
 	if age == 0 {
-		return heat
+		return count
 	}
-	return heat * float32(math.Exp2(-float64(age)/float64(heatHalfLife)))
+	return count * float32(math.Exp2(-float64(age)/float64(countHalfLife)))
 }
--- a/internal/wasabicache/picture.go
+++ b/internal/wasabicache/picture.go
@@ -6,69 +6,71 @@
 const (
 	// DefaultMaxLevels is 7/8 of 131072 slots, which take 5 MiB.
 	DefaultMaxLevels = 114688
-	// DefaultLifetime is the block lifetime assumed before any is learned.
+	// DefaultLifetime is the initial value of the learned block lifetime.
 	DefaultLifetime = 10 * wasabiridge.Second
-	// DefaultSilence is how long an event may be overdue before its stream
-	// stops vouching for entries.
+	// DefaultSilence is the default of Options.Silence.
 	DefaultSilence = 2 * wasabiridge.Second
 )
 
-// Options holds the knobs of a Picture. The zero value works.
+// Options configures a Picture. The zero value selects the defaults.
 type Options struct {
-	// MaxLevels bounds how many prefix levels are known. Zero means
+	// MaxLevels is the maximum number of blocks with an entry. Zero means
 	// DefaultMaxLevels.
 	MaxLevels int
-	// Lifetime is the block lifetime assumed at first. Zero means
+	// Lifetime is the initial value of the learned block lifetime. Zero means
 	// DefaultLifetime.
 	Lifetime wasabiridge.Millis
-	// Silence is how long an event may be overdue before its stream stops
-	// vouching for entries. Zero means DefaultSilence.
+	// Silence is the time after which an expected event is overdue, so that the
+	// stream is considered stopped and its lack of eviction events is ignored. Zero
+	// means DefaultSilence.
 	Silence wasabiridge.Millis
 }
 
-// ServerIndex numbers the known model engines from zero, in the order in which
-// they were first named.
+// ServerIndex is the index of a model engine. Engines are numbered from zero in the order
+// of the first calls to Server.
 type ServerIndex int32
 
-// noServer marks a life that is over.
+// noServer marks an old generation.
 const noServer ServerIndex = -1
 
-// server is what is known of one model engine over all its lives.
+// server is the state of one model engine over all its generations.
 type server struct {
 	id          wasabiridge.BackendServerID
 	incarnation wasabiridge.Incarnation
 	weights     wasabiridge.WeightsVersion
-	life        uint16
-	// lifetime is learned and outlives incarnations.
+	generation  uint16
+	// lifetime is the learned block lifetime in milliseconds. It is kept across
+	// incarnations.
 	lifetime float64
-	// loss is the share of the engine's events that do not arrive, between 0
+	// loss is the estimated rate of lost events of the engine's stream, between 0
 	// and 1.
 	loss     float64
 	sequence uint64
-	// whole is since when no long gap was seen.
-	whole wasabiridge.Millis
-	// owed is since when an event is due. Zero means that none is.
-	owed wasabiridge.Millis
-	// held counts entries that name the current life.
-	held int
-	walk walk
+	// lastLongGap is the time of the last long gap in the stream.
+	lastLongGap wasabiridge.Millis
+	// expectedSince is the time since which an event is expected. Zero means that none is.
+	expectedSince wasabiridge.Millis
+	// heldCount is the number of entries that refer to the current generation.
+	heldCount int
+	walk      walk
 }
 
-// Picture is what is believed of all engines' caches. See the package comment.
+// Picture is the estimate of all engines' caches. See the package comment. It is not safe
+// for concurrent use.
 type Picture struct {
 	opts    Options
 	table   table
 	index   map[wasabiridge.BackendServerID]ServerIndex
 	servers []server
-	// lives maps the number of a life to its server. Number 0 is not used.
-	lives []ServerIndex
-	free  []uint16
-	hits  []Hit
-	round uint64
-	seen  wasabiridge.Millis
+	// generations maps generation numbers to servers. Number 0 is not used.
+	generations []ServerIndex
+	free        []uint16
+	hits        []Hit
+	round       uint64
+	seen        wasabiridge.Millis
 }
 
-// New returns an empty picture.
+// New returns an empty Picture.
 func New(o Options) *Picture {
 	if o.MaxLevels <= 0 {
 		o.MaxLevels = DefaultMaxLevels
@@ -80,14 +82,14 @@
 		o.Silence = DefaultSilence
 	}
 	return &Picture{
-		opts:  o,
-		table: newTable(),
-		index: make(map[wasabiridge.BackendServerID]ServerIndex),
-		lives: []ServerIndex{noServer},
+		opts:        o,
+		table:       newTable(),
+		index:       make(map[wasabiridge.BackendServerID]ServerIndex),
+		generations: []ServerIndex{noServer},
 	}
 }
 
-// Server returns the number of an engine and makes one at the first call.
+// Server returns the index of an engine. The engine is added if it is not known.
 func (p *Picture) Server(id wasabiridge.BackendServerID) ServerIndex {
 	if i, ok := p.index[id]; ok {
 		return i
@@ -95,19 +97,19 @@
 	i := ServerIndex(len(p.servers))
 	p.index[id] = i
 	p.servers = append(p.servers, server{id: id, lifetime: float64(p.opts.Lifetime), loss: 1})
-	p.beginLife(i)
+	p.startGeneration(i)
 	return i
 }
 
-// ID returns the name of an engine.
+// ID returns the identifier of an engine.
 func (p *Picture) ID(s ServerIndex) wasabiridge.BackendServerID { return p.servers[s].id }
 
-// Incarnation returns the engine's life that the picture is about. Zero means
-// that it is not known.
+// Incarnation returns the latest known incarnation of the engine. Zero means that it is
+// not known.
 func (p *Picture) Incarnation(s ServerIndex) wasabiridge.Incarnation { return p.servers[s].incarnation }
 
-// Weights returns the version that the engine is known to serve. Zero means
-// that it is not known.
+// Weights returns the version of the weights that the engine serves. Zero means that it is
+// not known.
 func (p *Picture) Weights(s ServerIndex) wasabiridge.WeightsVersion { return p.servers[s].weights }
 
 // Lifetime returns the block lifetime learned for the engine.
@@ -115,27 +117,27 @@
 	return wasabiridge.Millis(p.servers[s].lifetime)
 }
 
-// Levels counts the prefix levels that are known.
+// Levels returns the number of blocks with an entry.
 func (p *Picture) Levels() int { return p.table.used }
 
-// Touch tells that the engine holds the first n blocks of the chain.
+// Touch records that the engine holds the first n blocks of the chain.
 func (p *Picture) Touch(now wasabiridge.Millis, s ServerIndex, c wasabiridge.Chain, n int) {
 	for _, b := range c.Blocks[:min(n, len(c.Blocks))] {
 		p.set(now, s, b, 0)
 	}
 }
 
-// Ask tells that the engine is asked to compute the chain. Blocks that it was
-// not known to hold count as held for choosing an engine, because whoever
-// follows finds them there. They are not claimed before the engine has shown
-// that it computed them: the request may never reach it.
+// Ask records that a request for the chain is sent to the engine. Blocks that the engine
+// was not known to hold become pending. They count as held for the selection of an engine,
+// because a later request will find them there. They do not count in Hit.Shown until the
+// engine has been shown to hold them, because the request may never reach it.
 func (p *Picture) Ask(now wasabiridge.Millis, s ServerIndex, c wasabiridge.Chain) {
 	for _, b := range c.Blocks {
 		p.set(now, s, b, pendingBit)
 	}
 }
 
-// Forget tells that the engine does not hold the blocks from number n on.
+// Forget records that the engine does not hold the blocks of the chain from index n on.
 func (p *Picture) Forget(s ServerIndex, c wasabiridge.Chain, n int) {
 	for _, b := range c.Blocks[min(n, len(c.Blocks)):] {
 		p.unset(s, b)
@@ -144,16 +146,16 @@
 
 func (p *Picture) set(now wasabiridge.Millis, s ServerIndex, b wasabiridge.BlockHash, flags holder) {
 	sv := &p.servers[s]
-	h := newHolder(sv.life, tickOf(now), flags)
+	h := newHolder(sv.generation, tickOf(now), flags)
 	replaced := p.entry(now, b).set(h)
-	if replaced.life() != h.life() {
-		sv.held++
+	if replaced.generation() != h.generation() {
+		sv.heldCount++
 		p.released(replaced)
 	}
 }
 
-// entry finds or adds the entry of a block. When the table is at its bound, an
-// old entry is given up first.
+// entry returns the entry of a block, which is added if necessary. If the number of
+// entries has reached Options.MaxLevels, an old entry is evicted first.
 func (p *Picture) entry(now wasabiridge.Millis, b wasabiridge.BlockHash) *entry {
 	if e := p.table.find(b); e != nil {
 		return e
@@ -168,29 +170,30 @@
 	return p.table.add(b, tickOf(now))
 }
 
-// released counts a holder that was taken out of an entry.
+// released updates the count of held blocks for a holder that was removed from an entry.
 func (p *Picture) released(h holder) {
-	if h.life() == 0 || p.lives[h.life()] == noServer {
+	if h.generation() == 0 || p.generations[h.generation()] == noServer {
 		return
 	}
-	p.servers[p.lives[h.life()]].held--
+	p.servers[p.generations[h.generation()]].heldCount--
 }
 
 func (p *Picture) unset(s ServerIndex, b wasabiridge.BlockHash) {
 	sv := &p.servers[s]
-	if e := p.table.find(b); e != nil && e.unset(sv.life) {
-		sv.held--
+	if e := p.table.find(b); e != nil && e.unset(sv.generation) {
+		sv.heldCount--
 	}
 }
 
-// sweepShare is the part of the table that one Tick visits. With a tick each
-// 50 ms the whole table is visited within a minute.
+// sweepShare is the divisor for the part of the table that one Tick visits. With a tick
+// every 50 ms the complete table is visited within a minute.
 const sweepShare = 1024
 
-// Tick does a small part of the cleaning. Call it at least every 50 ms.
+// Tick removes outdated holders and entries from a small part of the table. Call it at
+// least every 50 ms.
 func (p *Picture) Tick(now wasabiridge.Millis) {
-	// Ticks wrap. A process that was paused for long would take old entries
-	// for fresh ones, so it begins with an empty picture.
+	// Ticks wrap around. After a long pause of the process, old entries would
+	// look recent, so all entries are dropped.
 	if p.seen != 0 && now-p.seen > wrap/2 {
 		p.table = newTable()
 		for s := range p.servers {
@@ -209,22 +212,22 @@
 	if e.hash == 0 {
 		return
 	}
-	p.dropDead(e)
+	p.removeOldHolders(e)
 	for i, h := range e.holders {
-		if h.life() == 0 {
+		if h.generation() == 0 {
 			continue
 		}
-		sv := &p.servers[p.lives[h.life()]]
+		sv := &p.servers[p.generations[h.generation()]]
 		age := h.stamp().age(tickOf(now))
 		switch {
-		case age > wrap/4 && p.trust(now, sv, h) > believed:
-			e.holders[i] = newHolder(h.life(), tickOf(now), h.flags())
-		case p.trust(now, sv, h) < forgetTrust || age > wrap/3:
+		case age > wrap/4 && p.heldProbability(now, sv, h) > heldThreshold:
+			e.holders[i] = newHolder(h.generation(), tickOf(now), h.flags())
+		case p.heldProbability(now, sv, h) < minHeldProbability || age > wrap/3:
 			e.holders[i] = 0
-			sv.held--
+			sv.heldCount--
 		}
 	}
-	if e.empty() && e.heatAt.age(tickOf(now)) > coldAfter {
+	if e.empty() && e.countedAt.age(tickOf(now)) > unusedAfter {
 		p.table.remove(slot)
 	}
 }
--- a/internal/wasabicache/table.go
+++ b/internal/wasabicache/table.go
@@ -3,38 +3,39 @@
 import "github.com/wasabiridge/wasabiridge"
 
 const (
-	// holdersPerEntry bounds how many engines one entry names.
+	// holdersPerEntry is the maximum number of engines in one entry.
 	holdersPerEntry = 6
-	// minSlots is the smallest table, a power of two.
+	// minSlots is the initial size of the table. It must be a power of two.
 	minSlots = 1 << 10
-	// fillNumerator and fillDenominator bound how full the table may be.
+	// fillNumerator and fillDenominator are the maximum load factor of the table.
 	fillNumerator   = 7
 	fillDenominator = 8
 )
 
-// entry is what is known of one prefix level. An entry whose hash is zero is
-// free.
+// entry holds the known holders of one block and its request count. A slot whose hash is
+// zero is free.
 type entry struct {
 	hash    wasabiridge.BlockHash
 	holders [holdersPerEntry]holder
-	// heat is a request count that halves every heatHalfLife, as of heatAt.
-	heat   float32
-	heatAt tick
+	// count is the request count at countedAt, which decays with countHalfLife.
+	count     float32
+	countedAt tick
 }
 
-// table finds entries by hash with linear probing. Its course depends on the
-// order of calls only.
+// table is a hash table with linear probing. It is deterministic: its state depends only
+// on the sequence of calls.
 type table struct {
 	slots []entry
 	used  int
-	hand  int
+	// hand is the position of the sweep and of the search for evictions.
+	hand int
 }
 
 func newTable() table {
 	return table{slots: make([]entry, minSlots)}
 }
 
-// key keeps the zero hash out of the table, because it marks free slots.
+// key maps the zero hash to 1, because zero marks free slots.
 func key(h wasabiridge.BlockHash) wasabiridge.BlockHash {
 	if h == 0 {
 		return 1
@@ -58,14 +59,14 @@
 	}
 }
 
-// add puts in an entry for a hash that is not there. The pointer is valid
-// until the next call that adds or removes.
+// add adds an entry for a hash that is not in the table. The pointer is valid until the
+// next call of add or remove.
 func (t *table) add(h wasabiridge.BlockHash, now tick) *entry {
 	if (t.used+1)*fillDenominator > len(t.slots)*fillNumerator {
 		t.grow()
 	}
 	t.used++
-	return t.place(entry{hash: key(h), heatAt: now})
+	return t.place(entry{hash: key(h), countedAt: now})
 }
 
 func (t *table) place(e entry) *entry {
@@ -88,11 +89,11 @@
 	}
 }
 
-// staleSample is how many entries are compared to find one to give up.
+// staleSample is the number of entries that are compared to find one to evict.
 const staleSample = 8
 
-// stale returns the slot of the entry confirmed longest ago among the next few
-// after the hand. The table must not be empty.
+// stale returns the slot to evict: that of the oldest entry among the next staleSample
+// entries after the hand. The table must not be empty.
 func (t *table) stale(now tick) int {
 	oldest, oldestAge := -1, wasabiridge.Millis(-1)
 	for seen := 0; seen < staleSample; {
@@ -109,8 +110,8 @@
 	return oldest
 }
 
-// remove frees a slot and moves later entries of the same run forward, so
-// that no search stops early at the hole.
+// remove frees a slot and moves later entries of the same probe sequence back, so that
+// no search ends at the free slot too early.
 func (t *table) remove(i int) {
 	mask := len(t.slots) - 1
 	t.used--
@@ -123,12 +124,12 @@
 	t.slots[i] = entry{}
 }
 
-// age is the time since the newest sign of life of any holder, or since the
-// last request when there is no holder.
+// age returns the time since the last request for the block or the last confirmation of
+// any of its holders, whichever is later.
 func (e *entry) age(now tick) wasabiridge.Millis {
-	best := e.heatAt.age(now)
+	best := e.countedAt.age(now)
 	for _, h := range e.holders {
-		if h.life() != 0 {
+		if h.generation() != 0 {
 			best = min(best, h.stamp().age(now))
 		}
 	}
