--- a/internal/wasabifingerprint/fingerprint.go
+++ b/internal/wasabifingerprint/fingerprint.go
@@ -1,10 +1,10 @@
-// Package wasabifingerprint names requests by what they ask, so that one that comes
-// again under another identifier is known for the same.
+// Package wasabifingerprint computes fingerprints of requests from their content, so that
+// a repeated request is recognized even if it has another request identifier.
 //
 // A fingerprint covers the client account, method, host, path with query, model and
-// body. A request without a body is told from others by the parts of its prompt. It is
-// keyed: without the key nobody can find out from a fingerprint in a log, by trying,
-// what was asked.
+// body. For a request without a body it covers the hashes of its prompt segments instead.
+// Fingerprints are keyed (HMAC-SHA-256), so that the content of a request cannot be
+// recovered from a logged fingerprint by trying candidates without the key.
 //
 // # Usage
 //
@@ -20,26 +20,28 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Content is what a request asks.
+// Content is the part of a request that its fingerprint covers.
 type Content struct {
 	Account wasabiridge.ClientAccountID
 	Method  string
 	Host    string
-	// Path is the path with its query.
+	// Path is the URL path, including the query.
 	Path  string
 	Model wasabiridge.ModelID
 	Body  []byte
-	// Blocks are the parts of the prompt, as far as the caller names them. They count
-	// only where there is no body.
+	// Blocks are the hashes of the prompt segments, if the caller states them. They
+	// are ignored if there is a body.
 	Blocks []wasabiridge.BlockHash
 }
 
-// Namer makes fingerprints. It is safe for concurrent use.
+// Namer computes fingerprints. The zero value uses an empty key. It is safe for concurrent
+// use.
 type Namer struct {
 	key []byte
 }
 
-// New returns a Namer. Instances name alike only with the same key.
+// New returns a Namer. All instances must use the same key to get the same fingerprints.
+// The key must not be changed afterwards.
 func New(key []byte) Namer { return Namer{key: key} }
 
 // Name returns the fingerprint of a request. It is never zero.
@@ -47,8 +49,9 @@
 	mac := hmac.New(sha256.New, n.key)
 	var length [8]byte
 	field := func(data []byte) {
-		// The length tells where a field ends, so that no two requests look alike
-		// because a part of one field stands in the next.
+		// The length prefix makes the encoding unambiguous. Without it, requests
+		// that differ only in where one field ends and the next begins would get the
+		// same fingerprint.
 		binary.BigEndian.PutUint64(length[:], uint64(len(data)))
 		mac.Write(length[:])
 		mac.Write(data)
--- a/internal/wasabifingerprint/fingerprint_test.go
+++ b/internal/wasabifingerprint/fingerprint_test.go
@@ -10,7 +10,9 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabitest"
 )
 
-func TestFingerprintsTellRequestsApart(t *testing.T) {
+// Guards against different requests with the same fingerprint, of which one could then be
+// blocked because of the other, and against repeated requests that are not recognized.
+func TestFingerprintsDistinguishRequests(t *testing.T) {
 	base := wasabifingerprint.Content{
 		Account: "a", Method: "POST", Host: "h", Path: "/p?q", Model: "m", Body: []byte("question"), Blocks: []wasabiridge.BlockHash{1, 2},
 	}
@@ -18,17 +20,17 @@
 		change func(c *wasabifingerprint.Content)
 		same   bool
 	}{
-		"nothing":                      {func(*wasabifingerprint.Content) {}, true},
-		"the parts beside a body":      {func(c *wasabifingerprint.Content) { c.Blocks = nil }, true},
-		"the account":                  {func(c *wasabifingerprint.Content) { c.Account = "b" }, false},
-		"the method":                   {func(c *wasabifingerprint.Content) { c.Method = "PUT" }, false},
-		"the host":                     {func(c *wasabifingerprint.Content) { c.Host = "i" }, false},
-		"the query":                    {func(c *wasabifingerprint.Content) { c.Path = "/p?r" }, false},
-		"the model":                    {func(c *wasabifingerprint.Content) { c.Model = "n" }, false},
-		"a byte of the body":           {func(c *wasabifingerprint.Content) { c.Body = []byte("questiom") }, false},
-		"a letter moved between two":   {func(c *wasabifingerprint.Content) { c.Account, c.Method = "aP", "OST" }, false},
-		"no body":                      {func(c *wasabifingerprint.Content) { c.Body = nil }, false},
-		"no body, and other parts too": {func(c *wasabifingerprint.Content) { c.Body, c.Blocks = nil, nil }, false},
+		"nothing":                           {func(*wasabifingerprint.Content) {}, true},
+		"the segments, with a body":         {func(c *wasabifingerprint.Content) { c.Blocks = nil }, true},
+		"the account":                       {func(c *wasabifingerprint.Content) { c.Account = "b" }, false},
+		"the method":                        {func(c *wasabifingerprint.Content) { c.Method = "PUT" }, false},
+		"the host":                          {func(c *wasabifingerprint.Content) { c.Host = "i" }, false},
+		"the query":                         {func(c *wasabifingerprint.Content) { c.Path = "/p?r" }, false},
+		"the model":                         {func(c *wasabifingerprint.Content) { c.Model = "n" }, false},
+		"a byte of the body":                {func(c *wasabifingerprint.Content) { c.Body = []byte("questiom") }, false},
+		"a letter moved between two fields": {func(c *wasabifingerprint.Content) { c.Account, c.Method = "aP", "OST" }, false},
+		"no body":                           {func(c *wasabifingerprint.Content) { c.Body = nil }, false},
+		"no body and no segments":           {func(c *wasabifingerprint.Content) { c.Body, c.Blocks = nil, nil }, false},
 	}
 	g := NewWithT(t)
 	namer := wasabifingerprint.New([]byte("key"))
@@ -39,7 +41,7 @@
 	}
 	empty, other := base, base
 	empty.Body, other.Body, other.Blocks = nil, nil, []wasabiridge.BlockHash{1, 3}
-	g.Expect(namer.Name(empty)).NotTo(Equal(namer.Name(other)), "parts where there is no body")
+	g.Expect(namer.Name(empty)).NotTo(Equal(namer.Name(other)), "segments of a request without a body")
 	g.Expect(wasabifingerprint.New([]byte("other")).Name(base)).NotTo(Equal(namer.Name(base)), "another key")
 	g.Expect(namer.Name(base).String()).To(HaveLen(16))
 }
