--- a/internal/wasabicontract/contract.go
+++ b/internal/wasabicontract/contract.go
@@ -1,9 +1,9 @@
-// Package wasabicontract holds what every implementation of the platform's
-// interfaces must do, as checks that the tests of any adapter can run.
+// Package wasabicontract provides conformance tests for the platform's interfaces. The
+// tests of every adapter run these checks against the adapter.
 //
 // # Usage
 //
-// A suite runs each check as a spec of its own, against a fresh subject:
+// A test suite runs each check as a separate spec, against a fresh subject:
 //
 //	wasabicontract.Specs(wasabicontract.Table(func() wasabicontract.TableSubject {
 //		return wasabicontract.TableSubject{Table: newAdapter()}
@@ -21,13 +21,14 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabifault"
 )
 
-// ErrBroken says that an implementation does not keep the contract.
+// ErrBroken is the type of errors for an implementation that violates the contract.
 var ErrBroken = wasabiridge.Errors.NewType("contract_broken")
 
-// Checks are named checks. Each returns nil or ErrBroken.
+// Checks maps names to checks. A check returns nil, or an error of type ErrBroken.
 type Checks map[string]func(ctx context.Context) error
 
-// Names returns the names in order, so that suites are the same every time.
+// Names returns the names in sorted order, so that suites list their specs in the same
+// order every time.
 func (c Checks) Names() []string {
 	names := make([]string, 0, len(c))
 	for name := range c {
@@ -37,10 +38,11 @@
 	return names
 }
 
-// Script sets the fates of the next operations of a subject.
+// Script sets the fates of the next operations of the given kind on a subject: the fault
+// that is injected into each, if any.
 type Script func(op wasabifault.Op, fates ...wasabifault.Fate)
 
-// Specs makes a Ginkgo spec of each check. Call it inside a container node.
+// Specs registers a Ginkgo spec for each check. Call it inside a container node.
 func Specs(checks Checks) {
 	for _, name := range checks.Names() {
 		ginkgo.It(name, func(ctx ginkgo.SpecContext) {
@@ -51,18 +53,19 @@
 	}
 }
 
-// expectType reports ErrBroken unless the error is of the wanted type. A nil
-// type stands for no error.
-func expectType(what string, err error, want *errorx.Type) error {
+// expectType returns an error unless err is of the wanted type. If want is nil, err must be
+// nil too. The operation is named in the error message.
+func expectType(operation string, err error, want *errorx.Type) error {
 	switch {
 	case want == nil && err != nil:
-		return ErrBroken.Wrap(err, "%s failed", what)
+		return ErrBroken.Wrap(err, "%s failed", operation)
 	case want != nil && !errorx.IsOfType(err, want):
-		return ErrBroken.New("%s reported %v, not %s", what, err, want)
+		return ErrBroken.New("%s: got error %v, want an error of type %s", operation, err, want)
 	}
 	return nil
 }
 
+// expect returns an error with the message unless ok is true.
 func expect(ok bool, format string, args ...any) error {
 	if ok {
 		return nil
@@ -70,9 +73,8 @@
 	return ErrBroken.New(format, args...)
 }
 
-// first returns the first error, so that a check reads as a list of steps.
-// Steps run in order and stop at the first failure.
-func first(steps ...func() error) error {
+// runSteps runs the steps in order until one fails, and returns its error.
+func runSteps(steps ...func() error) error {
 	for _, step := range steps {
 		if err := step(); err != nil {
 			return err
--- a/internal/wasabicontract/list.go
+++ b/internal/wasabicontract/list.go
@@ -8,8 +8,8 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabifault"
 )
 
-// ListSubject is an empty list of instances under test, with the platform's
-// side of it. Wait passes the lag of the list.
+// ListSubject is an empty instance list under test. Set and Remove change the list on the
+// platform's side, and Wait waits until the changes are visible.
 type ListSubject struct {
 	List   wasabiridge.InstanceList
 	Set    func(e wasabiridge.InstanceEntry)
@@ -18,8 +18,9 @@
 	Script Script
 }
 
-// Instances returns the contract of wasabiridge.InstanceList. The function
-// makes an empty list for each check. The lag must not be zero.
+// Instances returns the checks for wasabiridge.InstanceList. Fresh is called for each check
+// and must return an empty list. Changes must become visible with a delay, not
+// immediately.
 func Instances(fresh func() ListSubject) Checks {
 	checks := Checks{}
 	for name, check := range listChecks {
@@ -43,16 +44,16 @@
 
 var listChecks = map[string]func(s listSteps) error{
 	"an empty list is no error": func(s listSteps) error { return s.shows()() },
-	"every field is kept, in the order of names": func(s listSteps) error {
-		return first(s.set(entryTwo), s.set(entryOne), s.wait(), s.shows(entryOne, entryTwo))
+	"all fields are kept, and entries are sorted by name": func(s listSteps) error {
+		return runSteps(s.set(entryTwo), s.set(entryOne), s.wait(), s.shows(entryOne, entryTwo))
 	},
-	"a dead instance is still listed within the lag": func(s listSteps) error {
-		return first(s.set(entryOne), s.wait(), s.remove(entryOne.ID), s.shows(entryOne), s.wait(), s.shows())
+	"a removed instance is still listed until the lag has passed": func(s listSteps) error {
+		return runSteps(s.set(entryOne), s.wait(), s.remove(entryOne.ID), s.shows(entryOne), s.wait(), s.shows())
 	},
-	"a new instance is missing within the lag": func(s listSteps) error {
-		return first(s.set(entryOne), s.shows(), s.wait(), s.shows(entryOne))
+	"a new instance is not listed until the lag has passed": func(s listSteps) error {
+		return runSteps(s.set(entryOne), s.shows(), s.wait(), s.shows(entryOne))
 	},
-	"an outage is unavailable, not an empty list": func(s listSteps) error {
+	"an outage is reported as unavailable, not as an empty list": func(s listSteps) error {
 		s.Script(wasabifault.Read, wasabifault.Fate{Kind: wasabifault.Unavailable})
 		_, err := s.List.Instances(s.ctx)
 		return expectType("read of the list", err, wasabiridge.ErrUnavailable)
@@ -80,8 +81,8 @@
 	return func() error {
 		got, err := s.List.Instances(s.ctx)
 		if err != nil {
-			return ErrBroken.Wrap(err, "read of the list failed")
+			return ErrBroken.Wrap(err, "read of the instance list failed")
 		}
-		return expect(slices.Equal(got, want), "the list is %+v, not %+v", got, want)
+		return expect(slices.Equal(got, want), "instance list: got %+v, want %+v", got, want)
 	}
 }
--- a/internal/wasabicontract/object.go
+++ b/internal/wasabicontract/object.go
@@ -17,8 +17,8 @@
 	Script Script
 }
 
-// Objects returns the contract of wasabiridge.ObjectStore. The function makes
-// an empty store for each check.
+// Objects returns the checks for wasabiridge.ObjectStore. Fresh is called for each check
+// and must return an empty store.
 func Objects(fresh func() ObjectSubject) Checks {
 	checks := Checks{}
 	for name, check := range objectChecks {
@@ -30,13 +30,13 @@
 }
 
 var objectChecks = map[string]func(s objectSteps) error{
-	"a missing object is not found": func(s objectSteps) error {
+	"a read of a missing object returns not found": func(s objectSteps) error {
 		_, err := s.Store.Get(s.ctx, "a")
 		return expectType("read", err, wasabiridge.ErrNotFound)
 	},
-	"an object keeps every byte and is replaced as a whole": func(s objectSteps) error {
+	"an object keeps all bytes, and a write replaces it completely": func(s objectSteps) error {
 		long := bytes.Repeat([]byte{0, 255, '\r', '\n'}, 50_000)
-		return first(
+		return runSteps(
 			s.put("d/ä ?#%&+", long, nil),
 			s.holds("d/ä ?#%&+", long),
 			s.put("d/ä ?#%&+", []byte("short"), nil),
@@ -44,28 +44,28 @@
 			s.lists("d/", "", 5, "d/ä ?#%&+"),
 		)
 	},
-	"an empty object is an object": func(s objectSteps) error {
-		return first(s.put("a", nil, nil), s.holds("a", nil))
+	"an empty object can be stored and read": func(s objectSteps) error {
+		return runSteps(s.put("a", nil, nil), s.holds("a", nil))
 	},
-	"a list is ordered and bounded": func(s objectSteps) error {
-		return first(
+	"a list is sorted and limited": func(s objectSteps) error {
+		return runSteps(
 			s.put("p/2", nil, nil), s.put("p/1", nil, nil), s.put("p/3", nil, nil), s.put("q", nil, nil),
 			s.lists("p/", "", 2, "p/1", "p/2"),
 			s.lists("p/", "p/2", 2, "p/3"),
 			s.lists("r/", "", 2),
 		)
 	},
-	"unavailable means that nothing took effect": func(s objectSteps) error {
+	"a write that is reported as unavailable has no effect": func(s objectSteps) error {
 		s.script(wasabifault.Unavailable)
-		return first(s.put("a", []byte("1"), wasabiridge.ErrUnavailable), s.missing("a"))
+		return runSteps(s.put("a", []byte("1"), wasabiridge.ErrUnavailable), s.missing("a"))
 	},
-	"a lost answer is an unknown outcome that took effect": func(s objectSteps) error {
+	"a write with a lost answer is reported as unknown and has an effect": func(s objectSteps) error {
 		s.script(wasabifault.LostAnswer)
-		return first(s.put("a", []byte("1"), wasabiridge.ErrOutcomeUnknown), s.holds("a", []byte("1")))
+		return runSteps(s.put("a", []byte("1"), wasabiridge.ErrOutcomeUnknown), s.holds("a", []byte("1")))
 	},
-	"a lost request is an unknown outcome without effect": func(s objectSteps) error {
+	"a lost write request is reported as unknown and has no effect": func(s objectSteps) error {
 		s.script(wasabifault.LostRequest)
-		return first(s.put("a", []byte("1"), wasabiridge.ErrOutcomeUnknown), s.missing("a"))
+		return runSteps(s.put("a", []byte("1"), wasabiridge.ErrOutcomeUnknown), s.missing("a"))
 	},
 }
 
@@ -95,7 +95,7 @@
 		if err != nil {
 			return ErrBroken.Wrap(err, "read of %q failed", name)
 		}
-		return expect(bytes.Equal(data, want), "object %q holds %d bytes, not the %d that were written", name, len(data), len(want))
+		return expect(bytes.Equal(data, want), "object %q: got %d bytes that differ from the %d bytes written", name, len(data), len(want))
 	}
 }
 
@@ -105,6 +105,6 @@
 		if err != nil {
 			return ErrBroken.Wrap(err, "list of %q failed", prefix)
 		}
-		return expect(slices.Equal(names, want), "list of %q after %q is %q, not %q", prefix, after, names, want)
+		return expect(slices.Equal(names, want), "list of %q after %q: got %q, want %q", prefix, after, names, want)
 	}
 }
--- a/internal/wasabicontract/table.go
+++ b/internal/wasabicontract/table.go
@@ -16,12 +16,12 @@
 	Script Script
 }
 
-// Table returns the contract of wasabiridge.Table. The function makes an
-// empty table for each check.
+// Table returns the checks for wasabiridge.Table without faults. Fresh is called for each
+// check and must return an empty table.
 func Table(fresh func() TableSubject) Checks { return tableContract(fresh, tableChecks) }
 
-// TableFaults returns what a table must do when the platform fails. The
-// subject needs a Script.
+// TableFaults returns the checks for wasabiridge.Table when operations of the platform
+// fail. The subjects must have a Script.
 func TableFaults(fresh func() TableSubject) Checks { return tableContract(fresh, tableFaultChecks) }
 
 func tableContract(fresh func() TableSubject, steps map[string]func(t tableSteps) error) Checks {
@@ -38,23 +38,23 @@
 	"a missing row has revision zero": func(t tableSteps) error {
 		return t.revisionIs("a", 0)
 	},
-	"a row is made only when it is missing": func(t tableSteps) error {
-		return first(
+	"a row is created only if it does not exist": func(t tableSteps) error {
+		return runSteps(
 			t.commit("w1", nil, change("a", 0, "1")),
 			t.commit("w2", wasabiridge.ErrConflict, change("a", 0, "2")),
 			t.holds("a", "1", "w1"),
 		)
 	},
-	"a change needs the current revision": func(t tableSteps) error {
-		return first(
+	"a change with a wrong revision is a conflict": func(t tableSteps) error {
+		return runSteps(
 			t.commit("w1", nil, change("a", 0, "1")),
 			t.replace("w2", nil, "a", "2"),
 			t.commit("w3", wasabiridge.ErrConflict, change("a", 1<<40, "3")),
 			t.holds("a", "2", "w2"),
 		)
 	},
-	"all changes of a transaction or none": func(t tableSteps) error {
-		return first(
+	"a transaction applies all changes or none": func(t tableSteps) error {
+		return runSteps(
 			t.commit("w1", nil, change("a", 0, "1")),
 			t.commit("w2", wasabiridge.ErrConflict, change("b", 0, "2"), change("a", 0, "2")),
 			func() error { return t.revisionIs("b", 0) },
@@ -63,9 +63,9 @@
 			t.holds("c", "3", "w3"),
 		)
 	},
-	"a deleted row never shows an old revision": func(t tableSteps) error {
+	"a row that is deleted and created again never gets an old revision": func(t tableSteps) error {
 		var old wasabiridge.Row
-		return first(
+		return runSteps(
 			t.commit("w1", nil, change("a", 0, "1")),
 			t.get("a", &old),
 			func() error {
@@ -77,17 +77,17 @@
 			t.holds("a", "3", "w3"),
 		)
 	},
-	"a list is ordered and bounded": func(t tableSteps) error {
-		return first(
+	"a list is sorted and limited": func(t tableSteps) error {
+		return runSteps(
 			t.commit("w1", nil, change("p/2", 0, ""), change("p/1", 0, ""), change("p/3", 0, ""), change("q/1", 0, "")),
 			t.lists("p/", "", 2, "p/1", "p/2"),
 			t.lists("p/", "p/2", 2, "p/3"),
 			t.lists("r/", "", 2),
 		)
 	},
-	"values keep every byte": func(t tableSteps) error {
+	"keys and values keep all bytes": func(t tableSteps) error {
 		value := string([]byte{0, 255, '\n', '"', 0xc3, 0x28})
-		return first(
+		return runSteps(
 			t.commit("w/1 ?#%", nil, change("k/ä ?#%&+", 0, value)),
 			t.holds("k/ä ?#%&+", value, "w/1 ?#%"),
 			t.lists("k/ä ", "", 2, "k/ä ?#%&+"),
@@ -96,55 +96,55 @@
 	"a transaction without an identifier is invalid": func(t tableSteps) error {
 		return t.commit("", wasabiridge.ErrInvalid, change("a", 0, "1"))()
 	},
-	"a row named twice is invalid": func(t tableSteps) error {
+	"a transaction with two changes of a row is invalid": func(t tableSteps) error {
 		return t.commit("w1", wasabiridge.ErrInvalid, change("a", 0, "1"), change("a", 0, "2"))()
 	},
-	"an ended context fails": func(t tableSteps) error {
+	"a read with a cancelled context fails": func(t tableSteps) error {
 		ctx, cancel := context.WithCancel(t.ctx)
 		cancel()
 		_, err := t.Table.Get(ctx, "a")
-		return expect(err != nil, "a read under an ended context worked")
+		return expect(err != nil, "a read with a cancelled context succeeded")
 	},
 }
 
 var tableFaultChecks = map[string]func(t tableSteps) error{
-	"unavailable means that nothing took effect": func(t tableSteps) error {
+	"a write that is reported as unavailable has no effect": func(t tableSteps) error {
 		t.Script(wasabifault.Write, wasabifault.Fate{Kind: wasabifault.Unavailable})
-		return first(
+		return runSteps(
 			t.commit("w1", wasabiridge.ErrUnavailable, change("a", 0, "1")),
 			func() error { return t.revisionIs("a", 0) },
 		)
 	},
-	"a lost answer is an unknown outcome that took effect": func(t tableSteps) error {
+	"a write with a lost answer is reported as unknown and has an effect": func(t tableSteps) error {
 		t.Script(wasabifault.Write, wasabifault.Fate{Kind: wasabifault.LostAnswer})
-		return first(
+		return runSteps(
 			t.commit("w1", wasabiridge.ErrOutcomeUnknown, change("a", 0, "1")),
 			t.holds("a", "1", "w1"),
 		)
 	},
-	"a lost request is an unknown outcome without effect": func(t tableSteps) error {
+	"a lost write request is reported as unknown and has no effect": func(t tableSteps) error {
 		t.Script(wasabifault.Write, wasabifault.Fate{Kind: wasabifault.LostRequest})
-		return first(
+		return runSteps(
 			t.commit("w1", wasabiridge.ErrOutcomeUnknown, change("a", 0, "1")),
 			func() error { return t.revisionIs("a", 0) },
 		)
 	},
-	"a late copy of a write that took effect changes nothing": func(t tableSteps) error {
+	"a delayed copy of an applied write has no effect": func(t tableSteps) error {
 		t.Script(wasabifault.Write, wasabifault.Fate{Kind: wasabifault.LateEffect}, wasabifault.Fate{})
-		return first(
+		return runSteps(
 			t.commit("w1", wasabiridge.ErrOutcomeUnknown, change("a", 0, "1")),
 			t.commit("w1", wasabiridge.ErrConflict, change("a", 0, "1")),
 			t.holds("a", "1", "w1"),
 		)
 	},
-	"a race is a conflict": func(t tableSteps) error {
+	"a concurrent change is a conflict": func(t tableSteps) error {
 		t.Script(wasabifault.Write, wasabifault.Fate{}, wasabifault.Fate{Kind: wasabifault.Race})
-		return first(
+		return runSteps(
 			t.commit("w1", nil, change("a", 0, "1")),
 			t.replace("w2", wasabiridge.ErrConflict, "a", "2"),
 		)
 	},
-	"a failed read says so": func(t tableSteps) error {
+	"a failed read is reported as unavailable": func(t tableSteps) error {
 		t.Script(wasabifault.Read, wasabifault.Fate{Kind: wasabifault.Unavailable})
 		_, err := t.Table.Get(t.ctx, "a")
 		return expectType("read", err, wasabiridge.ErrUnavailable)
@@ -190,7 +190,7 @@
 	if err := t.get(key, &row)(); err != nil {
 		return err
 	}
-	return expect(row.Revision == want, "row %q has revision %d, not %d", key, row.Revision, want)
+	return expect(row.Revision == want, "row %q: got revision %d, want %d", key, row.Revision, want)
 }
 
 func (t tableSteps) holds(key, value string, id wasabiridge.WriteID) func() error {
@@ -200,7 +200,7 @@
 			return err
 		}
 		ok := bytes.Equal(row.Value, []byte(value)) && row.LastWrite == id && row.Key == key && row.Revision != 0
-		return expect(ok, "row %q is %+v, not %q by %q", key, row, value, id)
+		return expect(ok, "row %q: got %+v, want value %q of write %q", key, row, value, id)
 	}
 }
 
@@ -214,6 +214,6 @@
 		for i := 0; ok && i < len(want); i++ {
 			ok = rows[i].Key == want[i] && rows[i].Revision != 0
 		}
-		return expect(ok, "list of %q after %q is %+v, not %q", prefix, after, rows, want)
+		return expect(ok, "list of %q after %q: got %+v, want %q", prefix, after, rows, want)
 	}
 }
--- a/internal/wasabicontract/weights.go
+++ b/internal/wasabicontract/weights.go
@@ -9,16 +9,16 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabifault"
 )
 
-// WeightSubject is an empty weight store under test, with the platform's side
-// of it.
+// WeightSubject is an empty weight store under test. Publish publishes a version on the
+// platform's side.
 type WeightSubject struct {
 	Store   wasabiridge.WeightStore
 	Publish func(ctx context.Context, m wasabiridge.ModelID, a wasabiridge.AdapterID, v wasabiridge.WeightsVersion) error
 	Script  Script
 }
 
-// Weights returns the contract of wasabiridge.WeightStore. The function makes
-// an empty store for each check.
+// Weights returns the checks for wasabiridge.WeightStore. Fresh is called for each check
+// and must return an empty store.
 func Weights(fresh func() WeightSubject) Checks {
 	checks := Checks{}
 	for name, check := range weightChecks {
@@ -30,24 +30,24 @@
 }
 
 var weightChecks = map[string]func(s weightSteps) error{
-	"nothing published is not found": func(s weightSteps) error {
+	"a model without published weights is not found": func(s weightSteps) error {
 		return s.latest("large", "", 0, wasabiridge.ErrNotFound)()
 	},
-	"the newest counts, in whatever order it came": func(s weightSteps) error {
-		return first(
+	"the highest version is the latest, in whatever order versions were published": func(s weightSteps) error {
+		return runSteps(
 			s.publish("large", "", 9), s.publish("large", "", 10), s.publish("large", "", 2),
 			s.latest("large", "", 10, nil),
 		)
 	},
-	"models and adapters are apart": func(s weightSteps) error {
-		return first(
+	"versions of different models and adapters are independent": func(s weightSteps) error {
+		return runSteps(
 			s.publish("large", "", 1), s.publish("large", "legal", 2),
 			s.publish("large/legal", "", 3), s.publish("larg", "e", 4),
 			s.latest("large", "", 1, nil), s.latest("large", "legal", 2, nil),
 			s.latest("large/legal", "", 3, nil), s.latest("large", "le", 0, wasabiridge.ErrNotFound),
 		)
 	},
-	"above its rate the store is unavailable, not empty": func(s weightSteps) error {
+	"a store above its request rate is reported as unavailable, not as empty": func(s weightSteps) error {
 		s.Script(wasabifault.Read, wasabifault.Fate{Kind: wasabifault.Unavailable})
 		return s.latest("large", "", 0, wasabiridge.ErrUnavailable)()
 	},
@@ -68,6 +68,6 @@
 		if err = expectType("read", err, kind); err != nil {
 			return err
 		}
-		return expect(got == want, "latest of %q and %q is %d, not %d", m, a, got, want)
+		return expect(got == want, "latest version of model %q, adapter %q: got %d, want %d", m, a, got, want)
 	}
 }
