--- a/internal/wasabiquota/account.go
+++ b/internal/wasabiquota/account.go
@@ -7,119 +7,127 @@
 )
 
 const (
-	// startShare is the part of the burst that all instances together have at a start,
-	// when it is not known what was spent before.
-	startShare = 0.25
-	// largeShare is the part of the burst that a request needs that costs more. It leaves
-	// a debt.
-	largeShare = 0.5
-	// largePart is the part of the limit that must be known for a request to leave a debt.
-	// Each of many instances that hear nobody would leave one.
-	largePart = 0.5
-	// smallShare is the part of the burst up to which a request is small, and debtShare
-	// the part up to which small ones may run into debt.
-	smallShare = 0.05
-	debtShare  = 0.25
-	// keptShare is the part of the burst that requests of lower priority leave to others,
-	// for pressedFor after a refusal.
-	keptShare  = 0.25
-	pressedFor = wasabiridge.Second
-	// debtSpan and waitSpan bound a debt, and what refused requests were promised, by
-	// what the rate earns in that time.
-	debtSpan = 4 * wasabiridge.Second
-	waitSpan = 2 * wasabiridge.Second
+	// startFraction is the part of the burst that all instances together may use after a
+	// start, while it is not known what was spent before.
+	startFraction = 0.25
+	// largeFraction is the part of the burst that must be available to admit a request that
+	// costs more than that. Such a request leaves the bucket in debt.
+	largeFraction = 0.5
+	// minDebtShare is the smallest usable share of the limit with which a large request may
+	// leave a debt. Otherwise each of many isolated instances would leave one.
+	minDebtShare = 0.5
+	// smallFraction is the part of the burst up to which a request counts as small,
+	// debtFraction the part of the burst by which small requests may overdraw the bucket.
+	smallFraction = 0.05
+	debtFraction  = 0.25
+	// reservedFraction is the part of the burst that is reserved for requests of the
+	// highest recent priority, for pressureSpan after a refusal.
+	reservedFraction = 0.25
+	pressureSpan     = wasabiridge.Second
+	// maxDebtSpan bounds the debt of a bucket, and maxPromisedSpan the units promised to
+	// refused requests, by what the rate earns in that time.
+	maxDebtSpan     = 4 * wasabiridge.Second
+	maxPromisedSpan = 2 * wasabiridge.Second
 )
 
-// total is what a peer has let run for an account.
-type total struct {
-	life     wasabiridge.Incarnation
-	sequence uint64
-	spent    int64
-	// missed is the peer's missed part when this was told.
-	missed float64
+// peerTotal is the running total of units that a peer has admitted for an account.
+type peerTotal struct {
+	incarnation wasabiridge.Incarnation
+	sequence    uint64
+	spent       int64
+	// withheld is the value of peer.withheld when this total was received.
+	withheld float64
 }
 
-// account is the bucket of a client account.
+// account is the token bucket of a client account.
 type account struct {
 	limit wasabiridge.AccountLimit
-	// level is what is left as of at, when the table's integral was heard.
-	level float64
-	at    wasabiridge.Millis
-	heard float64
-	// known says that the level is that of all instances. Until then only share of the
-	// limit is used.
-	known bool
-	share float64
-	// reserved is the part of the burst that is held back for silent instances.
+	// level is what was left in the bucket at time at, when Table.shareIntegral had the
+	// value shareIntegral.
+	level         float64
+	at            wasabiridge.Millis
+	shareIntegral float64
+	// levelKnown says that the level accounts for the use of all instances. Until then this
+	// instance uses only share of the limit.
+	levelKnown bool
+	share      float64
+	// reserved is the part of the burst that is withheld for instances that do not answer.
 	reserved float64
-	// usedAt is when something last ran here.
+	// usedAt is when a request was last sent from this instance.
 	usedAt wasabiridge.Millis
-	// own is what ran here since the start, told what of it the others know.
-	own, told float64
-	// toldAt is when that was told, repeated whether it was told once more.
-	toldAt   wasabiridge.Millis
-	repeated bool
-	peers    map[wasabiridge.InstanceID]total
-	// top is the highest priority that was lately met, topAt when.
-	top   wasabiridge.Priority
-	topAt wasabiridge.Millis
-	// pressed is until when something was lately refused, promised what refused requests
-	// were told to come back for, as of promisedAt.
-	pressed    wasabiridge.Millis
-	promised   float64
-	promisedAt wasabiridge.Millis
-	refused    uint64
+	// spentHere is the number of units spent at this instance since its start, announced
+	// how many of them the last update contained.
+	spentHere, announced float64
+	// announcedAt is when announced was last sent. resent says that it was sent a second
+	// time, in case the first update was lost.
+	announcedAt wasabiridge.Millis
+	resent      bool
+	peerTotals  map[wasabiridge.InstanceID]peerTotal
+	// topPriority is the highest priority among recent requests, topPriorityAt when it was
+	// last seen.
+	topPriority   wasabiridge.Priority
+	topPriorityAt wasabiridge.Millis
+	// pressedUntil is the time until which the account counts as under pressure after a
+	// refusal. promised is the number of units that refused requests were told to retry
+	// for, as of promisedAt.
+	pressedUntil wasabiridge.Millis
+	promised     float64
+	promisedAt   wasabiridge.Millis
+	refused      uint64
 }
 
-// perMilli is what the limit earns in a millisecond.
+// perMilli returns the units that the limit earns per millisecond.
 func (a *account) perMilli() float64 { return a.limit.Rate / float64(wasabiridge.Second) }
 
-// burst is the depth of the bucket. It holds one unit at least.
+// burst returns the depth of the bucket, at least one unit.
 func (a *account) burst() float64 { return max(a.limit.Burst, 1) }
 
-// forget takes it that nothing is known of what was spent.
-func (a *account) forget(now wasabiridge.Millis, share float64) {
-	a.known, a.share = false, share
+// resetLevel marks the level as unknown and limits this instance to a share of the limit,
+// starting from at most startFraction of the burst.
+func (a *account) resetLevel(now wasabiridge.Millis, share float64) {
+	a.levelKnown, a.share = false, share
 	a.at = now
-	start := max(a.burst()*startShare, 1) * share
+	start := max(a.burst()*startFraction, 1) * share
 	a.level = min(max(a.level, 0), start)
-	if a.own == 0 {
+	if a.spentHere == 0 {
 		a.level = start
 	}
 }
 
-// refill earns what the limit has brought since the last time.
+// refill adds what the limit has earned since the last refill.
 func (a *account) refill(t *Table, now wasabiridge.Millis) {
-	part, earned := t.part(now), t.heard-a.heard
-	if !a.known {
-		part = t.shareOf(now, a)
-		earned = float64(now-a.at) * part
+	share, earned := t.usableShare(now), t.shareIntegral-a.shareIntegral
+	if !a.levelKnown {
+		share = t.unknownLevelShare(now, a)
+		earned = float64(now-a.at) * share
 	}
-	a.at, a.heard = now, t.heard
-	if a.known {
-		a.reserve(1 - part)
+	a.at, a.shareIntegral = now, t.shareIntegral
+	if a.levelKnown {
+		a.reserve(1 - share)
 	}
-	a.level = min(a.level+earned*a.perMilli(), a.burst()*part)
+	a.level = min(a.level+earned*a.perMilli(), a.burst()*share)
 }
 
-// reserve holds back a part of the burst. It is not given back when silent instances are
-// heard again: what they let run is heard of some moments later.
+// reserve withholds a part of the burst for instances that do not answer. It is not
+// returned when they answer again, because updates on what they have spent arrive only some
+// moments later.
 //
-// The failure it guards against: instances are cut off while an account rushes. Until it
-// is seen, each side lets run the whole burst; those that are silent are taken to have had
-// their part of it.
-func (a *account) reserve(part float64) {
-	a.level -= max(0, part-a.reserved) * a.burst()
-	a.reserved = part
+// The failure it guards against: the network is partitioned while an account sends a burst.
+// Until the partition is detected, each side admits the whole burst. Therefore the silent
+// instances are assumed to have spent their share of it.
+func (a *account) reserve(withheld float64) {
+	a.level -= max(0, withheld-a.reserved) * a.burst()
+	a.reserved = withheld
 }
 
-// know takes a level for that of all instances.
-func (a *account) know(t *Table, now wasabiridge.Millis, level float64) {
-	a.known, a.level, a.at, a.heard, a.reserved = true, level, now, t.heard, 1-t.part(now)
+// setLevel sets the level to a value that accounts for the use of all instances.
+func (a *account) setLevel(t *Table, now wasabiridge.Millis, level float64) {
+	a.levelKnown, a.level, a.at, a.shareIntegral, a.reserved = true, level, now, t.shareIntegral, 1-t.usableShare(now)
 }
 
-// change takes another limit.
-func (a *account) change(limit wasabiridge.AccountLimit) {
+// setLimit replaces the limit. If the unit changes, the level keeps its ratio to the burst,
+// and a debt is cancelled.
+func (a *account) setLimit(limit wasabiridge.AccountLimit) {
 	if limit.Unit != a.limit.Unit {
 		a.level = limit.Burst * max(0, a.level) / a.burst()
 	}
@@ -128,85 +136,89 @@
 	a.promised = 0
 }
 
-// spend takes units out of the bucket for something that runs here, or gives them back.
+// spend takes units out of the bucket for an attempt that this instance sends. A negative
+// cost returns them.
 func (a *account) spend(cost float64) {
-	a.own += cost
+	a.spentHere += cost
 	a.level -= cost
-	a.repeated = false
+	a.resent = false
 }
 
-// take takes out what a peer has let run. What was left untouched for it while it was
-// silent was taken out already.
+// applyPeerTotal takes out of the bucket what a peer has spent since its last update, less
+// the share that was withheld for the peer while it did not answer. complete says that the
+// peer's updates have been received from its start on.
 //
-// The failure it guards against: an instance that has just started hears for the first
-// time what another one has let run for hours, and refuses what is well below the limit.
-func (a *account) take(id wasabiridge.InstanceID, next total, whole bool) {
-	before, met := a.peers[id]
-	if met && before.life == next.life && next.sequence <= before.sequence {
+// The failure it guards against: an instance that has just started receives for the first
+// time the total of a peer that has run for hours. If it subtracted the whole total, it
+// would refuse requests far below the limit.
+func (a *account) applyPeerTotal(id wasabiridge.InstanceID, next peerTotal, complete bool) {
+	before, seen := a.peerTotals[id]
+	if seen && before.incarnation == next.incarnation && next.sequence <= before.sequence {
 		return
 	}
-	a.peers[id] = next
-	met = met && before.life == next.life
-	if !a.known || !met && !whole {
+	a.peerTotals[id] = next
+	seen = seen && before.incarnation == next.incarnation
+	if !a.levelKnown || !seen && !complete {
 		return
 	}
 	spent := float64(next.spent)
-	if met {
+	if seen {
 		spent -= float64(before.spent)
 		if spent > 0 {
-			spent = max(0, spent-(next.missed-before.missed)*a.perMilli())
+			spent = max(0, spent-(next.withheld-before.withheld)*a.perMilli())
 		}
 	}
-	a.level = max(a.level-spent, -float64(debtSpan)*a.perMilli()-a.burst())
+	a.level = max(a.level-spent, -float64(maxDebtSpan)*a.perMilli()-a.burst())
 }
 
-// meet notes a priority.
-func (a *account) meet(now wasabiridge.Millis, p wasabiridge.Priority) {
-	if p >= a.top || now-a.topAt >= 2*pressedFor {
-		a.top, a.topAt = p, now
+// notePriority records the priority of a request.
+func (a *account) notePriority(now wasabiridge.Millis, p wasabiridge.Priority) {
+	if p >= a.topPriority || now-a.topPriorityAt >= 2*pressureSpan {
+		a.topPriority, a.topPriorityAt = p, now
 	}
 }
 
-// need is what the bucket must hold for a request to be let in, with a part of the limit.
-func (a *account) need(now wasabiridge.Millis, cost float64, p wasabiridge.Priority, part float64) float64 {
-	burst := a.burst() * part
-	kept := 0.0
-	if now < a.pressed && p < a.top {
-		kept = keptShare * burst
+// requiredLevel returns the level that the bucket must have to admit a request with a share
+// of the limit.
+func (a *account) requiredLevel(now wasabiridge.Millis, cost float64, p wasabiridge.Priority, share float64) float64 {
+	burst := a.burst() * share
+	reserved := 0.0
+	if now < a.pressedUntil && p < a.topPriority {
+		reserved = reservedFraction * burst
 	}
-	if kept == 0 && cost <= smallShare*burst && a.limit.Unit == wasabiridge.LimitTokens {
-		return cost - debtShare*burst
+	if reserved == 0 && cost <= smallFraction*burst && a.limit.Unit == wasabiridge.LimitTokens {
+		return cost - debtFraction*burst
 	}
-	if part >= largePart {
-		cost = min(cost, max(1, largeShare*burst))
+	if share >= minDebtShare {
+		cost = min(cost, max(1, largeFraction*burst))
 	}
-	return cost + kept
+	return cost + reserved
 }
 
-// admits reports whether a request is let in.
-func (a *account) admits(now wasabiridge.Millis, cost float64, p wasabiridge.Priority, part float64) bool {
-	return a.level >= a.need(now, cost, p, part)
+// admits reports whether a request is admitted with a share of the limit.
+func (a *account) admits(now wasabiridge.Millis, cost float64, p wasabiridge.Priority, share float64) bool {
+	return a.level >= a.requiredLevel(now, cost, p, share)
 }
 
-// refuse notes that a request is refused. It returns when there is expected to be room,
-// behind those that were refused before.
-func (a *account) refuse(now wasabiridge.Millis, cost float64, p wasabiridge.Priority, part float64) wasabiridge.Millis {
+// refuse records a refusal. It returns the time after which there is expected to be room,
+// behind the requests that were refused before.
+func (a *account) refuse(now wasabiridge.Millis, cost float64, p wasabiridge.Priority, share float64) wasabiridge.Millis {
 	a.refused++
-	a.pressed = now + pressedFor
-	perMilli := a.perMilli() * part
+	a.pressedUntil = now + pressureSpan
+	perMilli := a.perMilli() * share
 	a.promised = max(0, a.promised-float64(now-a.promisedAt)*perMilli)
 	a.promisedAt = now
-	missing := max(0, a.need(now, cost, p, part)-a.level)
+	missing := max(0, a.requiredLevel(now, cost, p, share)-a.level)
 	after := (missing + a.promised) / perMilli
-	a.promised = min(a.promised+cost, float64(waitSpan)*perMilli)
+	a.promised = min(a.promised+cost, float64(maxPromisedSpan)*perMilli)
 	return wasabiridge.Millis(math.Ceil(min(after, float64(wasabiridge.Hour))))
 }
 
-// state tells how the account stands with a level, of a part of the limit.
-func (a *account) state(level, part float64) wasabiridge.QuotaState {
-	burst := a.burst() * part
+// state returns the state of the account for a level, with a share of the limit.
+func (a *account) state(level, share float64) wasabiridge.QuotaState {
+	burst := a.burst() * share
 	return wasabiridge.QuotaState{
 		Unit: a.limit.Unit, Limit: a.burst(), Remaining: max(0, level),
-		Reset: wasabiridge.Millis(math.Ceil(max(0, burst-level) / (a.perMilli() * part))),
+		Reset: wasabiridge.Millis(math.Ceil(max(0, burst-level) / (a.perMilli() * share))),
 	}
 }
--- a/internal/wasabiquota/bench_test.go
+++ b/internal/wasabiquota/bench_test.go
@@ -9,17 +9,18 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabiquota"
 )
 
-// table returns one of 62 instances that serve the accounts.
-func table(accounts int) (*wasabiquota.Table, []wasabiridge.ClientAccount) {
-	t := wasabiquota.New(wasabiquota.Options{Self: instance(0), Life: 1, Started: 1000})
+// busyTable returns the table of one of 62 owners, with a limit for each of so many
+// accounts.
+func busyTable(accounts int) (*wasabiquota.Table, []wasabiridge.ClientAccount) {
+	t := wasabiquota.New(wasabiquota.Options{Self: instanceID(0), Life: 1, Started: 1000})
 	var list []wasabiridge.ClientAccount
 	for i := range accounts {
-		list = append(list, limited(fmt.Sprintf("a%05d", i), large))
+		list = append(list, limitedAccount(fmt.Sprintf("a%05d", i), largeRate))
 	}
 	t.Observe(1000, wasabiridge.ConfigAdopted{Config: wasabiridge.Config{Accounts: list}})
-	t.Observe(1000, wasabiridge.ActiveKnown{Instances: names[:62], Known: 374})
+	t.Observe(1000, wasabiridge.ActiveKnown{Instances: instanceIDs[:62], Known: 374})
 	for i := 1; i < 62; i++ {
-		t.Observe(1000, wasabiridge.PeerHeard{From: instance(i)})
+		t.Observe(1000, wasabiridge.PeerHeard{From: instanceID(i)})
 	}
 	for now := wasabiridge.Millis(1000); now < 4000; now += 20 {
 		t.Observe(now, wasabiridge.Ticked{})
@@ -28,7 +29,7 @@
 }
 
 func BenchmarkRequest(b *testing.B) {
-	t, accounts := table(1000)
+	t, accounts := busyTable(1000)
 	id := wasabiridge.AttemptID(0)
 	for b.Loop() {
 		id++
@@ -42,27 +43,28 @@
 }
 
 func BenchmarkMessage(b *testing.B) {
-	t, accounts := table(1000)
+	t, accounts := busyTable(1000)
 	n := uint64(0)
 	for b.Loop() {
 		n++
 		use := wasabiridge.UseNews{Account: accounts[n%1000].ID, Spent: int64(n)}
-		t.Observe(4000+wasabiridge.Millis(n/100), wasabiridge.UsesHeard{From: instance(int(n)%61 + 1), Life: 2, Sequence: n, Part: 1, Uses: []wasabiridge.UseNews{use}})
+		t.Observe(4000+wasabiridge.Millis(n/100), wasabiridge.UsesHeard{From: instanceID(int(n)%61 + 1), Life: 2, Sequence: n, Part: 1, Uses: []wasabiridge.UseNews{use}})
 	}
 }
 
-// BenchmarkMemory shows what accounts take of which 62 instances serve 1,000.
+// BenchmarkMemory reports the heap bytes of a table with many accounts, 1,000 of which have
+// been used at all of 62 instances.
 func BenchmarkMemory(b *testing.B) {
 	for _, accounts := range []int{10_000, 20_000, 40_000} {
 		b.Run(fmt.Sprint(accounts), func(b *testing.B) {
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			t, list := table(accounts)
+			t, list := busyTable(accounts)
 			for i := range 1000 {
 				for j := 1; j < 62; j++ {
 					use := wasabiridge.UseNews{Account: list[i].ID, Spent: 1}
-					t.Observe(4000, wasabiridge.UsesHeard{From: instance(j), Life: 2, Sequence: uint64(i + 1), Part: 1, Uses: []wasabiridge.UseNews{use}})
+					t.Observe(4000, wasabiridge.UsesHeard{From: instanceID(j), Life: 2, Sequence: uint64(i + 1), Part: 1, Uses: []wasabiridge.UseNews{use}})
 				}
 			}
 			runtime.GC()
@@ -75,9 +77,9 @@
 	}
 }
 
-// BenchmarkNews takes the news of one request among 40,000 accounts.
+// BenchmarkNews measures sending an update after one request among 40,000 accounts.
 func BenchmarkNews(b *testing.B) {
-	t, accounts := table(40_000)
+	t, accounts := busyTable(40_000)
 	id := wasabiridge.AttemptID(0)
 	for b.Loop() {
 		id++
--- a/internal/wasabiquota/fixed_test.go
+++ b/internal/wasabiquota/fixed_test.go
@@ -2,53 +2,54 @@
 
 import "github.com/wasabiridge/wasabiridge"
 
-// fixed is a design that was not chosen: each instance has an equal part of every limit.
+// fixed is a design for comparison: each instance has an equal, fixed share of every limit.
 type fixed struct {
-	fleet  *fleet
-	levels map[wasabiridge.ClientAccountID]*share
+	fleet   *fleet
+	buckets map[wasabiridge.ClientAccountID]*bucket
 }
 
-// share is a bucket of one instance.
-type share struct {
+// bucket is the token bucket of an account at one instance.
+type bucket struct {
 	limit wasabiridge.AccountLimit
 	level float64
 	at    wasabiridge.Millis
 }
 
-func (s *share) refill(now wasabiridge.Millis, part float64) {
-	s.level = min(s.level+float64(now-s.at)/1000*s.limit.Rate*part, s.limit.Burst*part)
+func (s *bucket) refill(now wasabiridge.Millis, share float64) {
+	s.level = min(s.level+float64(now-s.at)/1000*s.limit.Rate*share, s.limit.Burst*share)
 	s.at = now
 }
 
-// takes takes a request out if the bucket has room for it, as the product does.
-func (s *share) takes(cost, part float64) bool {
-	if s.level < min(cost, s.limit.Burst*part/2) {
+// admit takes a request out if the bucket has room for it, by the same rule for large
+// requests as wasabiquota.
+func (s *bucket) admit(cost, share float64) bool {
+	if s.level < min(cost, s.limit.Burst*share/2) {
 		return false
 	}
 	s.level -= cost
 	return true
 }
 
-func newFixed(f *fleet, _ int) way {
-	return &fixed{fleet: f, levels: map[wasabiridge.ClientAccountID]*share{}}
+func newFixed(f *fleet, _ int) limiter {
+	return &fixed{fleet: f, buckets: map[wasabiridge.ClientAccountID]*bucket{}}
 }
 
-func (w *fixed) limits(now wasabiridge.Millis, accounts []wasabiridge.ClientAccount) {
+func (w *fixed) setLimits(now wasabiridge.Millis, accounts []wasabiridge.ClientAccount) {
 	for _, a := range accounts {
-		if s := w.levels[a.ID]; s != nil {
+		if s := w.buckets[a.ID]; s != nil {
 			s.limit = *a.Limit
 			continue
 		}
-		w.levels[a.ID] = &share{limit: *a.Limit, at: now}
+		w.buckets[a.ID] = &bucket{limit: *a.Limit, at: now}
 	}
 }
 
-func (w *fixed) offer(now wasabiridge.Millis, r wasabiridge.Request, done func(wasabiridge.Millis, bool)) {
-	s, part := w.levels[r.Account], 1/float64(len(w.fleet.nodes))
-	s.refill(now, part)
-	done(now, s.takes(float64(r.Chain.Tokens), part))
+func (w *fixed) decide(now wasabiridge.Millis, r wasabiridge.Request, done func(wasabiridge.Millis, bool)) {
+	s, share := w.buckets[r.Account], 1/float64(len(w.fleet.instances))
+	s.refill(now, share)
+	done(now, s.admit(float64(r.Chain.Tokens), share))
 }
 
-func (w *fixed) tick(wasabiridge.Millis)                        {}
-func (w *fixed) take(wasabiridge.Millis, int, any) (answer any) { return nil }
-func (w *fixed) answer(wasabiridge.Millis, int, any)            {}
+func (w *fixed) tick(wasabiridge.Millis)                           {}
+func (w *fixed) receive(wasabiridge.Millis, int, any) (answer any) { return nil }
+func (w *fixed) receiveAnswer(wasabiridge.Millis, int, any)        {}
--- a/internal/wasabiquota/fleet_test.go
+++ b/internal/wasabiquota/fleet_test.go
@@ -11,54 +11,58 @@
 )
 
 const (
-	// step is the time between two looks of an instance at its clock.
+	// step is the time between two ticks of an instance.
 	step = 20 * wasabiridge.Millis(1)
-	// window, overrun and slack are what the users allow beyond a limit.
+	// window, overrun and slack are what the requirements allow over a limit: in any
+	// window, the limit plus a tenth of it plus slack.
 	window  = 8 * wasabiridge.Second
 	overrun = 0.1
 	slack   = 190_000.0
-	// envelope and entryBytes are the bytes of a message with its answer and of one entry.
-	envelope, entryBytes = 120, 16
+	// messageBytes is the size of a message without entries together with its answer,
+	// entryBytes the size of one entry.
+	messageBytes, entryBytes = 120, 16
 )
 
-// way is one design of a limit at one instance.
-type way interface {
-	// offer asks whether a request runs; done is told once.
-	offer(now wasabiridge.Millis, r wasabiridge.Request, done func(now wasabiridge.Millis, runs bool))
+// limiter is one design of rate limits, at one instance.
+type limiter interface {
+	// decide decides on a request and calls done once.
+	decide(now wasabiridge.Millis, r wasabiridge.Request, done func(now wasabiridge.Millis, runs bool))
 	tick(now wasabiridge.Millis)
-	// take takes a message, and answer what another instance answered.
-	take(now wasabiridge.Millis, from int, message any) (answer any)
-	answer(now wasabiridge.Millis, from int, answer any)
-	limits(now wasabiridge.Millis, accounts []wasabiridge.ClientAccount)
+	// receive handles a message, receiveAnswer the answer of another instance.
+	receive(now wasabiridge.Millis, from int, message any) (answer any)
+	receiveAnswer(now wasabiridge.Millis, from int, answer any)
+	setLimits(now wasabiridge.Millis, accounts []wasabiridge.ClientAccount)
 }
 
-// fleet is some instances in virtual time, with the messages between them.
+// fleet simulates instances and the messages between them in virtual time.
 type fleet struct {
-	now    wasabiridge.Millis
-	random *rand.Rand
-	nodes  []*node
-	events events
-	order  uint64
-	// make returns the design at an instance that starts.
-	make func(f *fleet, i int) way
-	// cut reports whether two instances are apart, loss how many messages are lost.
-	cut func(a, b int) bool
-	// active is to how many of the instances callers are sent, callers to how many they
-	// come, the first ones.
+	now       wasabiridge.Millis
+	random    *rand.Rand
+	instances []*instance
+	events    events
+	order     uint64
+	// newLimiter returns the limiter of an instance that starts.
+	newLimiter func(f *fleet, i int) limiter
+	// partitioned reports whether two instances cannot reach each other.
+	partitioned func(a, b int) bool
+	// active is the number of instances that callers are routed to, callers the number of
+	// instances that callers reach; both count from the first instance.
 	active, callers int
-	// lists is how long after its start an instance knows the others.
-	lists wasabiridge.Millis
-	// owners are those that the platform's table names, read soon after a start.
-	owners []wasabiridge.InstanceID
-	loss   float64
-	late   wasabiridge.Millis
-	// accounts are the limits in force.
+	// discoveryDelay is how long after its start an instance discovers the others.
+	discoveryDelay wasabiridge.Millis
+	// storedOwners are the owners in the platform's table, read shortly after a start.
+	storedOwners []wasabiridge.InstanceID
+	// lossRate is the probability that a message is lost or duplicated, and that it is
+	// delayed by up to maxExtraDelay.
+	lossRate      float64
+	maxExtraDelay wasabiridge.Millis
+	// accounts holds the limits in force.
 	accounts []wasabiridge.ClientAccount
-	// ran are the requests that ran, by account.
+	// ran holds the requests that ran, by account.
 	ran     map[wasabiridge.ClientAccountID][]run
 	refused map[wasabiridge.ClientAccountID]int
 	asked   map[wasabiridge.ClientAccountID]int
-	// messages and bytes are what all instances sent.
+	// messages and bytes count what all instances have sent.
 	messages, bytes int
 	requests        int
 }
@@ -68,14 +72,14 @@
 	cost float64
 }
 
-type node struct {
-	way    way
-	life   int
-	up     bool
-	began  wasabiridge.Millis
-	frozen wasabiridge.Millis
-	// skew is how far the clock of the instance is ahead.
-	skew wasabiridge.Millis
+type instance struct {
+	limiter     limiter
+	incarnation int
+	up          bool
+	startedAt   wasabiridge.Millis
+	pausedUntil wasabiridge.Millis
+	// clockSkew is how far the clock of the instance is ahead.
+	clockSkew wasabiridge.Millis
 }
 
 type event struct {
@@ -99,12 +103,12 @@
 	return last
 }
 
-func newFleet(seed uint64, n int, accounts []wasabiridge.ClientAccount, build func(f *fleet, i int) way) *fleet {
+func newFleet(seed uint64, n int, accounts []wasabiridge.ClientAccount, build func(f *fleet, i int) limiter) *fleet {
 	f := &fleet{
-		now: 1_000_000, active: math.MaxInt, callers: math.MaxInt, random: rand.New(rand.NewPCG(seed, 1)), make: build, accounts: accounts,
-		cut:     func(int, int) bool { return false },
-		ran:     map[wasabiridge.ClientAccountID][]run{},
-		refused: map[wasabiridge.ClientAccountID]int{}, asked: map[wasabiridge.ClientAccountID]int{},
+		now: 1_000_000, active: math.MaxInt, callers: math.MaxInt, random: rand.New(rand.NewPCG(seed, 1)), newLimiter: build, accounts: accounts,
+		partitioned: func(int, int) bool { return false },
+		ran:         map[wasabiridge.ClientAccountID][]run{},
+		refused:     map[wasabiridge.ClientAccountID]int{}, asked: map[wasabiridge.ClientAccountID]int{},
 	}
 	for range n {
 		f.add()
@@ -112,105 +116,106 @@
 	return f
 }
 
-// add starts one more instance.
+// add starts an additional instance.
 func (f *fleet) add() {
-	f.nodes = append(f.nodes, &node{})
-	f.start(len(f.nodes) - 1)
+	f.instances = append(f.instances, &instance{})
+	f.start(len(f.instances) - 1)
 }
 
-func (f *fleet) at(at wasabiridge.Millis, do func()) {
+func (f *fleet) schedule(at wasabiridge.Millis, do func()) {
 	f.order++
 	heap.Push(&f.events, event{at: max(at, f.now), order: f.order, do: do})
 }
 
-// start lets an instance begin a life.
+// start starts a process of an instance, with a new incarnation.
 func (f *fleet) start(i int) {
-	n := f.nodes[i]
-	n.life, n.up, n.began = n.life+1, true, f.now
-	n.way = f.make(f, i)
-	n.way.limits(f.now+n.skew, f.accounts)
-	life := n.life
-	if t, ok := n.way.(*told); ok && f.owners != nil {
-		f.at(f.now+10, func() {
-			if n.up && n.life == life {
-				t.table.Observe(f.now+n.skew, wasabiridge.OwnersKnown{Instances: f.owners})
+	n := f.instances[i]
+	n.incarnation, n.up, n.startedAt = n.incarnation+1, true, f.now
+	n.limiter = f.newLimiter(f, i)
+	n.limiter.setLimits(f.now+n.clockSkew, f.accounts)
+	incarnation := n.incarnation
+	if t, ok := n.limiter.(*runningTotals); ok && f.storedOwners != nil {
+		f.schedule(f.now+10, func() {
+			if n.up && n.incarnation == incarnation {
+				t.table.Observe(f.now+n.clockSkew, wasabiridge.OwnersKnown{Instances: f.storedOwners})
 			}
 		})
 	}
 	var tick func()
 	tick = func() {
-		if n.life != life || !n.up {
+		if n.incarnation != incarnation || !n.up {
 			return
 		}
-		if f.now >= n.frozen {
-			n.way.tick(f.now + n.skew)
+		if f.now >= n.pausedUntil {
+			n.limiter.tick(f.now + n.clockSkew)
 		}
-		f.at(f.now+step, tick)
+		f.schedule(f.now+step, tick)
 	}
-	f.at(f.now+wasabiridge.Millis(f.random.IntN(int(step))), tick)
+	f.schedule(f.now+wasabiridge.Millis(f.random.IntN(int(step))), tick)
 }
 
-func (f *fleet) kill(i int) { f.nodes[i].up = false }
+func (f *fleet) kill(i int) { f.instances[i].up = false }
 
-// adopt puts other limits in force, at each instance within so long.
+// adopt changes the limits, at each instance at a random time within a span.
 func (f *fleet) adopt(accounts []wasabiridge.ClientAccount, within wasabiridge.Millis) {
 	f.accounts = accounts
-	for _, n := range f.nodes {
-		f.at(f.now+wasabiridge.Millis(f.random.IntN(int(within)+1)), func() {
+	for _, n := range f.instances {
+		f.schedule(f.now+wasabiridge.Millis(f.random.IntN(int(within)+1)), func() {
 			if n.up {
-				n.way.limits(f.now+n.skew, accounts)
+				n.limiter.setLimits(f.now+n.clockSkew, accounts)
 			}
 		})
 	}
 }
 
-// delay is how long a message is on its way.
+// delay draws how long a message takes.
 func (f *fleet) delay() wasabiridge.Millis {
 	d := 1 + wasabiridge.Millis(f.random.IntN(4))
-	if f.late > 0 && f.random.Float64() < f.loss {
-		d += wasabiridge.Millis(f.random.IntN(int(f.late)))
+	if f.maxExtraDelay > 0 && f.random.Float64() < f.lossRate {
+		d += wasabiridge.Millis(f.random.IntN(int(f.maxExtraDelay)))
 	}
 	return d
 }
 
-// send hands a message to another instance, with some chance not at all or twice.
+// send sends a message to another instance. With probability lossRate it is lost or
+// delivered twice.
 func (f *fleet) send(from, to, bytes int, message any) {
 	f.messages++
-	f.bytes += envelope + bytes
+	f.bytes += messageBytes + bytes
 	copies := 1
-	if f.random.Float64() < f.loss {
+	if f.random.Float64() < f.lossRate {
 		copies = 2 * f.random.IntN(2)
 	}
-	sender, life := f.nodes[from], f.nodes[from].life
+	sender, incarnation := f.instances[from], f.instances[from].incarnation
 	for range copies {
-		f.at(f.now+f.delay(), func() { f.deliver(from, to, life, sender, message) })
+		f.schedule(f.now+f.delay(), func() { f.deliver(from, to, incarnation, sender, message) })
 	}
 }
 
-func (f *fleet) deliver(from, to, life int, sender *node, message any) {
-	n := f.nodes[to]
-	if !n.up || f.cut(from, to) {
+func (f *fleet) deliver(from, to, incarnation int, sender *instance, message any) {
+	n := f.instances[to]
+	if !n.up || f.partitioned(from, to) {
 		return
 	}
-	if f.now < n.frozen {
-		// Who sends does not wait for longer than that.
-		if n.frozen-f.now < 500 {
-			f.at(n.frozen, func() { f.deliver(from, to, life, sender, message) })
+	if f.now < n.pausedUntil {
+		// A sender gives up after 500 ms.
+		if n.pausedUntil-f.now < 500 {
+			f.schedule(n.pausedUntil, func() { f.deliver(from, to, incarnation, sender, message) })
 		}
 		return
 	}
-	answer := n.way.take(f.now+n.skew, from, message)
-	f.at(f.now+f.delay(), func() {
-		if sender.up && sender.life == life && !f.cut(from, to) && f.now >= sender.frozen {
-			sender.way.answer(f.now+sender.skew, to, answer)
+	answer := n.limiter.receive(f.now+n.clockSkew, from, message)
+	f.schedule(f.now+f.delay(), func() {
+		if sender.up && sender.incarnation == incarnation && !f.partitioned(from, to) && f.now >= sender.pausedUntil {
+			sender.limiter.receiveAnswer(f.now+sender.clockSkew, to, answer)
 		}
 	})
 }
 
-// ask sends a request of an account to an instance.
-func (f *fleet) ask(i int, id wasabiridge.ClientAccountID, cost int) {
-	n := f.nodes[i]
-	if !n.up || f.now < n.frozen {
+// request sends a request of an account to an instance.
+func (f *fleet) request(i int, id wasabiridge.ClientAccountID, cost int) {
+	n := f.instances[i]
+	if !n.up || f.now < n.pausedUntil {
 		return
 	}
 	f.requests++
@@ -218,7 +223,7 @@
 	r := wasabiridge.Request{
 		ID: wasabiridge.RequestID(fmt.Sprint(f.requests)), Account: id, Chain: wasabiridge.Chain{Tokens: cost},
 	}
-	n.way.offer(f.now+n.skew, r, func(_ wasabiridge.Millis, runs bool) {
+	n.limiter.decide(f.now+n.clockSkew, r, func(_ wasabiridge.Millis, runs bool) {
 		if !runs {
 			f.refused[id]++
 			return
@@ -227,34 +232,34 @@
 	})
 }
 
-// load sends requests of an account to instances from now on for a while, so many tokens
-// a second in the mean.
+// load sends requests of an account until a time, with a mean rate in tokens per second. to
+// chooses the instance of each request.
 func (f *fleet) load(id wasabiridge.ClientAccountID, tokens float64, until wasabiridge.Millis, to func() int) {
 	var next func()
 	next = func() {
 		if f.now >= until {
 			return
 		}
-		cost := f.cost()
-		f.ask(to(), id, cost)
-		f.at(f.now+wasabiridge.Millis(f.random.ExpFloat64()*meanCost/tokens*float64(wasabiridge.Second)), next)
+		cost := f.drawCost()
+		f.request(to(), id, cost)
+		f.schedule(f.now+wasabiridge.Millis(f.random.ExpFloat64()*meanCost/tokens*float64(wasabiridge.Second)), next)
 	}
-	f.at(f.now+wasabiridge.Millis(f.random.Float64()*meanCost/tokens*float64(wasabiridge.Second)), next)
+	f.schedule(f.now+wasabiridge.Millis(f.random.Float64()*meanCost/tokens*float64(wasabiridge.Second)), next)
 }
 
-// meanCost is the mean of cost.
+// meanCost is the mean of drawCost.
 const meanCost = 0.15*17_000 + 0.85*383
 
-// cost draws the tokens of a request: one of seven is a long prompt.
-func (f *fleet) cost() int {
+// drawCost draws the tokens of a request. About one in seven is a long prompt.
+func (f *fleet) drawCost() int {
 	if f.random.Float64() < 0.15 {
 		return int(min(93_100, 17_000*math.Exp(0.6*f.random.NormFloat64()-0.18)))
 	}
 	return 383
 }
 
-// play lets time pass.
-func (f *fleet) play(until wasabiridge.Millis) {
+// runUntil runs all events up to a time.
+func (f *fleet) runUntil(until wasabiridge.Millis) {
 	for len(f.events) > 0 && f.events[0].at <= until {
 		e := heap.Pop(&f.events).(event)
 		f.now = e.at
@@ -263,12 +268,13 @@
 	f.now = until
 }
 
-// anyOf returns a function that draws one of the first instances.
+// anyOf returns a function that draws one of the first n instances.
 func (f *fleet) anyOf(n int) func() int { return func() int { return f.random.IntN(n) } }
 
-// most returns the largest sum of what ran in any window from a time on, as a part of the
-// limit, and by how much it passes what is allowed, negative if it does not.
-func (f *fleet) most(id wasabiridge.ClientAccountID, limit wasabiridge.AccountLimit, from wasabiridge.Millis) (share, beyond float64) {
+// maxWindow returns the largest sum of units that ran in any window from a time on: share
+// is its ratio to the limit, beyond the number of units over what is allowed, negative if
+// it is less.
+func (f *fleet) maxWindow(id wasabiridge.ClientAccountID, limit wasabiridge.AccountLimit, from wasabiridge.Millis) (share, beyond float64) {
 	runs := f.ran[id]
 	slices.SortFunc(runs, func(a, b run) int { return int(a.at - b.at) })
 	sum, first, top := 0.0, 0, 0.0
@@ -288,8 +294,8 @@
 	return top / full, top - full*(1+overrun) - slack
 }
 
-// ranIn sums what ran in a span.
-func (f *fleet) ranIn(id wasabiridge.ClientAccountID, from, until wasabiridge.Millis) float64 {
+// unitsRunIn returns the units that ran in a span of time.
+func (f *fleet) unitsRunIn(id wasabiridge.ClientAccountID, from, until wasabiridge.Millis) float64 {
 	sum := 0.0
 	for _, r := range f.ran[id] {
 		if r.at >= from && r.at < until {
@@ -299,7 +305,7 @@
 	return sum
 }
 
-func limited(id string, rate float64) wasabiridge.ClientAccount {
+func limitedAccount(id string, rate float64) wasabiridge.ClientAccount {
 	return wasabiridge.ClientAccount{
 		ID: wasabiridge.ClientAccountID(id), Limit: &wasabiridge.AccountLimit{Rate: rate, Burst: rate, Unit: wasabiridge.LimitTokens},
 	}
--- a/internal/wasabiquota/handler.go
+++ b/internal/wasabiquota/handler.go
@@ -9,8 +9,9 @@
 
 var _ wasabiridge.QuotaReader = (*Keeper)(nil)
 
-// Handler lets operators see the limits (GET): what is left, what each instance has let
-// run, and what was refused. Limits are set by the configuration only.
+// Handler returns the operators' view of the limits (GET): what is left of them, what each
+// instance has spent, and how much was refused. Limits can be set only in the
+// configuration.
 func (k *Keeper) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
--- a/internal/wasabiquota/history_test.go
+++ b/internal/wasabiquota/history_test.go
@@ -10,226 +10,232 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabiquota"
 )
 
-// bug is a mistake that is planted to see whether histories show it.
+// bug is a fault that is planted to check that the random histories detect it.
 type bug uint8
 
 const (
 	noBug bug = iota
-	// spentTwice lets run once more, after the process stood still, what was left before.
-	spentTwice
-	// givenAway takes silent instances for ended.
-	givenAway
-	// forgotten starts with full buckets.
-	forgotten
-	// oldLimit goes on with a limit that was lowered.
-	oldLimit
+	// respendAfterPause spends a full limit once more after the process was paused.
+	respendAfterPause
+	// silentAsEnded treats silent instances as ended.
+	silentAsEnded
+	// fullAtStart starts with full buckets.
+	fullAtStart
+	// ignoreLoweredLimit keeps using a limit that was lowered.
+	ignoreLoweredLimit
 )
 
-// faulty is told with a planted bug.
-type faulty struct {
-	*told
+// buggy is the design in use with a planted bug.
+type buggy struct {
+	*runningTotals
 	bug bug
-	// seen is when it last looked at its clock, twice what it spends once more.
-	seen  wasabiridge.Millis
-	twice float64
-	limit float64
+	// lastEvent is when anything last happened at the instance, respendable what
+	// respendAfterPause spends once more.
+	lastEvent   wasabiridge.Millis
+	respendable float64
+	limit       float64
 }
 
-func withBug(b bug) func(*fleet, int) way {
-	return func(f *fleet, i int) way {
-		return &faulty{told: newTold(f, i).(*told), bug: b, seen: f.now + f.nodes[i].skew}
+func withBug(b bug) func(*fleet, int) limiter {
+	return func(f *fleet, i int) limiter {
+		return &buggy{runningTotals: newRunningTotals(f, i).(*runningTotals), bug: b, lastEvent: f.now + f.instances[i].clockSkew}
 	}
 }
 
-// look is called before anything else that happens at the instance.
-func (w *faulty) look(now wasabiridge.Millis) {
-	stood := now-w.seen > 20*step
-	w.seen = now
-	if w.bug == spentTwice && stood {
-		w.twice = w.limit
+// detectPause must be called before anything else that happens at the instance.
+func (w *buggy) detectPause(now wasabiridge.Millis) {
+	paused := now-w.lastEvent > 20*step
+	w.lastEvent = now
+	if w.bug == respendAfterPause && paused {
+		w.respendable = w.limit
 	}
 }
 
-func (w *faulty) limits(now wasabiridge.Millis, accounts []wasabiridge.ClientAccount) {
-	w.look(now)
-	if w.bug == forgotten {
+func (w *buggy) setLimits(now wasabiridge.Millis, accounts []wasabiridge.ClientAccount) {
+	w.detectPause(now)
+	if w.bug == fullAtStart {
 		w.table.Observe(now, wasabiridge.ConfigAdopted{})
 	}
-	if w.bug == oldLimit && accounts[0].Limit.Rate < w.limit {
+	if w.bug == ignoreLoweredLimit && accounts[0].Limit.Rate < w.limit {
 		return
 	}
 	w.limit = accounts[0].Limit.Rate
-	w.told.limits(now, accounts)
+	w.runningTotals.setLimits(now, accounts)
 }
 
-func (w *faulty) offer(now wasabiridge.Millis, r wasabiridge.Request, done func(wasabiridge.Millis, bool)) {
-	w.look(now)
-	if cost := float64(r.Chain.Tokens); w.twice >= cost {
-		w.twice -= cost
+func (w *buggy) decide(now wasabiridge.Millis, r wasabiridge.Request, done func(wasabiridge.Millis, bool)) {
+	w.detectPause(now)
+	if cost := float64(r.Chain.Tokens); w.respendable >= cost {
+		w.respendable -= cost
 		done(now, true)
 		return
 	}
-	w.told.offer(now, r, done)
+	w.runningTotals.decide(now, r, done)
 }
 
-func (w *faulty) tick(now wasabiridge.Millis) {
-	w.look(now)
-	if w.bug == givenAway {
+func (w *buggy) tick(now wasabiridge.Millis) {
+	w.detectPause(now)
+	if w.bug == silentAsEnded {
 		for _, id := range w.table.Silent(now) {
 			w.table.Observe(now, wasabiridge.PeerEnded{ID: id})
 		}
 	}
-	w.told.tick(now)
+	w.runningTotals.tick(now)
 }
 
-func (w *faulty) take(now wasabiridge.Millis, from int, message any) any {
-	w.look(now)
-	return w.told.take(now, from, message)
+func (w *buggy) receive(now wasabiridge.Millis, from int, message any) any {
+	w.detectPause(now)
+	return w.runningTotals.receive(now, from, message)
 }
 
-func (w *faulty) answer(now wasabiridge.Millis, from int, answer any) {
-	w.look(now)
-	w.told.answer(now, from, answer)
+func (w *buggy) receiveAnswer(now wasabiridge.Millis, from int, answer any) {
+	w.detectPause(now)
+	w.runningTotals.receiveAnswer(now, from, answer)
 }
 
 const (
-	// drawnRate is the limit of a history, in requests of one unit, drawnSpan how long it
-	// lasts.
-	drawnRate = 40.0
-	drawnSpan = 20 * wasabiridge.Second
-	// drawnSlack is the slack of the users, as large beside the limit as theirs.
-	drawnSlack = 0.21 * drawnRate
-	// calmLoad is what the account sends before it sends too much, as a part of its limit.
-	calmLoad = 0.3
+	// historyRate is the limit of a history, in requests of one unit per second,
+	// historySpan its length.
+	historyRate = 40.0
+	historySpan = 20 * wasabiridge.Second
+	// historySlack is the allowed excess. Its ratio to the limit is that of slack to
+	// largeRate.
+	historySlack = 0.21 * historyRate
+	// baseLoad is what the account sends before it exceeds its limit, as a part of the
+	// limit.
+	baseLoad = 0.3
 )
 
-// draw plays a history of faults that follow from the seed. It returns the largest excess
-// over what may run in a window, with every limit that was in force.
-func draw(seed uint64, b bug) (excess float64, story string) {
-	f := newFleet(seed, 3, []wasabiridge.ClientAccount{limited("a", drawnRate)}, withBug(b))
+// randomHistory plays the random faults that follow from a seed. It returns the largest
+// number of units beyond what may run in a window, under every limit that was in force.
+func randomHistory(seed uint64, b bug) (excess float64, description string) {
+	f := newFleet(seed, 3, []wasabiridge.ClientAccount{limitedAccount("a", historyRate)}, withBug(b))
 	for range f.random.IntN(5) {
 		f.add()
 	}
-	n := len(f.nodes)
-	f.play(f.now + 2500)
-	begun := f.now
+	n := len(f.instances)
+	f.runUntil(f.now + 2500)
+	startedAt := f.now
 	lowered := wasabiridge.Millis(0)
 	for range 1 + f.random.IntN(3) {
-		at, span := begun+wasabiridge.Millis(f.random.IntN(12_000)), 500+wasabiridge.Millis(f.random.IntN(8500))
-		some := f.random.Perm(n)[:1+f.random.IntN(n)]
+		at, span := startedAt+wasabiridge.Millis(f.random.IntN(12_000)), 500+wasabiridge.Millis(f.random.IntN(8500))
+		chosen := f.random.Perm(n)[:1+f.random.IntN(n)]
 		switch kind := f.random.IntN(6); kind {
 		case 0:
 			apart := map[int]bool{}
-			for _, i := range some {
+			for _, i := range chosen {
 				apart[i] = true
 			}
-			story += fmt.Sprintf("cut %v at %d for %d; ", some, at-begun, span)
-			f.at(at, func() { f.cut = func(a, b int) bool { return apart[a] != apart[b] } })
-			f.at(at+span, func() { f.cut = func(int, int) bool { return false } })
+			description += fmt.Sprintf("partition %v at %d for %d; ", chosen, at-startedAt, span)
+			f.schedule(at, func() { f.partitioned = func(a, b int) bool { return apart[a] != apart[b] } })
+			f.schedule(at+span, func() { f.partitioned = func(int, int) bool { return false } })
 		case 1:
-			story += fmt.Sprintf("kill %v at %d; ", some, at-begun)
-			for _, i := range some {
-				f.at(at, func() { f.kill(i) })
-				f.at(at+200+wasabiridge.Millis(f.random.IntN(800)), func() {
-					if !f.nodes[i].up {
+			description += fmt.Sprintf("kill %v at %d; ", chosen, at-startedAt)
+			for _, i := range chosen {
+				f.schedule(at, func() { f.kill(i) })
+				f.schedule(at+200+wasabiridge.Millis(f.random.IntN(800)), func() {
+					if !f.instances[i].up {
 						f.start(i)
 					}
 				})
 			}
 		case 2:
-			story += fmt.Sprintf("freeze %v at %d for %d; ", some, at-begun, span)
-			for _, i := range some {
-				f.at(at, func() { f.nodes[i].frozen = at + span })
+			description += fmt.Sprintf("pause %v at %d for %d; ", chosen, at-startedAt, span)
+			for _, i := range chosen {
+				f.schedule(at, func() { f.instances[i].pausedUntil = at + span })
 			}
 		case 3:
-			story += fmt.Sprintf("add at %d; ", at-begun)
+			description += fmt.Sprintf("add at %d; ", at-startedAt)
 			for j := range 2 * n {
-				f.at(at+50*wasabiridge.Millis(j), f.add)
+				f.schedule(at+50*wasabiridge.Millis(j), f.add)
 			}
 		case 4:
-			story += "lossy; "
-			f.loss, f.late = 0.1, 400
+			description += "lossy; "
+			f.lossRate, f.maxExtraDelay = 0.1, 400
 		case 5:
 			if lowered > 0 {
 				continue
 			}
 			lowered = at
-			story += fmt.Sprintf("lowered at %d; ", at-begun)
-			f.at(at, func() { f.adopt([]wasabiridge.ClientAccount{limited("a", drawnRate/4)}, wasabiridge.Second) })
+			description += fmt.Sprintf("lowered at %d; ", at-startedAt)
+			f.schedule(at, func() { f.adopt([]wasabiridge.ClientAccount{limitedAccount("a", historyRate/4)}, wasabiridge.Second) })
 		}
 	}
-	load, hot := (1+6*f.random.Float64())*drawnRate, begun+wasabiridge.Millis(f.random.IntN(9000))
-	story += fmt.Sprintf("%d instances, load %.0f from %d on", n, load, hot-begun)
+	load, hot := (1+6*f.random.Float64())*historyRate, startedAt+wasabiridge.Millis(f.random.IntN(9000))
+	description += fmt.Sprintf("%d instances, load %.0f from %d on", n, load, hot-startedAt)
 	var next func()
 	next = func() {
-		if f.now >= begun+drawnSpan {
+		if f.now >= startedAt+historySpan {
 			return
 		}
-		f.ask(f.random.IntN(len(f.nodes)), "a", 1)
+		f.request(f.random.IntN(len(f.instances)), "a", 1)
 		now := load
 		if f.now < hot {
-			now = calmLoad * drawnRate
+			now = baseLoad * historyRate
 		}
-		f.at(f.now+wasabiridge.Millis(f.random.ExpFloat64()*1000/now), next)
+		f.schedule(f.now+wasabiridge.Millis(f.random.ExpFloat64()*1000/now), next)
 	}
-	f.at(begun, next)
-	f.play(begun + drawnSpan)
-	excess = f.excess(drawnRate, begun)
+	f.schedule(startedAt, next)
+	f.runUntil(startedAt + historySpan)
+	excess = f.excess(historyRate, startedAt)
 	if lowered > 0 {
-		// A lower limit binds what runs after it is in force everywhere.
-		excess = max(excess, f.excess(drawnRate/4, lowered+wasabiridge.Second))
+		// The lower limit holds for what runs once it is in force at all instances.
+		excess = max(excess, f.excess(historyRate/4, lowered+wasabiridge.Second))
 	}
-	return excess, story
+	return excess, description
 }
 
-// excess is by how much what ran from a time on passes what may run in a window.
+// excess returns by how many units the busiest window from a time on exceeds what is
+// allowed.
 func (f *fleet) excess(rate float64, from wasabiridge.Millis) float64 {
-	_, beyond := f.most("a", *limited("a", rate).Limit, from)
-	return beyond + slack - drawnSlack
+	_, beyond := f.maxWindow("a", *limitedAccount("a", rate).Limit, from)
+	return beyond + slack - historySlack
 }
 
-var _ = Describe("Drawn histories", func() {
-	It("never let run more than the limit", func() {
+var _ = Describe("Random histories of faults", func() {
+	It("never exceed the limit", func() {
 		for seed := range uint64(60) {
-			excess, story := draw(seed, noBug)
-			Expect(excess).To(BeNumerically("<=", 0), "seed %d: %s", seed, story)
+			excess, description := randomHistory(seed, noBug)
+			Expect(excess).To(BeNumerically("<=", 0), "seed %d: %s", seed, description)
 		}
 	})
 
-	// Guards against a burst that runs on both sides of a cut, before either sees it.
-	It("do not let a burst run twice when a cut and a rush come together", func() {
-		excess, story := draw(6978, noBug)
-		Expect(excess).To(BeNumerically("<=", 0), story)
+	// Guards against a burst that both sides of a partition admit before either has
+	// detected the partition.
+	It("do not admit a burst twice when a partition and a burst coincide", func() {
+		excess, description := randomHistory(6978, noBug)
+		Expect(excess).To(BeNumerically("<=", 0), description)
 	})
 
-	// Guards against newcomers that are cut off from the owners after they had heard them,
-	// and divide the limit among themselves.
-	It("do not let newcomers take a limit that has owners", func() {
-		excess, story := draw(7724, noBug)
-		Expect(excess).To(BeNumerically("<=", 0), story)
+	// Guards against new instances that are partitioned from the owners after they had
+	// reached them, and that divide the limit among themselves.
+	It("do not let new instances use a limit that has owners", func() {
+		excess, description := randomHistory(7724, noBug)
+		Expect(excess).To(BeNumerically("<=", 0), description)
 	})
 
-	// Guards against more than the limit where instances are killed, cut off and added.
-	It("hold where instances are killed, cut off and added", func() {
-		excess, story := draw(8192, noBug)
-		Expect(excess).To(BeNumerically("<=", 0), story)
+	// Guards against an exceeded limit when instances are killed, partitioned and added at
+	// about the same time.
+	It("do not exceed the limit when instances are killed, partitioned and added", func() {
+		excess, description := randomHistory(8192, noBug)
+		Expect(excess).To(BeNumerically("<=", 0), description)
 	})
 
 	bugs := map[string]bug{
-		"a part that is spent twice after a freeze":        spentTwice,
-		"a part that is given away while its owner lives":  givenAway,
-		"a window that is forgotten in a restart":          forgotten,
-		"a lowered limit that binds those that start only": oldLimit,
+		"a share that is spent twice after a pause":             respendAfterPause,
+		"a share that is reassigned while its owner is running": silentAsEnded,
+		"previous use that is forgotten in a restart":           fullAtStart,
+		"a lowered limit that only restarted instances apply":   ignoreLoweredLimit,
 	}
 	for name, b := range bugs {
-		It("show "+name, func() {
+		It("detect "+name, func() {
 			for seed := range uint64(300) {
-				if excess, story := draw(seed, b); excess > 0 {
-					fmt.Fprintf(GinkgoWriter, "seed %d: %s: %.0f beyond\n", seed, story, excess)
+				if excess, description := randomHistory(seed, b); excess > 0 {
+					fmt.Fprintf(GinkgoWriter, "seed %d: %s: %.0f over the limit\n", seed, description, excess)
 					return
 				}
 			}
-			Fail("no history shows it")
+			Fail("no history detects the bug")
 		})
 	}
 })
--- a/internal/wasabiquota/idle_test.go
+++ b/internal/wasabiquota/idle_test.go
@@ -8,7 +8,7 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabiquota"
 )
 
-// pass lets time pass at a table, in steps as the decisions do.
+// pass lets time pass at a table, in steps of 20 ms.
 func pass(t *wasabiquota.Table, from, until wasabiridge.Millis, each func(now wasabiridge.Millis)) {
 	for now := from; now <= until; now += 20 {
 		t.Observe(now, wasabiridge.Ticked{})
@@ -19,12 +19,12 @@
 }
 
 var _ = Describe("An instance without requests", func() {
-	// Guards against others that are forgotten after the process stood still, so that this
-	// instance takes all of a limit for its own.
-	It("that stood still finds the others again", func() {
-		t := wasabiquota.New(wasabiquota.Options{Self: instance(0), Life: 1, Started: 1000})
-		t.Observe(1000, wasabiridge.ConfigAdopted{Config: wasabiridge.Config{Accounts: []wasabiridge.ClientAccount{limited("a", large)}}})
-		t.Observe(1000, wasabiridge.ActiveKnown{Instances: names[:4], Known: 4})
+	// Guards against an instance that forgets the others after its process was paused, and
+	// then uses the whole limit.
+	It("reaches the others again after a pause", func() {
+		t := wasabiquota.New(wasabiquota.Options{Self: instanceID(0), Life: 1, Started: 1000})
+		t.Observe(1000, wasabiridge.ConfigAdopted{Config: wasabiridge.Config{Accounts: []wasabiridge.ClientAccount{limitedAccount("a", largeRate)}}})
+		t.Observe(1000, wasabiridge.ActiveKnown{Instances: instanceIDs[:4], Known: 4})
 		answer := func(now wasabiridge.Millis) {
 			for _, id := range t.Strangers(now) {
 				t.Observe(now, wasabiridge.PeerHeard{From: id})
@@ -35,17 +35,17 @@
 		pass(t, 10_000, 10_100, nil)
 		Expect(t.Part(10_100)).To(Equal(0.25))
 		pass(t, 10_120, 80_000, nil)
-		Expect(t.Part(80_000)).To(Equal(0.25), "nobody answers")
+		Expect(t.Part(80_000)).To(Equal(0.25), "no instance answers")
 		pass(t, 80_020, 80_100, answer)
 		Expect(t.Part(80_100)).To(Equal(1.0))
 	})
 
-	// Guards against an instance that goes on with its part after the others have forgotten
+	// Guards against an instance that goes on using its share after the others have expired
 	// it.
-	It("that stood still for long owns no part any more", func() {
-		t := wasabiquota.New(wasabiquota.Options{Self: instance(0), Life: 1, Started: 1000})
-		t.Observe(1000, wasabiridge.ConfigAdopted{Config: wasabiridge.Config{Accounts: []wasabiridge.ClientAccount{limited("a", large)}}})
-		t.Observe(1000, wasabiridge.ActiveKnown{Instances: names[:4], Known: 4})
+	It("owns no share after a long pause", func() {
+		t := wasabiquota.New(wasabiquota.Options{Self: instanceID(0), Life: 1, Started: 1000})
+		t.Observe(1000, wasabiridge.ConfigAdopted{Config: wasabiridge.Config{Accounts: []wasabiridge.ClientAccount{limitedAccount("a", largeRate)}}})
+		t.Observe(1000, wasabiridge.ActiveKnown{Instances: instanceIDs[:4], Known: 4})
 		answer := func(now wasabiridge.Millis) {
 			for _, id := range t.Strangers(now) {
 				t.Observe(now, wasabiridge.PeerHeard{From: id})
@@ -59,30 +59,30 @@
 		Expect(t.Part(74_000)).To(Equal(1.0))
 	})
 
-	// Guards against instances that are cut off while nothing runs: each would let run a
-	// whole burst before it sees that nobody answers.
-	It("sees that the others do not answer", func() {
-		f := newFleet(1, 8, []wasabiridge.ClientAccount{limited("a", large)}, newTold)
-		f.play(f.now + 5000)
-		f.cut = func(int, int) bool { return true }
-		f.play(f.now + 3000)
-		for i := range f.nodes {
-			Expect(f.nodes[i].way.(*told).table.Part(f.now)).To(Equal(0.125))
+	// Guards against a partition while nothing runs: each instance would admit a whole
+	// burst before it detects that nobody answers.
+	It("detects that the others do not answer", func() {
+		f := newFleet(1, 8, []wasabiridge.ClientAccount{limitedAccount("a", largeRate)}, newRunningTotals)
+		f.runUntil(f.now + 5000)
+		f.partitioned = func(int, int) bool { return true }
+		f.runUntil(f.now + 3000)
+		for i := range f.instances {
+			Expect(f.instances[i].limiter.(*runningTotals).table.Part(f.now)).To(Equal(0.125))
 		}
 	})
 
-	// Guards against messages where no account has a limit.
-	It("and without limits greets nobody", func() {
-		f := newFleet(1, 8, nil, newTold)
-		f.play(f.now + 5000)
+	// Guards against needless messages when no account has a limit.
+	It("sends no messages when there are no limits", func() {
+		f := newFleet(1, 8, nil, newRunningTotals)
+		f.runUntil(f.now + 5000)
 		Expect(f.messages).To(BeZero())
 	})
 
 	// Guards against a single instance that waits a minute for others that do not exist.
-	It("and without others has all of a limit soon after its start", func() {
-		t := wasabiquota.New(wasabiquota.Options{Self: instance(0), Life: 1, Started: 1000})
-		t.Observe(1000, wasabiridge.ConfigAdopted{Config: wasabiridge.Config{Accounts: []wasabiridge.ClientAccount{limited("a", large)}}})
-		t.Observe(1000, wasabiridge.ActiveKnown{Instances: names[:1], Known: 1})
+	It("uses the whole limit soon after its start when it is the only one", func() {
+		t := wasabiquota.New(wasabiquota.Options{Self: instanceID(0), Life: 1, Started: 1000})
+		t.Observe(1000, wasabiridge.ConfigAdopted{Config: wasabiridge.Config{Accounts: []wasabiridge.ClientAccount{limitedAccount("a", largeRate)}}})
+		t.Observe(1000, wasabiridge.ActiveKnown{Instances: instanceIDs[:1], Known: 1})
 		pass(t, 1000, 7000, nil)
 		Expect(t.Part(7000)).To(Equal(1.0))
 		Expect(t.Entries(7000)[0].Known).To(BeTrue())
--- a/internal/wasabiquota/keeper.go
+++ b/internal/wasabiquota/keeper.go
@@ -15,34 +15,37 @@
 )
 
 const (
-	// lookEvery is how often it is looked whether the others should be told.
-	lookEvery = 100 * time.Millisecond
-	// probeEvery is how often it is looked whether a silent instance has ended.
-	probeEvery = wasabiridge.Second
-	// tellTimeout bounds handing news to one instance.
-	tellTimeout = 500 * time.Millisecond
+	// pollInterval is how often the keeper checks whether updates are due.
+	pollInterval = 100 * time.Millisecond
+	// probeInterval is the shortest time between two checks whether the process of a silent
+	// instance has ended.
+	probeInterval = wasabiridge.Second
+	// sendTimeout bounds sending an update to one instance.
+	sendTimeout = 500 * time.Millisecond
 )
 
-// KeeperOptions are the parts of a Keeper. Clock is needed.
+// KeeperOptions are the dependencies and settings of a Keeper. Clock is required.
 type KeeperOptions struct {
 	Self        wasabiridge.InstanceID
 	Incarnation wasabiridge.Incarnation
-	// Clock goes on while the process is suspended.
+	// Clock keeps running while the process is suspended.
 	Clock wasabiridge.Clock
 	Log   zerolog.Logger
-	// Members returns the other living instances, Active those that callers are sent to.
-	// Nil means none, and all members.
+	// Members returns the other running instances, Active the instances that callers are
+	// routed to. A nil Members means that there are no other instances, a nil Active that
+	// callers are routed to all members.
 	Members func() []wasabiridge.Member
 	Active  func() []wasabiridge.InstanceEntry
-	// Tell hands news to the instance at an address. Nil means that there are no others.
+	// Tell sends an update to the instance at an address. Nil means that there are no other
+	// instances.
 	Tell func(ctx context.Context, address string, n wasabiridge.News) error
-	// Rows is where it is kept which instances own a part of the limits. Nil means that it
-	// is not kept.
+	// Rows stores which instances own a share of the limits. Nil means that this is not
+	// stored.
 	Rows wasabiridge.Table
 }
 
-// Keeper joins a Table to the other instances and to the log. It is safe for concurrent
-// use.
+// Keeper connects a Table to the other instances, to the platform's table and to the log.
+// It is safe for concurrent use.
 type Keeper struct {
 	options KeeperOptions
 	table   *Table
@@ -50,109 +53,112 @@
 	endings wasabiending.Checker
 
 	mu sync.Mutex
-	// answered are the instances that have answered and of which the table does not know.
+	// answered holds the instances whose answers have not been passed to the table yet.
 	answered map[wasabiridge.InstanceID]bool
-	// addresses are those of all instances that were ever active or members.
+	// addresses holds the peer addresses of all instances that have ever been active or
+	// members.
 	addresses map[wasabiridge.InstanceID]string
-	// active and known are what the table was last told.
-	active []wasabiridge.InstanceID
-	known  int
-	// read says that the row of the owners was asked for, written what was last written, at
-	// writtenAt. They belong to Run.
-	read      bool
-	written   []wasabiridge.InstanceID
-	writtenAt wasabiridge.Millis
-	// owners is what was last logged of the owners, at ownersAt. They belong to Run.
-	owners   Owners
-	ownersAt wasabiridge.Millis
-	// probed is when silent instances were last looked at. It belongs to Run.
-	probed map[wasabiridge.InstanceID]wasabiridge.Millis
+	// active and knownCount are the last values passed to the table.
+	active     []wasabiridge.InstanceID
+	knownCount int
+	// ownersRead says that the stored owners have been requested. ownersWritten is the last
+	// list written, at ownersWrittenAt. Only Run uses these fields.
+	ownersRead      bool
+	ownersWritten   []wasabiridge.InstanceID
+	ownersWrittenAt wasabiridge.Millis
+	// loggedOwners is the last ownership logged, at loggedAt. Only Run uses these fields.
+	loggedOwners Owners
+	loggedAt     wasabiridge.Millis
+	// probedAt is when each silent instance was last probed. Only Run uses it.
+	probedAt map[wasabiridge.InstanceID]wasabiridge.Millis
 }
 
-// NewKeeper returns a keeper with a table that knows no limits.
+// NewKeeper returns a keeper whose table has no limits yet.
 func NewKeeper(o KeeperOptions) *Keeper {
 	return &Keeper{
 		options: o, answered: map[wasabiridge.InstanceID]bool{}, addresses: map[wasabiridge.InstanceID]string{},
-		probed: map[wasabiridge.InstanceID]wasabiridge.Millis{},
-		table:  New(Options{Self: o.Self, Life: o.Incarnation, Started: o.Clock.Now(), Alone: o.Tell == nil}),
+		probedAt: map[wasabiridge.InstanceID]wasabiridge.Millis{},
+		table:    New(Options{Self: o.Self, Life: o.Incarnation, Started: o.Clock.Now(), Alone: o.Tell == nil}),
 	}
 }
 
-// Table returns the table for the decisions. It belongs to the loop that Join is given.
+// Table returns the quota table. It may be used only in the loop that is given to Join.
 func (k *Keeper) Table() *Table { return k.table }
 
-// Join names the loop that owns the table. It is called once, before anything else.
+// Join sets the loop that owns the table. It must be called once, before any other method
+// but Table.
 func (k *Keeper) Join(l *wasabiloop.Loop) { k.loop = l }
 
-// Run tells the other instances what runs here, and logs refusals, until the context
-// ends. It is called once.
+// Run sends updates to the other instances and logs refusals, until the context ends. It
+// must be called only once.
 func (k *Keeper) Run(ctx context.Context) {
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			k.look(ctx)
+			k.poll(ctx)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (k *Keeper) look(ctx context.Context) {
-	k.followActive()
-	var news wasabiridge.News
+func (k *Keeper) poll(ctx context.Context) {
+	k.updateActive()
+	var update wasabiridge.News
 	var notes []Note
-	var silent, strangers, newcomers, owners []wasabiridge.InstanceID
+	var silent, unconfirmed, snapshotTargets, owners []wasabiridge.InstanceID
 	limited := false
-	var hello, all wasabiridge.News
+	var hello, snapshot wasabiridge.News
 	var ownership Owners
 	k.loop.Inspect(func() {
 		now := k.options.Clock.Now()
-		k.Add(now, &news)
+		k.Add(now, &update)
 		notes, silent = k.table.TakeNotes(), k.table.Silent(now)
 		owners, limited = k.table.Owners(now), k.table.IsLimiting()
 		ownership = k.table.Ownership(now)
-		strangers, hello = k.table.Strangers(now), k.table.Hello(now)
-		if newcomers = k.table.Newcomers(); len(newcomers) > 0 {
-			all = k.table.All(now)
+		unconfirmed, hello = k.table.Strangers(now), k.table.Hello(now)
+		if snapshotTargets = k.table.Newcomers(); len(snapshotTargets) > 0 {
+			snapshot = k.table.All(now)
 		}
 	})
-	k.Tell(ctx, news, nil)
-	k.tellEach(ctx, strangers, hello)
-	k.tellEach(ctx, newcomers, all)
+	k.Tell(ctx, update, nil)
+	k.sendEach(ctx, unconfirmed, hello)
+	k.sendEach(ctx, snapshotTargets, snapshot)
 	for _, n := range notes {
-		k.log(n)
+		k.logRefusal(n)
 	}
 	if limited {
 		k.logOwners(ownership, silent)
 	}
 	k.probeAll(ctx, silent)
-	k.keepOwners(ctx, limited, owners)
+	k.syncOwners(ctx, limited, owners)
 }
 
-// probeAll looks whether silent instances have ended, each once in a while.
+// probeAll checks whether silent instances have ended, each at most once per probeInterval.
 func (k *Keeper) probeAll(ctx context.Context, silent []wasabiridge.InstanceID) {
 	now := k.options.Clock.Now()
-	maps.DeleteFunc(k.probed, func(_ wasabiridge.InstanceID, at wasabiridge.Millis) bool { return now-at >= probeEvery })
+	maps.DeleteFunc(k.probedAt, func(_ wasabiridge.InstanceID, at wasabiridge.Millis) bool { return now-at >= probeInterval })
 	for _, id := range silent {
-		if _, lately := k.probed[id]; !lately {
-			k.probed[id] = now
+		if _, lately := k.probedAt[id]; !lately {
+			k.probedAt[id] = now
 			go k.probe(ctx, id)
 		}
 	}
 }
 
-// followActive lets the table know which instances callers are sent to.
-func (k *Keeper) followActive() {
+// updateActive passes to the table which instances callers are routed to, and how many
+// instances there are.
+func (k *Keeper) updateActive() {
 	var entries []wasabiridge.InstanceEntry
-	known := 1
+	count := 1
 	if k.options.Members != nil {
 		for _, m := range k.options.Members() {
 			entries = append(entries, m.InstanceEntry)
 		}
 	}
-	known += len(entries)
+	count += len(entries)
 	k.mu.Lock()
 	for _, e := range entries {
 		k.addresses[e.ID] = e.PeerAddress
@@ -170,62 +176,63 @@
 		}
 	}
 	slices.Sort(active)
-	if (!slices.Equal(active, k.active) || known != k.known) && k.loop.Observe(wasabiridge.ActiveKnown{Instances: active, Known: known}) {
-		k.active, k.known = active, known
+	if (!slices.Equal(active, k.active) || count != k.knownCount) && k.loop.Observe(wasabiridge.ActiveKnown{Instances: active, Known: count}) {
+		k.active, k.knownCount = active, count
 	}
 }
 
-// Add adds what the other instances should be told of the limits to news that go to them
-// anyway, or that are due. The goroutine of the loop calls it.
-func (k *Keeper) Add(now wasabiridge.Millis, news *wasabiridge.News) {
+// Add adds what the other instances need to know of the limits to an update, if the update
+// is sent anyway or one on the limits is due. It must be called in the goroutine of the
+// loop.
+func (k *Keeper) Add(now wasabiridge.Millis, update *wasabiridge.News) {
 	k.mu.Lock()
 	for id := range k.answered {
 		k.table.Observe(now, wasabiridge.PeerHeard{From: id})
 	}
 	clear(k.answered)
 	k.mu.Unlock()
-	if len(news.Loads) == 0 && len(news.Parts) == 0 && !k.table.IsDue(now) {
+	if len(update.Loads) == 0 && len(update.Parts) == 0 && !k.table.IsDue(now) {
 		return
 	}
 	own := k.table.TakeNews(now)
 	if len(own.Uses) == 0 {
 		return
 	}
-	news.Uses, news.Life, news.Sequence, news.Part = own.Uses, own.Life, own.Sequence, own.Part
-	news.Change, news.View = own.Change, own.View
+	update.Uses, update.Life, update.Sequence, update.Part = own.Uses, own.Life, own.Sequence, own.Part
+	update.Change, update.View = own.Change, own.View
 	for _, id := range k.table.Others() {
 		k.table.Observe(now, wasabiridge.PeerTold{To: id})
 	}
 }
 
-// Tell hands news to some instances, and what it says of the limits to all others that
-// own a part of them. It does not wait for them.
-func (k *Keeper) Tell(ctx context.Context, news wasabiridge.News, whole []wasabiridge.InstanceEntry) {
+// Tell sends an update in full to some instances, and its part on the limits to all other
+// instances that own a share of them. It does not wait for answers.
+func (k *Keeper) Tell(ctx context.Context, update wasabiridge.News, full []wasabiridge.InstanceEntry) {
 	if k.options.Tell == nil {
 		return
 	}
-	news.From = k.options.Self
-	told := map[wasabiridge.InstanceID]bool{k.options.Self: true}
-	for _, e := range whole {
-		if e.PeerAddress != "" && !told[e.ID] {
-			told[e.ID] = true
-			go k.tellOne(ctx, e.ID, e.PeerAddress, news)
+	update.From = k.options.Self
+	sent := map[wasabiridge.InstanceID]bool{k.options.Self: true}
+	for _, e := range full {
+		if e.PeerAddress != "" && !sent[e.ID] {
+			sent[e.ID] = true
+			go k.sendOne(ctx, e.ID, e.PeerAddress, update)
 		}
 	}
-	if len(news.Uses) == 0 {
+	if len(update.Uses) == 0 {
 		return
 	}
-	news.Loads, news.Parts = nil, nil
+	update.Loads, update.Parts = nil, nil
 	var others []wasabiridge.InstanceID
 	k.loop.Inspect(func() { others = k.table.Others() })
-	others = slices.DeleteFunc(others, func(id wasabiridge.InstanceID) bool { return told[id] })
-	k.tellEach(ctx, others, news)
+	others = slices.DeleteFunc(others, func(id wasabiridge.InstanceID) bool { return sent[id] })
+	k.sendEach(ctx, others, update)
 }
 
-func (k *Keeper) tellEach(ctx context.Context, to []wasabiridge.InstanceID, news wasabiridge.News) {
+func (k *Keeper) sendEach(ctx context.Context, to []wasabiridge.InstanceID, update wasabiridge.News) {
 	for _, id := range to {
 		if address := k.addressOf(id); address != "" && k.options.Tell != nil {
-			go k.tellOne(ctx, id, address, news)
+			go k.sendOne(ctx, id, address, update)
 		}
 	}
 }
@@ -236,55 +243,55 @@
 	return k.addresses[id]
 }
 
-func (k *Keeper) tellOne(ctx context.Context, id wasabiridge.InstanceID, address string, news wasabiridge.News) {
-	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
+func (k *Keeper) sendOne(ctx context.Context, id wasabiridge.InstanceID, address string, update wasabiridge.News) {
+	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	if err := k.options.Tell(ctx, address, news); err != nil {
-		k.options.Log.Debug().Err(err).Str("member", string(id)).Msg("News not taken.")
+	if err := k.options.Tell(ctx, address, update); err != nil {
+		k.options.Log.Debug().Err(err).Str("member", string(id)).Msg("Update not delivered.")
 		return
 	}
-	k.answer(id)
+	k.noteAnswer(id)
 }
 
-// answer notes that an instance has answered.
-func (k *Keeper) answer(id wasabiridge.InstanceID) {
+// noteAnswer records that an instance has answered.
+func (k *Keeper) noteAnswer(id wasabiridge.InstanceID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.answered[id] = true
 }
 
-// Hear takes the news of another instance. Uses that find the loop full are lost, and
-// told again.
+// Hear takes an update received from another instance. Its part on the limits is dropped
+// while the loop's queue is full; the sender repeats it.
 func (k *Keeper) Hear(n wasabiridge.News) {
-	k.answer(n.From)
+	k.noteAnswer(n.From)
 	if n.Life > 0 {
 		k.loop.Observe(n.UsesHeard())
 	}
 }
 
-// probe looks whether the process of a silent instance has ended. Nothing runs there
-// then, and its part of the limits is free.
+// probe checks whether the process of a silent instance has ended. If so, it cannot spend
+// anything any more and its share of the limits is free.
 func (k *Keeper) probe(ctx context.Context, id wasabiridge.InstanceID) {
 	if address := k.addressOf(id); address != "" && k.endings.HasEnded(ctx, address) {
-		k.options.Log.Info().Str("member", string(id)).Msg("Instance has ended; its part of the limits is free.")
+		k.options.Log.Info().Str("member", string(id)).Msg("Instance has ended; its share of the limits is free.")
 		k.loop.Observe(wasabiridge.PeerEnded{ID: id})
 	}
 }
 
-// Snapshot is what is known of the limits at one moment.
+// Snapshot is the state of the limits at one moment.
 type Snapshot struct {
-	// Entries are all accounts with a limit.
+	// Entries holds all accounts with a limit.
 	Entries []Entry
-	// Part is the part of every limit that can be used here.
+	// Part is the share of every limit that this instance can use.
 	Part   float64
 	Owners Owners
 	Counts Counts
-	// Use counts the requests that were let in by the used share of their account's
-	// burst, in equal parts from none to all of it.
+	// Use is a histogram of admitted requests by the used part of their account's burst, in
+	// equal bins from none to all of it.
 	Use []uint64
 }
 
-// Snapshot returns what is known.
+// Snapshot returns the current state of the limits.
 func (k *Keeper) Snapshot() Snapshot {
 	var s Snapshot
 	k.loop.Inspect(func() {
--- a/internal/wasabiquota/keeper_test.go
+++ b/internal/wasabiquota/keeper_test.go
@@ -13,25 +13,27 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabiquota"
 )
 
-// rows is a table of the platform in memory.
-type rows struct {
-	mu   sync.Mutex
-	rows map[string]wasabiridge.Row
-	down bool
+// memoryTable is a platform table in memory. All reads fail while unavailable is set.
+type memoryTable struct {
+	mu          sync.Mutex
+	rows        map[string]wasabiridge.Row
+	unavailable bool
 }
 
-func (r *rows) Get(_ context.Context, key string) (wasabiridge.Row, error) {
+func (r *memoryTable) Get(_ context.Context, key string) (wasabiridge.Row, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.down {
-		return wasabiridge.Row{}, wasabiridge.ErrUnavailable.New("test: down")
+	if r.unavailable {
+		return wasabiridge.Row{}, wasabiridge.ErrUnavailable.New("test: table is unavailable")
 	}
 	return r.rows[key], nil
 }
 
-func (r *rows) List(context.Context, string, string, int) ([]wasabiridge.Row, error) { return nil, nil }
+func (r *memoryTable) List(context.Context, string, string, int) ([]wasabiridge.Row, error) {
+	return nil, nil
+}
 
-func (r *rows) Commit(_ context.Context, tx wasabiridge.Transaction) error {
+func (r *memoryTable) Commit(_ context.Context, tx wasabiridge.Transaction) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range tx.Changes {
@@ -40,22 +42,23 @@
 	return nil
 }
 
-func (r *rows) value(key string) string {
+func (r *memoryTable) value(key string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return string(r.rows[key].Value)
 }
 
-// tableOnly lets a table take events as the decisions do.
-type tableOnly struct{ table *wasabiquota.Table }
+// tableDecider passes the loop's events to a table.
+type tableDecider struct{ table *wasabiquota.Table }
 
-func (d tableOnly) Handle(now wasabiridge.Millis, e wasabiridge.Event) []wasabiridge.Effect {
+func (d tableDecider) Handle(now wasabiridge.Millis, e wasabiridge.Event) []wasabiridge.Effect {
 	d.table.Observe(now, e)
 	return nil
 }
 
-// keep starts a keeper of an instance beside another one that answers if it should.
-func keep(id wasabiridge.InstanceID, table wasabiridge.Table, answers bool) *wasabiquota.Keeper {
+// startKeeper starts the keeper of an instance that has one peer, which answers if answers
+// is set.
+func startKeeper(id wasabiridge.InstanceID, table wasabiridge.Table, answers bool) *wasabiquota.Keeper {
 	k := wasabiquota.NewKeeper(wasabiquota.KeeperOptions{
 		Self: id, Incarnation: 1, Clock: wasabiclock.System(), Rows: table,
 		Members: func() []wasabiridge.Member {
@@ -63,14 +66,14 @@
 		},
 		Tell: func(context.Context, string, wasabiridge.News) error {
 			if !answers {
-				return wasabiridge.ErrUnavailable.New("test: silent")
+				return wasabiridge.ErrUnavailable.New("test: instance does not answer")
 			}
 			return nil
 		},
 	})
-	loop := wasabiloop.New(wasabiloop.Options{Decider: tableOnly{k.Table()}, Clock: wasabiclock.System()})
+	loop := wasabiloop.New(wasabiloop.Options{Decider: tableDecider{k.Table()}, Clock: wasabiclock.System()})
 	k.Join(loop)
-	loop.Post(wasabiridge.ConfigAdopted{Config: wasabiridge.Config{Accounts: []wasabiridge.ClientAccount{limited("a", large)}}})
+	loop.Post(wasabiridge.ConfigAdopted{Config: wasabiridge.Config{Accounts: []wasabiridge.ClientAccount{limitedAccount("a", largeRate)}}})
 	ctx, cancel := context.WithCancel(context.Background())
 	go k.Run(ctx)
 	DeferCleanup(func() {
@@ -80,7 +83,7 @@
 	return k
 }
 
-// level is what the only account has left.
+// level returns what is left of the limit of the only account.
 func level(k *wasabiquota.Keeper) float64 {
 	if s := k.Snapshot(); len(s.Entries) == 1 {
 		return s.Entries[0].Level
@@ -88,20 +91,20 @@
 	return 0
 }
 
-// Guards against instances that start without knowing how many share a limit, although
-// this was kept.
-var _ = Describe("Who owns a part of the limits", func() {
-	It("is kept, and known to an instance that starts", func() {
-		table := &rows{rows: map[string]wasabiridge.Row{}}
-		keep("a", table, true)
+// Guards against instances that start without knowing how many of them share a limit,
+// although the owners were stored.
+var _ = Describe("The list of owners of the limits", func() {
+	It("is stored, and loaded by an instance that starts", func() {
+		table := &memoryTable{rows: map[string]wasabiridge.Row{}}
+		startKeeper("a", table, true)
 		Eventually(func() string { return table.value(wasabiquota.OwnersKey) }, "10s").Should(Equal(`["a","z"]`))
-		again := keep("a", table, false)
-		Eventually(func() float64 { return level(again) }, "10s").Should(BeNumerically(">", large/16))
+		again := startKeeper("a", table, false)
+		Eventually(func() float64 { return level(again) }, "10s").Should(BeNumerically(">", largeRate/16))
 	})
 
-	It("is not waited for when the platform is down, nor taken from a row that is none", func() {
-		for _, table := range []*rows{{down: true}, {rows: map[string]wasabiridge.Row{wasabiquota.OwnersKey: {Revision: 1, Value: []byte("{")}}}} {
-			k := keep("a", table, false)
+	It("is not waited for when the platform is unavailable, and not taken from an invalid row", func() {
+		for _, table := range []*memoryTable{{unavailable: true}, {rows: map[string]wasabiridge.Row{wasabiquota.OwnersKey: {Revision: 1, Value: []byte("{")}}}} {
+			k := startKeeper("a", table, false)
 			Eventually(func() float64 { return level(k) }, "10s").Should(BeNumerically(">", 0))
 		}
 	})
--- a/internal/wasabiquota/note.go
+++ b/internal/wasabiquota/note.go
@@ -9,101 +9,104 @@
 )
 
 const (
-	// notesMost bounds the refusals that wait to be logged. What comes beyond is counted.
-	notesMost = 64
-	// histogramSize is into how many equal parts the used share of a burst is sorted.
-	histogramSize = 10
+	// maxNotes bounds the refusals that wait to be logged. Further ones are only counted.
+	maxNotes = 64
+	// histogramBuckets is the number of equal bins for the used part of a burst.
+	histogramBuckets = 10
 )
 
-// Counts are totals since the start.
+// Counts are totals since the start of the process.
 type Counts struct {
-	// Refused counts requests beyond a limit, Unlogged those of them without a log line.
+	// Refused counts requests over a limit, Unlogged those of them without a log line.
 	Refused, Unlogged uint64
 }
 
-// Note is a refusal, with what it was decided by.
+// Note is a refusal, with the values that it was decided by.
 type Note struct {
 	Request wasabiridge.RequestID
 	Account wasabiridge.ClientAccountID
 	Limit   wasabiridge.AccountLimit
-	// Cost is what the request counts as, Level what was left, Part which part of the
-	// limit could be used here, Known whether the level was that of all instances.
+	// Cost is the units of the request, Level what was left in the bucket, Part the share
+	// of the limit that this instance could use, Known whether the level accounted for all
+	// instances.
 	Cost, Level, Part float64
 	Known             bool
 	RetryAfter        wasabiridge.Millis
-	// Silent names the instances that have not answered, Oldest is how old the news of
-	// the others is at most.
+	// Silent names the instances that have not answered in time. Oldest is the age of the
+	// oldest last answer among all other instances.
 	Silent []wasabiridge.InstanceID
 	Oldest wasabiridge.Millis
-	// Owners is what was known of the owners.
+	// Owners is the ownership as this instance knew it.
 	Owners Owners
 }
 
 func (t *Table) note(now wasabiridge.Millis, r wasabiridge.Request, a *account, cost float64, after wasabiridge.Millis) {
-	if len(t.notes) >= notesMost {
+	if len(t.notes) >= maxNotes {
 		t.counts.Unlogged++
 		return
 	}
 	n := Note{
-		Request: r.ID, Account: r.Account, Limit: a.limit, Cost: cost, Level: a.level, Part: t.partOf(now, a, t.part(now)), Known: a.known,
+		Request: r.ID, Account: r.Account, Limit: a.limit, Cost: cost, Level: a.level, Part: t.accountShare(now, a, t.usableShare(now)), Known: a.levelKnown,
 		RetryAfter: after, Silent: t.Silent(now), Owners: t.Ownership(now),
 	}
 	for _, p := range t.peers {
-		n.Oldest = max(n.Oldest, now-p.heard)
+		n.Oldest = max(n.Oldest, now-p.answeredAt)
 	}
 	t.notes = append(t.notes, n)
 }
 
-// TakeNotes returns the refusals since the last time.
+// TakeNotes returns the refusals since the last call.
 func (t *Table) TakeNotes() []Note {
 	out := t.notes
 	t.notes = nil
 	return out
 }
 
-// Counts returns totals since the start.
+// Counts returns totals since the start of the process.
 func (t *Table) Counts() Counts { return t.counts }
 
-// observeUse sorts the used share of a burst at an admission.
-func (t *Table) observeUse(a *account, part float64) {
-	used := 1 - a.level/(a.burst()*part)
-	t.histogram[min(max(int(used*histogramSize), 0), histogramSize-1)]++
+// recordUse adds the used part of the burst to the histogram when a request is admitted.
+func (t *Table) recordUse(a *account, share float64) {
+	used := 1 - a.level/(a.burst()*share)
+	t.useHistogram[min(max(int(used*histogramBuckets), 0), histogramBuckets-1)]++
 }
 
-// Use returns how many requests were let in by the used share of their account's burst,
-// in equal parts from none to all of it.
-func (t *Table) Use() []uint64 { return slices.Clone(t.histogram[:]) }
+// Use returns a histogram of admitted requests by the used part of their account's burst,
+// in equal bins from none to all of it.
+func (t *Table) Use() []uint64 { return slices.Clone(t.useHistogram[:]) }
 
-// Entry is what is known of an account with a limit.
+// Entry is the state of an account with a limit.
 type Entry struct {
 	Account wasabiridge.ClientAccountID
 	Limit   wasabiridge.AccountLimit
-	// Level is what is left of the burst, negative for a debt, Own what ran here since
-	// the start, Refused how many requests were refused here.
+	// Level is what is left of the burst, negative for a debt. Own is the number of units
+	// spent at this instance since its start, Refused the number of requests that this
+	// instance refused. Known says that Level accounts for all instances.
 	Level, Own float64
 	Refused    uint64
 	Known      bool
-	// Totals are what the other instances have told.
+	// Totals are the last totals received from the other instances.
 	Totals []Total
 }
 
-// Total is what another instance has let run since its start.
+// Total is the number of units that another instance has spent since its start. Silent says
+// that the instance has not answered in time.
 type Total struct {
 	Instance wasabiridge.InstanceID
 	Spent    int64
 	Silent   bool
 }
 
-// Entries returns what is known of all accounts with a limit, ordered by name.
+// Entries returns the state of all accounts with a limit, ordered by name.
 func (t *Table) Entries(now wasabiridge.Millis) []Entry {
 	t.advance(now)
 	out := make([]Entry, 0, len(t.accounts))
 	for id, a := range t.accounts {
 		a.refill(t, now)
-		e := Entry{Account: id, Limit: a.limit, Level: a.level, Own: a.own, Refused: a.refused, Known: a.known}
-		for _, peer := range slices.Sorted(maps.Keys(a.peers)) {
+		e := Entry{Account: id, Limit: a.limit, Level: a.level, Own: a.spentHere, Refused: a.refused, Known: a.levelKnown}
+		for _, peer := range slices.Sorted(maps.Keys(a.peerTotals)) {
 			p := t.peers[peer]
-			e.Totals = append(e.Totals, Total{Instance: peer, Spent: a.peers[peer].spent, Silent: p != nil && p.isSilent(now)})
+			e.Totals = append(e.Totals, Total{Instance: peer, Spent: a.peerTotals[peer].spent, Silent: p != nil && p.isSilent(now)})
 		}
 		out = append(out, e)
 	}
@@ -111,8 +114,8 @@
 	return out
 }
 
-// Part returns the part of every limit that can be used here.
+// Part returns the share of every limit that this instance can use.
 func (t *Table) Part(now wasabiridge.Millis) float64 {
 	t.advance(now)
-	return t.part(now)
+	return t.usableShare(now)
 }
--- a/internal/wasabiquota/owners.go
+++ b/internal/wasabiquota/owners.go
@@ -10,45 +10,45 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// OwnersKey is the row that names the instances that own a part of the limits.
+// OwnersKey is the key of the row that names the instances that own a share of the limits.
 const OwnersKey = "quota/owners"
 
 const (
-	// ownersEvery is how often the row is written at most.
-	ownersEvery = 5 * wasabiridge.Second
-	// ownersMost bounds the names that are read.
-	ownersMost = 4096
-	// rowTimeout bounds one call to the platform's table, rowPause is the time between two
-	// tries, rowTries how often the row is tried to be read: after that other instances
-	// have told more.
-	rowTimeout = time.Second
-	rowPause   = 200 * time.Millisecond
-	rowTries   = 5
+	// ownersWriteInterval is the shortest time between two writes of the row.
+	ownersWriteInterval = 5 * wasabiridge.Second
+	// maxOwners bounds the number of names that are accepted from the row.
+	maxOwners = 4096
+	// rowTimeout bounds one call to the platform's table, rowRetryPause is the pause
+	// between two attempts. rowAttempts is how often reading the row is attempted: by then,
+	// updates from other instances say more than the row.
+	rowTimeout    = time.Second
+	rowRetryPause = 200 * time.Millisecond
+	rowAttempts   = 5
 )
 
-// keepOwners reads the row once limits are known, and writes it when the owners have
+// syncOwners reads the row once limits are known, and writes it when the owners have
 // changed and this instance is the first of them.
 //
-// The failure it guards against: all instances start at once. None knows how many share a
-// limit, and for a second they refuse most of what an account sends.
-func (k *Keeper) keepOwners(ctx context.Context, limited bool, owners []wasabiridge.InstanceID) {
+// The failure it guards against: all instances start at once. None of them knows how many
+// instances share a limit, and for a second they refuse most of what an account sends.
+func (k *Keeper) syncOwners(ctx context.Context, limited bool, owners []wasabiridge.InstanceID) {
 	if k.options.Rows == nil || !limited {
 		return
 	}
-	if !k.read {
-		k.read = true
+	if !k.ownersRead {
+		k.ownersRead = true
 		go k.readOwners(ctx)
 	}
 	now := k.options.Clock.Now()
-	if len(owners) < 2 || owners[0] != k.options.Self || slices.Equal(owners, k.written) || now-k.writtenAt < ownersEvery {
+	if len(owners) < 2 || owners[0] != k.options.Self || slices.Equal(owners, k.ownersWritten) || now-k.ownersWrittenAt < ownersWriteInterval {
 		return
 	}
-	k.written, k.writtenAt = owners, now
+	k.ownersWritten, k.ownersWrittenAt = owners, now
 	go k.writeOwners(ctx, owners)
 }
 
 func (k *Keeper) readOwners(ctx context.Context) {
-	for range rowTries {
+	for range rowAttempts {
 		owners, err := k.getOwners(ctx)
 		if err == nil {
 			k.options.Log.Info().Int("owners", len(owners)).Msg("Owners of the limits read.")
@@ -57,7 +57,7 @@
 		}
 		k.options.Log.Debug().Err(err).Msg("Owners of the limits not read.")
 		select {
-		case <-time.After(rowPause):
+		case <-time.After(rowRetryPause):
 		case <-ctx.Done():
 			return
 		}
@@ -72,13 +72,14 @@
 		return nil, err
 	}
 	var owners []wasabiridge.InstanceID
-	if err = json.Unmarshal(row.Value, &owners); err != nil || len(owners) > ownersMost {
-		return nil, wasabiridge.ErrInvalid.New("quota: row %q names no instances", OwnersKey)
+	if err = json.Unmarshal(row.Value, &owners); err != nil || len(owners) > maxOwners {
+		return nil, wasabiridge.ErrInvalid.New("quota: row %q is not a valid list of instance names", OwnersKey)
 	}
 	return owners, nil
 }
 
-// writeOwners puts the names into the row. Whoever is the first owner next writes again.
+// writeOwners writes the names into the row. If the write fails, this instance does not
+// repeat it until the owners change.
 func (k *Keeper) writeOwners(ctx context.Context, owners []wasabiridge.InstanceID) {
 	value, err := json.Marshal(owners)
 	if err != nil {
--- a/internal/wasabiquota/peer.go
+++ b/internal/wasabiquota/peer.go
@@ -7,65 +7,71 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// peer is another instance that owns a part of the limits, or may soon.
+// peer is another instance that owns a share of the limits, or may own one soon.
 type peer struct {
-	// life is its present life, past the one before. whole says that it was heard from
-	// the beginning of its life.
-	life, past wasabiridge.Incarnation
-	whole      bool
-	// met says that it was heard at all, ended that its process has ended since.
-	met, ended bool
-	// asked is when it was first told something that it has not answered. Zero means
-	// that it has answered everything.
-	asked wasabiridge.Millis
-	// greeted is when it was last told that this instance is there, before it was heard.
-	greeted wasabiridge.Millis
-	// heard is when it last answered, used when it last told of something that ran.
-	heard, used wasabiridge.Millis
-	// active says that callers are sent to it.
+	// incarnation identifies the peer's present process, previous the process before it.
+	// receivedFromStart says that updates of the present process have been received from
+	// its start on.
+	incarnation, previous wasabiridge.Incarnation
+	receivedFromStart     bool
+	// contacted says that the peer has ever answered, ended that its process has ended
+	// since.
+	contacted, ended bool
+	// awaitingSince is when the first message that the peer has not answered was sent. Zero
+	// means that it has answered all messages.
+	awaitingSince wasabiridge.Millis
+	// helloSentAt is when the peer was last sent a hello message. Zero means that one is
+	// due.
+	helloSentAt wasabiridge.Millis
+	// answeredAt is when the peer last answered or sent an update, usedAt when it last
+	// announced uses.
+	answeredAt, usedAt wasabiridge.Millis
+	// active says that callers are routed to the peer.
 	active bool
-	// late says that it came while another one was silent, and owns no part until all
-	// are heard.
-	late bool
-	// part is what it last told of the part that it and those that it hears own.
-	part float64
-	// missed is the integral over time of the part that was left to it untouched, in
-	// milliseconds.
-	missed float64
-	// left says that it has told that it owns no part any more.
-	left bool
-	seat
-	// change and view are what it last told of its own set of owners: the number of the set,
-	// and the view.
+	// joinDeferred says that the peer appeared while another one was silent. It owns no
+	// share until all peers are reachable.
+	joinDeferred bool
+	// announcedShare is the usable share that the peer last announced: what it and the
+	// owners that it reaches own together. Zero means that the peer does not know it.
+	announcedShare float64
+	// withheld is the integral over time of the share of every limit that was left unused
+	// for the peer while it was silent, in milliseconds.
+	withheld float64
+	// resigned says that the peer has announced that it does not own a share any more.
+	resigned bool
+	membership
+	// change and view are the number and the hash of the set of owners that the peer last
+	// announced.
 	change, view uint64
-	// viewTold is the view that it was last told, viewCount how often.
-	viewTold  uint64
-	viewCount int
+	// viewSent is the view that the peer was last sent, viewSends how often it was sent.
+	viewSent  uint64
+	viewSends int
 }
 
-// isSilent reports whether the peer has not answered in time.
+// isSilent reports whether the peer has not answered within silentAfter.
 func (p *peer) isSilent(now wasabiridge.Millis) bool {
-	return !p.ended && p.asked > 0 && now-p.asked >= silentAfter
+	return !p.ended && p.awaitingSince > 0 && now-p.awaitingSince >= silentAfter
 }
 
-// isInTouch reports whether it is known what the peer lets run.
-func (p *peer) isInTouch(now wasabiridge.Millis) bool {
-	return p.ended || p.met && !p.isSilent(now)
+// isReachable reports whether this instance can know what the peer spends: its process has
+// ended, or it has answered in time.
+func (p *peer) isReachable(now wasabiridge.Millis) bool {
+	return p.ended || p.contacted && !p.isSilent(now)
 }
 
-// isSettled reports whether this instance knows the others. One that knows of no others
-// takes it after a while that there are none.
+// isSettled reports whether this instance knows the others well enough after its start. An
+// instance that knows of no others assumes after aloneAfter that there are none.
 func (t *Table) isSettled(now wasabiridge.Millis) bool {
 	age := now - t.options.Started
-	lonely := len(t.former) <= 1 && t.counted == 1 && age >= aloneAfter
-	return t.options.Alone || t.met && age >= settleAfter || lonely || age >= lapseAfter
+	lonely := len(t.previousOwners) <= 1 && t.instanceCount == 1 && age >= aloneAfter
+	return t.options.Alone || t.contacted && age >= settleAfter || lonely || age >= expireAfter
 }
 
-// know takes which instances callers are sent to.
-func (t *Table) know(now wasabiridge.Millis, e wasabiridge.ActiveKnown) {
-	t.known = max(t.known, e.Known)
-	if e.Known != t.counted {
-		t.counted, t.countedAt = e.Known, now
+// setActive takes the instances that callers are routed to, and the number of instances.
+func (t *Table) setActive(now wasabiridge.Millis, e wasabiridge.ActiveKnown) {
+	t.maxInstanceCount = max(t.maxInstanceCount, e.Known)
+	if e.Known != t.instanceCount {
+		t.instanceCount, t.instanceCountAt = e.Known, now
 	}
 	t.active = false
 	for _, p := range t.peers {
@@ -76,20 +82,20 @@
 			t.active = true
 			continue
 		}
-		t.meet(now, id).active = true
+		t.peerFor(now, id).active = true
 	}
 }
 
-// meet returns the peer of that name, which is noted if it is new.
+// peerFor returns the peer with a name, and adds it if it is new.
 //
-// The failure it guards against: an instance that comes while others are cut off would
-// take a part that these own. They would let run more between them than the limit.
-func (t *Table) meet(now wasabiridge.Millis, id wasabiridge.InstanceID) *peer {
+// The failure it guards against: an instance that appears while others are partitioned off
+// would take a share that these still own. Together they would admit more than the limit.
+func (t *Table) peerFor(now wasabiridge.Millis, id wasabiridge.InstanceID) *peer {
 	p := t.peers[id]
 	if p == nil {
-		p = &peer{used: now, late: t.owner && t.hasSilent(now) && t.isSettled(now)}
+		p = &peer{usedAt: now, joinDeferred: t.owner && t.hasSilent(now) && t.isSettled(now)}
 		t.peers[id] = p
-		t.unseated = true
+		t.membershipDirty = true
 	}
 	return p
 }
@@ -103,85 +109,87 @@
 	return false
 }
 
-// hearPeer notes that an instance has answered.
-func (t *Table) hearPeer(now wasabiridge.Millis, id wasabiridge.InstanceID) {
+// markAnswered records that an instance has answered or sent an update.
+func (t *Table) markAnswered(now wasabiridge.Millis, id wasabiridge.InstanceID) {
 	if p := t.peers[id]; p != nil {
-		t.unseated = t.unseated || p.ended
-		p.asked, p.heard, p.met, p.ended = 0, now, true, false
-		t.met = true
+		t.membershipDirty = t.membershipDirty || p.ended
+		p.awaitingSince, p.answeredAt, p.contacted, p.ended = 0, now, true, false
+		t.contacted = true
 	}
 }
 
-// lives notes in which life a peer tells something. It reports false for a life that is
-// over. A peer that tells its first messages is heard from the beginning.
-func (p *peer) lives(life wasabiridge.Incarnation, sequence uint64) bool {
-	switch life {
-	case p.life:
+// acceptIncarnation records the process that sent an update. It reports false for a process
+// that was replaced before. A new process whose first messages arrive counts as received
+// from its start on.
+func (p *peer) acceptIncarnation(incarnation wasabiridge.Incarnation, sequence uint64) bool {
+	switch incarnation {
+	case p.incarnation:
 		return true
-	case p.past:
+	case p.previous:
 		return false
 	}
-	p.past, p.life, p.whole = p.life, life, sequence <= firstMessages
+	p.previous, p.incarnation, p.receivedFromStart = p.incarnation, incarnation, sequence <= firstMessages
 	p.change, p.view = 0, 0
 	return true
 }
 
-// end takes it that the process of an instance has ended. It owns a part again when it
-// is heard in its next life.
-func (t *Table) end(id wasabiridge.InstanceID) {
+// markEnded records that the process of an instance has ended. The instance can own a share
+// again when its next process answers.
+func (t *Table) markEnded(id wasabiridge.InstanceID) {
 	if p := t.peers[id]; p != nil {
-		p.ended, p.asked = true, 0
-		t.unseated = true
+		p.ended, p.awaitingSince = true, 0
+		t.membershipDirty = true
 	}
 }
 
-// isIdle reports whether a peer lets nothing run and no callers are sent to it.
-func (p *peer) isIdle(now wasabiridge.Millis) bool { return !p.active && now-p.used >= idleAfter }
+// isIdle reports whether a peer has spent nothing for idleAfter and callers are not routed
+// to it.
+func (p *peer) isIdle(now wasabiridge.Millis) bool { return !p.active && now-p.usedAt >= idleAfter }
 
-// lapse drops peers that own no part any more, and takes or gives up a part of its own
-// while all others are heard.
-func (t *Table) lapse(now wasabiridge.Millis) {
-	heardAll, heardLately := true, false
+// expirePeers drops peers that do not own a share any more, and updates the set of owners.
+// This instance joins or leaves the set only while all peers are reachable.
+func (t *Table) expirePeers(now wasabiridge.Millis) {
+	allReachable, answeredLately := true, false
 	for id, p := range t.peers {
-		if left := p.isIdle(now) && p.heard >= p.used+idleAfter && p.part == 0; left != p.left {
-			p.left, t.unseated = left, true
+		if resigned := p.isIdle(now) && p.answeredAt >= p.usedAt+idleAfter && p.announcedShare == 0; resigned != p.resigned {
+			p.resigned, t.membershipDirty = resigned, true
 		}
 		switch {
-		case !p.active && p.isSilent(now) && now-p.asked >= lapseAfter, !p.active && (!p.met || p.ended), p.left && !p.counted:
+		case !p.active && p.isSilent(now) && now-p.awaitingSince >= expireAfter, !p.active && (!p.contacted || p.ended), p.resigned && !p.inAnySet:
 			delete(t.peers, id)
-			t.unseated = true
+			t.membershipDirty = true
 			continue
 		}
-		heardAll = heardAll && p.isInTouch(now)
-		heardLately = heardLately || now-p.heard < idleAfter
+		allReachable = allReachable && p.isReachable(now)
+		answeredLately = answeredLately || now-p.answeredAt < idleAfter
 	}
-	t.partAt = 0
+	t.cachedShareAt = 0
 	if t.options.Alone {
 		return
 	}
-	known := t.isSettled(now) && (heardLately || len(t.peers) == 0 && !t.met)
-	if heardAll {
-		t.join(now, known)
+	settled := t.isSettled(now) && (answeredLately || len(t.peers) == 0 && !t.contacted)
+	if allReachable {
+		t.admitOwners(now, settled)
 	}
-	t.reseat(now)
-	if known {
-		t.agree(now)
+	t.updateMembership(now)
+	if settled {
+		t.confirmMembership(now)
 	}
 }
 
-// join lets instances into the set of owners that came while others were silent, and this
-// one if callers come to it.
-func (t *Table) join(now wasabiridge.Millis, known bool) {
+// admitOwners lets peers into the set of owners that appeared while others were silent, and
+// lets this instance join the set if it serves requests, or leave it if not.
+func (t *Table) admitOwners(now wasabiridge.Millis, settled bool) {
 	for _, p := range t.peers {
-		t.unseated = t.unseated || p.late
-		p.late = false
+		t.membershipDirty = t.membershipDirty || p.joinDeferred
+		p.joinDeferred = false
 	}
-	if wants := t.active || t.used > 0 && now-t.used < idleAfter; known && wants != t.wants {
-		t.wants, t.unseated = wants, true
+	if wanted := t.active || t.usedAt > 0 && now-t.usedAt < idleAfter; settled && wanted != t.wantsOwnership {
+		t.wantsOwnership, t.membershipDirty = wanted, true
 	}
 }
 
-// Others returns the instances to tell, ordered by name.
+// Others returns the instances to which updates are sent, ordered by name.
 func (t *Table) Others() []wasabiridge.InstanceID {
 	return slices.Sorted(maps.Keys(t.peers))
 }
--- a/internal/wasabiquota/start.go
+++ b/internal/wasabiquota/start.go
@@ -4,7 +4,7 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// adopt takes the limits of a configuration. A limit that is lowered binds at once.
+// adopt applies the limits of a configuration. A lowered limit takes effect at once.
 func (t *Table) adopt(now wasabiridge.Millis, accounts []wasabiridge.ClientAccount) {
 	t.advance(now)
 	kept := map[wasabiridge.ClientAccountID]bool{}
@@ -21,99 +21,104 @@
 			t.accounts[id] = t.newAccount(now, *limit)
 		case a.limit != *limit:
 			a.refill(t, now)
-			a.change(*limit)
+			a.setLimit(*limit)
 		}
 	}
 	for id := range t.accounts {
 		if !kept[id] {
 			delete(t.accounts, id)
-			delete(t.untold, id)
+			delete(t.unannounced, id)
 		}
 	}
 	t.configured = true
 }
 
-// newAccount returns the bucket of an account. At a start it is not known what was
-// spent before; a limit that is new begins with its burst.
+// newAccount returns the bucket of an account. After a start, what was spent before is not
+// known; a limit that is added later begins with its full burst.
 func (t *Table) newAccount(now wasabiridge.Millis, limit wasabiridge.AccountLimit) *account {
-	a := &account{limit: limit, peers: map[wasabiridge.InstanceID]total{}, at: now, heard: t.heard, repeated: true}
+	a := &account{limit: limit, peerTotals: map[wasabiridge.InstanceID]peerTotal{}, at: now, shareIntegral: t.shareIntegral, resent: true}
 	if t.configured {
-		a.known, a.level = true, a.burst()
+		a.levelKnown, a.level = true, a.burst()
 		return a
 	}
-	a.forget(now, t.own(now))
-	t.forgot = max(1, now)
+	a.resetLevel(now, t.ownShare(now))
+	t.levelsUnknownSince = max(1, now)
 	return a
 }
 
-// stalled forgets what was known before the process stood still.
+// resetAfterPause marks all levels as unknown and all peers as silent after the process was
+// paused.
 //
-// The failure it guards against: an instance is frozen, goes on with what was left when
-// it was, and lets it run once more beside what the others have let run meanwhile.
-func (t *Table) stalled(now, elapsed wasabiridge.Millis) {
-	if elapsed >= lapseAfter && !t.options.Alone {
-		// The others divide this instance's part by now.
-		t.wants, t.owner, t.unseated = false, false, true
-		t.seat.become(false)
-		t.retire()
+// The failure it guards against: an instance is paused, continues with the level from
+// before the pause, and spends it a second time beside what the others have spent
+// meanwhile.
+func (t *Table) resetAfterPause(now, elapsed wasabiridge.Millis) {
+	if elapsed >= expireAfter && !t.options.Alone {
+		// The others have expired this instance's share and divided it among themselves.
+		t.wantsOwnership, t.owner, t.membershipDirty = false, false, true
+		t.membership.update(false)
+		t.resignOwnership()
 	}
 	for _, p := range t.peers {
-		p.asked = max(1, now-silentAfter)
+		p.awaitingSince = max(1, now-silentAfter)
 	}
 	for _, a := range t.accounts {
-		a.forget(now, t.own(now))
+		a.resetLevel(now, t.ownShare(now))
 	}
-	t.forgot = max(1, now)
+	t.levelsUnknownSince = max(1, now)
 }
 
-// ask lets the others tell what is left of an account at which nothing ran here lately.
+// requestLevels makes this instance request the levels of all accounts from the owners,
+// because the account has not been used here lately.
 //
-// The failure it guards against: callers are sent to instances that were not among those
-// that tell each other what runs. Each would begin with a full bucket of its own.
-func (t *Table) ask(now wasabiridge.Millis, a *account) {
+// The failure it guards against: callers are routed to instances that were not among the
+// owners and did not receive their updates. Each would begin with a full bucket of its own.
+func (t *Table) requestLevels(now wasabiridge.Millis, a *account) {
 	if len(t.peers) == 0 {
 		return
 	}
-	a.forget(now, t.stray(now))
-	t.forgot = max(1, now)
+	a.resetLevel(now, t.isolatedShare(now))
+	t.levelsUnknownSince = max(1, now)
 	for _, p := range t.peers {
-		p.greeted = 0
+		p.helloSentAt = 0
 	}
-	t.asking = now
+	t.snapshotRequestedAt = now
 }
 
-// remember takes which instances owned a part before the start.
-func (t *Table) remember(now wasabiridge.Millis, owners []wasabiridge.InstanceID) {
+// setPreviousOwners takes the stored list of the instances that owned a share before the
+// start.
+func (t *Table) setPreviousOwners(now wasabiridge.Millis, owners []wasabiridge.InstanceID) {
 	if t.owner {
 		return
 	}
 	t.advance(now)
-	t.partAt = 0
-	t.former = map[wasabiridge.InstanceID]bool{}
+	t.cachedShareAt = 0
+	t.previousOwners = map[wasabiridge.InstanceID]bool{}
 	for _, id := range owners {
-		t.former[id] = true
+		t.previousOwners[id] = true
 	}
-	if t.met || t.isSettled(now) {
+	if t.contacted || t.isSettled(now) {
 		return
 	}
 	for _, a := range t.accounts {
 		a.refill(t, now)
-		if !a.known && a.own == 0 {
-			a.forget(now, t.own(now))
+		if !a.levelKnown && a.spentHere == 0 {
+			a.resetLevel(now, t.ownShare(now))
 		}
 	}
 }
 
-// settle lets all accounts go by the whole limit that nobody has told more about in time.
-func (t *Table) settle(now wasabiridge.Millis) {
-	if t.forgot == 0 || now-t.forgot < settleAfter || !t.isSettled(now) {
+// assumeLevels applies the usable share to all accounts whose level no other instance has
+// sent within settleAfter. Their present level is taken as known.
+func (t *Table) assumeLevels(now wasabiridge.Millis) {
+	if t.levelsUnknownSince == 0 || now-t.levelsUnknownSince < settleAfter || !t.isSettled(now) {
 		return
 	}
-	t.forgot = 0
+	t.levelsUnknownSince = 0
 	for _, a := range t.accounts {
 		a.refill(t, now)
-		if !a.known {
-			a.know(t, now, a.level)
+		if !a.levelKnown {
+			a.setLevel(t, now, a.level)
 		}
 	}
 }
--- a/internal/wasabiquota/table.go
+++ b/internal/wasabiquota/table.go
@@ -1,39 +1,40 @@
-// Package wasabiquota keeps client accounts to their limits over all instances.
+// Package wasabiquota enforces the rate limits of client accounts across all instances.
 //
-// # One bucket, counted everywhere
+// # One token bucket per account, replicated
 //
-// Each instance keeps, for each client account, the one bucket of all instances: it
-// fills with the account's rate up to its burst, and everything that runs anywhere is
-// taken out of it. Instances tell each other what they have let run since their starts.
-// What is told is a running total, so messages may be lost, doubled or late. An attempt
-// is charged when it is sent to a server and given back when it did not run.
+// Each instance keeps, for each client account, a copy of one token bucket for all
+// instances: it fills with the account's rate up to its burst, and the cost of everything
+// that runs at any instance is taken out of it. Instances send each other how much they
+// have spent since their starts. These are running totals, so updates may be lost,
+// duplicated or late. An attempt is charged when it is sent to a server and refunded when
+// it did not run.
 //
-// # Instances that are not heard
+// # Instances that do not answer
 //
-// What an instance that does not answer lets run is not known. Each of n owners owns an
-// n-th of every limit. Those that hear each other share the parts that they own together;
-// the parts of the others stay untouched until they are heard, or have been silent for
-// lapseAfter. Two sides of a partition therefore never let run more than the limit between
-// them, once they have seen it.
+// What a silent instance spends is not known. Each of n owners owns an n-th share of every
+// limit. Owners that reach each other use the shares that they own together; the shares of
+// the others are withheld until they answer, or have been silent for expireAfter.
+// Therefore the two sides of a partition never admit more than the limit between them once
+// they have detected the partition.
 //
-// Owners are the instances that callers are sent to. All of them agree on who they are: an
-// instance counts on one side of a partition only if everybody on the other side divides by
-// it. Others ask the owners what is left before they let anything run, and go by the part
-// that these have.
+// Owners are the instances that callers are routed to. All of them agree on the set of
+// owners: an instance counts on one side of a partition only if everybody on the other
+// side divides by it. Instances that are not owners request the levels from the owners
+// before they admit anything, and use the share that the owners announce.
 //
 // # Starts
 //
-// An instance that starts, or that stood still, does not know what was spent. It lets run
-// its own part of the limit until another instance tells it what is left, or until a
-// second has passed. Who owned a part before is kept in the platform's table; without that
-// an instance that knows nobody yet counts itself as one of manyInstances.
+// An instance that starts, or that was paused, does not know what was spent. It uses only
+// its own share of the limit until another instance sends it the levels, or until a second
+// has passed. The previous owners are stored in the platform's table; without that list an
+// instance that does not know any others yet assumes that there are minAssumedInstances.
 //
-// # Who is let in
+// # Admission
 //
-// A request is let in when the bucket holds its cost, or half of the burst if it costs
-// more; the bucket may then be in debt. After a refusal, requests of lower priority leave
-// a part of the burst to those of the highest. Small requests may run into a bounded debt,
-// so that they do not wait behind a large one.
+// A request is admitted when the bucket holds its cost, or half of the burst if it costs
+// more than that; the bucket may then be in debt. After a refusal, requests of lower
+// priority leave a part of the burst to those of the highest. Small requests may run into a
+// bounded debt, so that they do not wait behind a large one.
 //
 // # Usage
 //
@@ -42,7 +43,8 @@
 //	keeper.Join(wasabiloop.New(wasabiloop.Options{Decider: core, Clock: clock}))
 //	go keeper.Run(ctx)
 //
-// A Table decides; it is deterministic and not safe for concurrent use. A Keeper drives it.
+// A Table makes the decisions; it is deterministic and not safe for concurrent use. A
+// Keeper connects it to the other instances.
 package wasabiquota
 
 import (
@@ -50,103 +52,107 @@
 )
 
 const (
-	// manyInstances is how many instances one that has just started counts with at least.
-	manyInstances = 128
-	// stableAfter is how long the number of instances must have been the same for it to be
-	// believed after a start.
+	// minAssumedInstances is the lowest number of instances that an instance assumes right
+	// after its start.
+	minAssumedInstances = 128
+	// stableAfter is how long the number of instances must have been the same to be relied
+	// on after a start.
 	stableAfter = 200 * wasabiridge.Millis(1)
-	// settleAfter is how long an instance that starts or stood still goes by its own part
-	// of a limit if nobody tells it more.
+	// settleAfter is how long an instance uses only its own share of a limit after a start
+	// or a pause, unless it receives the levels earlier.
 	settleAfter = wasabiridge.Second
-	// aloneAfter is how long after its start an instance that knows of no others takes it
+	// aloneAfter is how long after its start an instance that knows of no others assumes
 	// that there are none.
 	aloneAfter = 5 * wasabiridge.Second
-	// silentAfter is how long a message to an instance may be without an answer before
-	// its part is left untouched.
+	// silentAfter is how long a message may stay unanswered before the instance counts as
+	// silent and its share is withheld.
 	silentAfter = 400 * wasabiridge.Millis(1)
-	// stallMost is how long the table may not be asked anything before it takes it that
-	// the process stood still.
-	stallMost = 500 * wasabiridge.Millis(1)
-	// strayShare is what an instance that owns no part and hears nobody lets run, as a
-	// part of an equal share of all instances.
-	strayShare = 0.1
-	// lapseAfter is how long the part of a silent instance is left untouched.
-	lapseAfter = wasabiridge.Minute
-	// firstMessages is by which of its messages an instance must have been heard for
-	// all that it has let run to be known.
+	// maxTickGap is the longest time between two calls of the table before it assumes that
+	// the process was paused.
+	maxTickGap = 500 * wasabiridge.Millis(1)
+	// isolatedFraction is what an instance may use that owns no share and reaches no owner,
+	// as a part of an equal share of all instances.
+	isolatedFraction = 0.1
+	// expireAfter is how long the share of a silent instance is withheld.
+	expireAfter = wasabiridge.Minute
+	// firstMessages bounds the sequence number of the first received update of a process
+	// for its total to count as received from the start on.
 	firstMessages = 16
-	// idleAfter is how long an instance that no callers are sent to lets nothing run
-	// before it owns no part any more.
+	// idleAfter is how long an instance that callers are not routed to must have spent
+	// nothing before it gives up its share.
 	idleAfter = 10 * wasabiridge.Second
 )
 
-// Options set up a Table. The zero value works.
+// Options configure a Table. The zero value works.
 type Options struct {
-	// Self names this instance, Life its life.
+	// Self names this instance, Life is the incarnation of its process.
 	Self wasabiridge.InstanceID
 	Life wasabiridge.Incarnation
-	// Started is the time of the start.
+	// Started is when the process started.
 	Started wasabiridge.Millis
 	// Alone says that there are no other instances.
 	Alone bool
 }
 
-// Table implements wasabiridge.Quota. See the package comment.
+// Table implements wasabiridge.Quota. See the package documentation.
 type Table struct {
 	options  Options
 	peers    map[wasabiridge.InstanceID]*peer
 	accounts map[wasabiridge.ClientAccountID]*account
 	charges  map[wasabiridge.AttemptID]charge
-	// untold are the accounts of which the others do not know all that ran here.
-	untold map[wasabiridge.ClientAccountID]*account
-	// last is up to when parts were reckoned.
-	last wasabiridge.Millis
-	// partNow is the part of all limits that may be used here as of partAt.
-	partNow float64
-	partAt  wasabiridge.Millis
-	// heard is the integral over time of the part of all limits that the instances in
-	// touch own, in milliseconds.
-	heard float64
-	// configured says that a configuration was adopted before.
+	// unannounced holds the accounts with uses that have not been sent to the others twice.
+	unannounced map[wasabiridge.ClientAccountID]*account
+	// advancedAt is the time up to which the integrals over time have been computed.
+	advancedAt wasabiridge.Millis
+	// cachedShare is the usable share of all limits as of cachedShareAt. Zero as
+	// cachedShareAt invalidates it.
+	cachedShare   float64
+	cachedShareAt wasabiridge.Millis
+	// shareIntegral is the integral over time of the usable share of all limits, in
+	// milliseconds.
+	shareIntegral float64
+	// configured says that a configuration has been applied before.
 	configured bool
-	// owner says that this instance owns a part of every limit, as the others know. active
-	// says that callers are sent here, used when something last ran.
+	// owner says that this instance owns a share of every limit, as agreed with the others.
+	// active says that callers are routed here, usedAt is when something was last sent.
 	owner, active bool
-	used          wasabiridge.Millis
-	// seat is the place of this instance among the owners, wants whether it is to be one
-	// and wasMember whether it was in any set.
-	seat             seat
-	wants, wasMember bool
-	// change is the number of the present set, since changedAt, view the view of it. agreed
-	// says that all its members have the same view, unseated that the set or the view may
-	// have changed.
-	change, view     uint64
-	changedAt        wasabiridge.Millis
-	agreed, unseated bool
-	// met says that another instance was heard, ownersMet that one was that owns a part.
-	met, ownersMet bool
-	// asking is when this instance last wanted to be told all that is known.
-	asking wasabiridge.Millis
-	// newcomers are instances that want to be told all that is known.
-	newcomers map[wasabiridge.InstanceID]bool
-	// former are the instances that owned a part before the start. Nil means that it is not
-	// known.
-	former map[wasabiridge.InstanceID]bool
-	// forgot is when it was last not known what was spent. Zero means that it is known.
-	forgot wasabiridge.Millis
-	// known is how many instances there are at most, counted how many there were last, and
-	// countedAt since when.
-	counted   int
-	countedAt wasabiridge.Millis
-	known     int
-	sequence  uint64
-	taken     wasabiridge.Millis
-	counts    Counts
-	histogram [histogramSize]uint64
-	notes     []Note
+	usedAt        wasabiridge.Millis
+	// membership is the place of this instance among the owners. wantsOwnership says that
+	// it is to be an owner, wasMember that it has been in any set of owners.
+	membership                membership
+	wantsOwnership, wasMember bool
+	// change is the number of the present set of owners, in use since changedAt, and view
+	// the hash of the set. agreed says that all members have the same view, membershipDirty
+	// that the set or the view may have changed and must be computed again.
+	change, view            uint64
+	changedAt               wasabiridge.Millis
+	agreed, membershipDirty bool
+	// contacted says that any other instance has answered, ownerContacted that one that
+	// owns a share has.
+	contacted, ownerContacted bool
+	// snapshotRequestedAt is when this instance last requested the levels of all accounts.
+	snapshotRequestedAt wasabiridge.Millis
+	// snapshotRequests holds the instances that request the levels of all accounts.
+	snapshotRequests map[wasabiridge.InstanceID]bool
+	// previousOwners holds the instances that owned a share before the start. Nil means
+	// that they are not known.
+	previousOwners map[wasabiridge.InstanceID]bool
+	// levelsUnknownSince is when levels were last marked as unknown. Zero means that they
+	// are known.
+	levelsUnknownSince wasabiridge.Millis
+	// instanceCount is the last reported number of instances, unchanged since
+	// instanceCountAt, maxInstanceCount the largest number reported so far.
+	instanceCount    int
+	instanceCountAt  wasabiridge.Millis
+	maxInstanceCount int
+	sequence         uint64
+	announcedAt      wasabiridge.Millis
+	counts           Counts
+	useHistogram     [histogramBuckets]uint64
+	notes            []Note
 }
 
-// charge is an attempt that has not ended.
+// charge is an attempt in flight.
 type charge struct {
 	account wasabiridge.ClientAccountID
 	cost    float64
@@ -155,16 +161,16 @@
 
 var _ wasabiridge.Quota = (*Table)(nil)
 
-// New returns a Table that knows no limits and no other instances.
+// New returns a Table without limits that knows of no other instances.
 func New(o Options) *Table {
 	return &Table{
-		options: o, last: o.Started, owner: o.Alone,
-		peers:    map[wasabiridge.InstanceID]*peer{},
-		accounts: map[wasabiridge.ClientAccountID]*account{},
-		charges:  map[wasabiridge.AttemptID]charge{},
-		untold:   map[wasabiridge.ClientAccountID]*account{},
+		options: o, advancedAt: o.Started, owner: o.Alone,
+		peers:       map[wasabiridge.InstanceID]*peer{},
+		accounts:    map[wasabiridge.ClientAccountID]*account{},
+		charges:     map[wasabiridge.AttemptID]charge{},
+		unannounced: map[wasabiridge.ClientAccountID]*account{},
 
-		newcomers: map[wasabiridge.InstanceID]bool{},
+		snapshotRequests: map[wasabiridge.InstanceID]bool{},
 	}
 }
 
@@ -175,20 +181,20 @@
 		return wasabiridge.QuotaVerdict{Allowed: true}
 	}
 	t.advance(now)
-	if !t.owner && !t.options.Alone && a.known && now-a.usedAt >= idleAfter && t.isSettled(now) {
-		t.ask(now, a)
+	if !t.owner && !t.options.Alone && a.levelKnown && now-a.usedAt >= idleAfter && t.isSettled(now) {
+		t.requestLevels(now, a)
 	}
 	a.refill(t, now)
-	a.meet(now, r.Action.Priority)
-	cost, part := a.limit.Cost(r), t.partOf(now, a, t.part(now))
-	if a.admits(now, cost, r.Action.Priority, part) {
-		t.observeUse(a, part)
-		return wasabiridge.QuotaVerdict{Allowed: true, State: a.state(a.level-cost, part)}
+	a.notePriority(now, r.Action.Priority)
+	cost, share := a.limit.Cost(r), t.accountShare(now, a, t.usableShare(now))
+	if a.admits(now, cost, r.Action.Priority, share) {
+		t.recordUse(a, share)
+		return wasabiridge.QuotaVerdict{Allowed: true, State: a.state(a.level-cost, share)}
 	}
 	t.counts.Refused++
-	after := a.refuse(now, cost, r.Action.Priority, part)
+	after := a.refuse(now, cost, r.Action.Priority, share)
 	t.note(now, r, a, cost, after)
-	return wasabiridge.QuotaVerdict{RetryAfter: after, State: a.state(a.level, part)}
+	return wasabiridge.QuotaVerdict{RetryAfter: after, State: a.state(a.level, share)}
 }
 
 // Sent implements wasabiridge.Quota.
@@ -201,7 +207,7 @@
 	a.refill(t, now)
 	cost := a.limit.Cost(r)
 	t.charges[id] = charge{account: r.Account, cost: cost}
-	t.used = now
+	t.usedAt = now
 	t.spend(r.Account, a, cost)
 	a.usedAt = now
 }
@@ -221,35 +227,36 @@
 	case wasabiridge.UsesHeard, wasabiridge.PeerHeard, wasabiridge.PeerTold, wasabiridge.PeerEnded, wasabiridge.ActiveKnown:
 		t.advance(now)
 		t.observePeer(now, e)
-		// What is known of the others has changed.
-		t.partAt = 0
+		// The event may have changed which owners are reachable.
+		t.cachedShareAt = 0
 	case wasabiridge.OwnersKnown:
-		t.remember(now, e.Instances)
+		t.setPreviousOwners(now, e.Instances)
 	case wasabiridge.Ticked:
 		t.advance(now)
-		t.settle(now)
+		t.assumeLevels(now)
 	}
 }
 
-// observePeer takes an event that concerns other instances.
+// observePeer handles an event that concerns other instances.
 func (t *Table) observePeer(now wasabiridge.Millis, e wasabiridge.Event) {
 	switch e := e.(type) {
 	case wasabiridge.UsesHeard:
-		t.hear(now, e)
+		t.receiveUses(now, e)
 	case wasabiridge.PeerHeard:
-		t.hearPeer(now, e.From)
+		t.markAnswered(now, e.From)
 	case wasabiridge.PeerTold:
-		if p := t.peers[e.To]; p != nil && p.asked == 0 {
-			p.asked = now
+		if p := t.peers[e.To]; p != nil && p.awaitingSince == 0 {
+			p.awaitingSince = now
 		}
 	case wasabiridge.PeerEnded:
-		t.end(e.ID)
+		t.markEnded(e.ID)
 	case wasabiridge.ActiveKnown:
-		t.know(now, e)
+		t.setActive(now, e)
 	}
 }
 
-// ended gives back what did not run: no byte was sent, or the server said so.
+// ended returns the units of an attempt that did not run: no byte of it was sent, or the
+// server reported that it did not run.
 func (t *Table) ended(now wasabiridge.Millis, e wasabiridge.AttemptEnded) {
 	c, ok := t.charges[e.Attempt]
 	if !ok {
@@ -263,29 +270,31 @@
 	}
 }
 
-// spend takes units out of a bucket, or gives them back, and lets the others know.
+// spend takes units out of a bucket, or returns them, and schedules an update on the
+// account.
 func (t *Table) spend(id wasabiridge.ClientAccountID, a *account, cost float64) {
 	a.spend(cost)
-	t.untold[id] = a
+	t.unannounced[id] = a
 }
 
-// advance reckons which part of the limits the instances in touch owned until now.
+// advance computes the integrals over time up to now, and expires peers. After a gap of
+// more than maxTickGap it assumes that the process was paused.
 func (t *Table) advance(now wasabiridge.Millis) {
-	elapsed := now - t.last
+	elapsed := now - t.advancedAt
 	if elapsed <= 0 {
 		return
 	}
-	if elapsed > stallMost {
-		t.stalled(now, elapsed)
-		t.last = now
+	if elapsed > maxTickGap {
+		t.resetAfterPause(now, elapsed)
+		t.advancedAt = now
 		return
 	}
-	t.heard += float64(elapsed) * t.part(now)
+	t.shareIntegral += float64(elapsed) * t.usableShare(now)
 	for _, p := range t.peers {
 		if p.isSilent(now) {
-			p.missed += float64(elapsed) / t.owners(now)
+			p.withheld += float64(elapsed) / t.ownerCount(now)
 		}
 	}
-	t.last = now
-	t.lapse(now)
+	t.advancedAt = now
+	t.expirePeers(now)
 }
--- a/internal/wasabiquota/view.go
+++ b/internal/wasabiquota/view.go
@@ -8,33 +8,33 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// viewRepeats is how often a view is told to an instance that may have it already.
-const viewRepeats = 4
+// maxViewSends is how often a view is sent to an instance, in case messages are lost.
+const maxViewSends = 4
 
-// Owners is what an instance knows of the owners of the limits.
+// Owners is the set of owners of the limits as one instance knows it.
 type Owners struct {
-	// Change numbers the present set, Members is how many are in it, Divided by how many the
-	// limits are divided. Agreed says that all members have the same set; Open is how many
-	// others are not known to have it.
+	// Change numbers the present set. Members is the number of instances in it, Divided the
+	// number by which limits are divided, Open the number of other members that are not
+	// known to have the same set. Agreed says that all members have the same set.
 	Change                 uint64
 	Members, Divided, Open int
 	Agreed                 bool
-	// Own says that this instance owns a part, Part which part can be used here.
+	// Own says that this instance owns a share, Part is the share that it can use.
 	Own  bool
 	Part float64
 }
 
-// Ownership returns what is known of the owners.
+// Ownership returns the present set of owners.
 func (t *Table) Ownership(now wasabiridge.Millis) Owners {
 	t.advance(now)
-	o := Owners{Change: t.change, Divided: int(t.owners(now)), Agreed: t.agreed, Own: t.owner, Part: t.part(now)}
-	if t.seat.member {
+	o := Owners{Change: t.change, Divided: int(t.ownerCount(now)), Agreed: t.agreed, Own: t.owner, Part: t.usableShare(now)}
+	if t.membership.member {
 		o.Members++
 	}
 	for _, p := range t.peers {
 		if p.member {
 			o.Members++
-			if !p.isInTouch(now) || !t.agrees(p) {
+			if !p.isReachable(now) || !t.hasSameView(p) {
 				o.Open++
 			}
 		}
@@ -42,127 +42,131 @@
 	return o
 }
 
-// seat is the place of one instance among the owners, as this instance counts them.
+// membership is the place of one instance among the owners, as this instance knows it.
 //
-// Sets of owners change one after the other at each instance, and at different times. An
-// instance uses its own part and those of others together only as far as everybody else
-// leaves them untouched. Therefore an owner counts in the parts that are used while it is
-// in the set that all members agreed on and in all sets that were told since, and in the
-// number by which limits are divided while it is in any of them.
-type seat struct {
+// Every instance changes its set of owners step by step, and not at the same time as the
+// others. An instance may use its own share and those of others together only as far as
+// everybody else leaves these shares unused. Therefore an owner counts in the usable share
+// while it is in the set that all members last agreed on and in all sets announced since,
+// and in the number by which limits are divided while it is in any of these sets.
+type membership struct {
 	// member says that the instance is in the present set.
 	member bool
-	// kept says that it is in the agreed set and in each one since, counted that it is in
-	// any of them.
-	kept, counted bool
+	// inAllSets says that it is in the agreed set and in each set since, inAnySet that it
+	// is in at least one of them.
+	inAllSets, inAnySet bool
 }
 
-// become takes whether the instance is in the set from now on.
-func (s *seat) become(member bool) {
+// update records whether the instance is in the new present set.
+func (s *membership) update(member bool) {
 	s.member = member
-	s.kept = s.kept && member
-	s.counted = s.counted || member
+	s.inAllSets = s.inAllSets && member
+	s.inAnySet = s.inAnySet || member
 }
 
-// agree takes the present set for the one that all members agreed on.
-func (s *seat) agree() { s.kept, s.counted = s.member, s.member }
+// confirm takes the present set as the one that all members agreed on.
+func (s *membership) confirm() { s.inAllSets, s.inAnySet = s.member, s.member }
 
-// isMember reports whether a peer is in the set of owners.
-func (p *peer) isMember() bool { return !p.late && !p.ended && !p.left }
+// isMember reports whether a peer belongs in the present set of owners.
+func (p *peer) isMember() bool { return !p.joinDeferred && !p.ended && !p.resigned }
 
-// hearView takes what a peer told of its view.
-func (p *peer) hearView(e wasabiridge.UsesHeard) {
+// receiveView records the set of owners that a peer announced, unless a newer one was
+// received before.
+func (p *peer) receiveView(e wasabiridge.UsesHeard) {
 	if e.Change >= p.change {
 		p.change, p.view = e.Change, e.View
 	}
 }
 
-// stamp hashes an instance with its life and the number of its present set.
-func stamp(id wasabiridge.InstanceID, life wasabiridge.Incarnation, change uint64) uint64 {
+// memberHash hashes an instance with its incarnation and the number of its present set.
+func memberHash(id wasabiridge.InstanceID, incarnation wasabiridge.Incarnation, change uint64) uint64 {
 	var buffer [64]byte
-	b := binary.LittleEndian.AppendUint64(buffer[:0], uint64(life))
+	b := binary.LittleEndian.AppendUint64(buffer[:0], uint64(incarnation))
 	b = binary.LittleEndian.AppendUint64(b, change)
 	return xxhash.Sum64(append(b, id...))
 }
 
-// reseat takes which instances are in the set now, and makes the view of it.
+// updateMembership computes the present set of owners and its view.
 //
-// A view names the members, their lives and the numbers of their sets. Two instances with
-// the same view have the same set, and each has heard that the other has it.
-func (t *Table) reseat(now wasabiridge.Millis) {
-	if !t.unseated {
+// A view is the sum of the hashes of all members, with their incarnations and the numbers
+// of their sets. Two instances with the same view have the same set, and each knows that
+// the other has it.
+func (t *Table) updateMembership(now wasabiridge.Millis) {
+	if !t.membershipDirty {
 		return
 	}
-	t.unseated = false
+	t.membershipDirty = false
 	changed := false
 	for _, p := range t.peers {
 		if member := p.isMember(); member != p.member {
-			p.become(member)
+			p.update(member)
 			changed = true
 		}
 	}
-	if t.wants != t.seat.member {
-		t.seat.become(t.wants)
+	if t.wantsOwnership != t.membership.member {
+		t.membership.update(t.wantsOwnership)
 		t.wasMember, changed = true, true
 	}
-	if !t.seat.member {
-		t.retire()
+	if !t.membership.member {
+		t.resignOwnership()
 	}
 	if changed {
 		t.change++
 		t.changedAt = now
 	}
 	t.view = 0
-	if t.seat.member {
-		t.view = stamp(t.options.Self, t.options.Life, t.change)
+	if t.membership.member {
+		t.view = memberHash(t.options.Self, t.options.Life, t.change)
 	}
 	for id, p := range t.peers {
 		if p.member {
-			t.view += stamp(id, p.life, p.change)
+			t.view += memberHash(id, p.incarnation, p.change)
 		}
 	}
-	// Zero is the view of an instance that tells none.
+	// Zero means that an instance does not announce a view.
 	t.view = max(t.view, 1)
-	t.owner = t.options.Alone || t.seat.kept
+	t.owner = t.options.Alone || t.membership.inAllSets
 }
 
-// retire gives up the own part, and with it what was agreed on.
-func (t *Table) retire() {
-	t.seat = seat{}
+// resignOwnership gives up this instance's share, and with it the agreed set.
+func (t *Table) resignOwnership() {
+	t.membership = membership{}
 	for _, p := range t.peers {
-		p.kept, p.counted = false, p.member
+		p.inAllSets, p.inAnySet = false, p.member
 	}
 }
 
-// agrees reports whether a peer has the same view. One of an earlier version tells none; it
-// counts with this instance's set soon after it was heard.
-func (t *Table) agrees(p *peer) bool {
-	return p.view == t.view || p.view == 0 && p.heard >= t.changedAt+settleAfter
+// hasSameView reports whether a peer has the same view. A peer of an earlier version
+// announces no view; it counts as having this instance's set if it has answered settleAfter
+// or more after the last change.
+func (t *Table) hasSameView(p *peer) bool {
+	return p.view == t.view || p.view == 0 && p.answeredAt >= t.changedAt+settleAfter
 }
 
-// agree takes the present set for the agreed one once all its members have the same view.
-func (t *Table) agree(now wasabiridge.Millis) {
+// confirmMembership takes the present set as the agreed one once all its members have the
+// same view.
+func (t *Table) confirmMembership(now wasabiridge.Millis) {
 	t.agreed = false
 	for _, p := range t.peers {
-		if p.member && (!p.isInTouch(now) || !t.agrees(p)) {
+		if p.member && (!p.isReachable(now) || !t.hasSameView(p)) {
 			return
 		}
 	}
 	t.agreed = true
 	for _, p := range t.peers {
-		p.agree()
+		p.confirm()
 	}
-	t.seat.agree()
-	t.owner = t.seat.kept
+	t.membership.confirm()
+	t.owner = t.membership.inAllSets
 }
 
-// tellsView reports whether a peer should be told the view of this instance.
-func (t *Table) tellsView(p *peer) bool {
-	if !t.wasMember || !p.counted {
+// needsView reports whether a peer should be sent the view of this instance.
+func (t *Table) needsView(p *peer) bool {
+	if !t.wasMember || !p.inAnySet {
 		return false
 	}
-	if p.viewTold != t.view {
-		p.viewTold, p.viewCount = t.view, 0
+	if p.viewSent != t.view {
+		p.viewSent, p.viewSends = t.view, 0
 	}
-	return p.viewCount < viewRepeats || t.seat.member && !t.agreed
+	return p.viewSends < maxViewSends || t.membership.member && !t.agreed
 }
