--- /dev/null
+++ b/internal/wasabiquarantine/blocks.go
@@ -0,0 +1,169 @@
+package wasabiquarantine
+
+import (
+	"context"
+	"strconv"
+	"time"
+
+	"github.com/wasabiridge/wasabiridge"
+)
+
+const (
+	// blockQueueSize bounds the blocks that wait to be written or deleted. Further ones are
+	// not stored, and only the running instances know of them.
+	blockQueueSize = 64
+	// maxBlockRows bounds the rows that are read.
+	maxBlockRows = 500
+	// rowTimeout bounds one call to the platform's table, rowRetryPause is the pause
+	// between two attempts.
+	rowTimeout    = 2 * time.Second
+	rowRetryPause = time.Second
+	// rowAttempts is how often writing a block is attempted.
+	rowAttempts = 10
+	// backupWriters is how many other instances write a block if the instance that decided
+	// on it has not written it after backupWriteDelay.
+	backupWriters    = 2
+	backupWriteDelay = 2 * time.Second
+	// storeID stands for the platform's table as the source of an update.
+	storeID = wasabiridge.InstanceID("store")
+)
+
+// wallClock returns the time of day. It means the same to all instances and after restarts,
+// up to a clock skew of some seconds.
+func wallClock() wasabiridge.Millis { return wasabiridge.Millis(time.Now().UnixMilli()) }
+
+// queueBlock queues a decision for writeBlocks. The instance that saw the last server end
+// writes a block, and a few others check that it did. A lifted block is deleted by the
+// instance that lifted it.
+func (k *Keeper) queueBlock(note Note) {
+	written := note.Kind == NoteBarred || note.Kind == NoteLifted && len(note.Mark.Ends) >= maxEnds
+	if k.options.Rows == nil || !written || note.From == storeID {
+		return
+	}
+	if note.From != "" && (note.Kind != NoteBarred || !k.isBackupWriter(note)) {
+		return
+	}
+	select {
+	case k.blocks <- note:
+	default:
+	}
+}
+
+// isBackupWriter reports whether this is one of the instances that check whether a block
+// was written. All instances that know the same members choose the same ones.
+func (k *Keeper) isBackupWriter(note Note) bool {
+	own, ahead := rank(note.Mark.Fingerprint, string(k.options.Self)), 0
+	for _, m := range k.options.Members() {
+		if m.ID != note.From && rank(note.Mark.Fingerprint, string(m.ID)) > own {
+			ahead++
+		}
+	}
+	return ahead < backupWriters
+}
+
+// loadBlocks loads the stored blocks. It retries until the table answers.
+//
+// The failure it guards against: all instances are replaced at once. None of them knows any
+// more which requests end servers, and these requests end as many servers again.
+func (k *Keeper) loadBlocks(ctx context.Context) {
+	for {
+		rows, err := k.listBlocks(ctx)
+		if err == nil {
+			k.applyRows(ctx, rows)
+			return
+		}
+		k.options.Log.Debug().Err(err).Msg("Blocks not read.")
+		if !sleep(ctx, rowRetryPause) {
+			return
+		}
+	}
+}
+
+// sleep waits. It reports false if the context ended first.
+func sleep(ctx context.Context, d time.Duration) bool {
+	select {
+	case <-time.After(d):
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
+func (k *Keeper) listBlocks(ctx context.Context) ([]wasabiridge.Row, error) {
+	ctx, cancel := context.WithTimeout(ctx, rowTimeout)
+	defer cancel()
+	return k.options.Rows.List(ctx, RowPrefix, "", maxBlockRows)
+}
+
+func (k *Keeper) applyRows(ctx context.Context, rows []wasabiridge.Row) {
+	now := wallClock()
+	var crashes []wasabiridge.CrashNews
+	for _, row := range rows {
+		c, err := DecodeRow(now, row)
+		if err != nil || IsOver(c) {
+			k.options.Log.Info().Err(err).Str("row", row.Key).Msg("Deleting a stored block that has expired or is invalid.")
+			k.commitBlock(ctx, row, nil)
+			continue
+		}
+		crashes = append(crashes, c)
+	}
+	k.options.Log.Info().Int("bars", len(crashes)).Msg("Bars read.")
+	if len(crashes) > 0 {
+		k.loop.Post(wasabiridge.CrashesHeard{From: storeID, Crashes: crashes})
+	}
+}
+
+// writeBlocks writes blocks, and deletes those that are lifted, until the context ends.
+func (k *Keeper) writeBlocks(ctx context.Context) {
+	for {
+		select {
+		case note := <-k.blocks:
+			k.writeBlock(ctx, note)
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+func (k *Keeper) writeBlock(ctx context.Context, note Note) {
+	var value []byte
+	if note.Kind == NoteBarred {
+		var err error
+		if value, err = EncodeRow(wallClock(), note.Mark); err != nil {
+			return
+		}
+	}
+	if note.From != "" && !sleep(ctx, backupWriteDelay) {
+		return
+	}
+	for range rowAttempts {
+		row, err := k.getBlock(ctx, note.Mark.Fingerprint)
+		done := row.Revision == 0 && value == nil || row.Revision > 0 && note.From != ""
+		if err == nil && (done || k.commitBlock(ctx, row, value)) || !sleep(ctx, rowRetryPause) {
+			return
+		}
+	}
+}
+
+func (k *Keeper) getBlock(ctx context.Context, f wasabiridge.Fingerprint) (wasabiridge.Row, error) {
+	ctx, cancel := context.WithTimeout(ctx, rowTimeout)
+	defer cancel()
+	return k.options.Rows.Get(ctx, RowKey(f))
+}
+
+// commitBlock replaces the value of a row, or deletes the row if the value is nil. It
+// reports whether the table confirmed the change.
+func (k *Keeper) commitBlock(ctx context.Context, row wasabiridge.Row, value []byte) bool {
+	ctx, cancel := context.WithTimeout(ctx, rowTimeout)
+	defer cancel()
+	id := string(k.options.Self) + "/" + strconv.FormatUint(uint64(k.options.Incarnation), 36) + "/" + row.Key + "/" +
+		strconv.FormatInt(int64(k.options.Clock.Now()), 36)
+	err := k.options.Rows.Commit(ctx, wasabiridge.Transaction{
+		ID:      wasabiridge.WriteID(id),
+		Changes: []wasabiridge.RowChange{{Key: row.Key, IfRevision: row.Revision, Value: value, Delete: value == nil}},
+	})
+	if err != nil {
+		k.options.Log.Debug().Err(err).Str("row", row.Key).Msg("Block not written.")
+	}
+	return err == nil
+}
--- a/internal/wasabiquarantine/fleet_test.go
+++ b/internal/wasabiquarantine/fleet_test.go
@@ -12,25 +12,27 @@
 
 // Times of the fleet.
 const (
-	// contact is how long after it happened every instance in touch knows of an end.
-	contact = 3 * wasabiridge.Second
-	// hop is how long a message takes, gather how long news is gathered before.
-	hop, gather = 3 * wasabiridge.Millis(1), 5 * wasabiridge.Millis(1)
-	repeat      = 500 * wasabiridge.Millis(1)
-	// tellTries is how often an instance is told that does not answer, tellAgain the time
-	// in between.
-	tellTries, tellAgain = 6, 400 * wasabiridge.Millis(1)
-	// comeBack is when a deferred request comes back.
-	comeBack = 400 * wasabiridge.Millis(1)
-	// fatalRun is how long a request runs that ends its server, properRun the longest run
-	// of others, rebirth how long a server is gone.
-	fatalRun, properRun, rebirth = 100 * wasabiridge.Millis(1), 300, 2500 * wasabiridge.Millis(1)
+	// propagation is the time after which every reachable instance knows of a server end.
+	propagation = 3 * wasabiridge.Second
+	// messageDelay is how long a message takes, batchDelay how long changes are collected
+	// before.
+	messageDelay, batchDelay = 3 * wasabiridge.Millis(1), 5 * wasabiridge.Millis(1)
+	repeatInterval           = 500 * wasabiridge.Millis(1)
+	// sendAttempts is how often a message is sent to an instance that does not answer,
+	// sendRetryDelay the delay between two attempts.
+	sendAttempts, sendRetryDelay = 6, 400 * wasabiridge.Millis(1)
+	// deferredRetry is the time after which a deferred request is sent again.
+	deferredRetry = 400 * wasabiridge.Millis(1)
+	// fatalDuration is how long a fatal request runs until it ends its server, maxDuration
+	// the longest run of any other request, restartTime how long a server is down.
+	fatalDuration, maxDuration, restartTime = 100 * wasabiridge.Millis(1), 300, 2500 * wasabiridge.Millis(1)
 )
 
-// design leaves parts out, to see what they are for.
-type design struct{ noIsolation, noNews, noRepeats bool }
+// design disables mechanisms, to show what each of them is needed for.
+type design struct{ noIsolation, noUpdates, noRepeats bool }
 
-// fleet is a pool of servers with the instances before it, in virtual time.
+// fleet simulates a pool of backend servers and the instances in front of it in virtual
+// time.
 type fleet struct {
 	design    design
 	agenda    wasabitest.Agenda
@@ -39,35 +41,37 @@
 	instances []*instance
 	servers   []*server
 	attempts  wasabiridge.AttemptID
-	// lost is the share of messages that are lost.
-	lost float64
-	// active is to how many of the instances callers are sent.
+	// lossRate is the probability that a message is lost.
+	lossRate float64
+	// active is the number of instances that callers are routed to.
 	active int
-	// arrivals are when the fatal request reached servers, sent by instances in touch, ends
-	// when they ended.
+	// arrivals are the times at which reachable instances sent the fatal request to
+	// servers, ends the times at which it ended them.
 	arrivals, ends            []wasabiridge.Millis
 	refused, deferred, served map[wasabiridge.Fingerprint]int
-	// members are the living instances, by what meet noted.
-	met           bool
-	members       []wasabiridge.Member
-	activeEntries []wasabiridge.InstanceEntry
-	names         []wasabiridge.InstanceID
-	byID          map[wasabiridge.InstanceID]*instance
-	// messages counts those between instances, told the marks in them.
-	messages, told int
+	// membersCurrent says that the following fields, which updateMembers fills, list the
+	// instances that are running.
+	membersCurrent bool
+	members        []wasabiridge.Member
+	activeEntries  []wasabiridge.InstanceEntry
+	memberIDs      []wasabiridge.InstanceID
+	byID           map[wasabiridge.InstanceID]*instance
+	// messages counts the messages between instances, sentRecords the records in them.
+	messages, sentRecords int
 }
 
 type instance struct {
-	fleet       *fleet
-	id          wasabiridge.InstanceID
-	incarnation wasabiridge.Incarnation
-	table       *wasabiquarantine.Table
-	spread      *wasabiquarantine.Spread
-	telling     bool
-	// away says that it neither tells nor hears: it is cut off from the others until
-	// back, or frozen, or killed. The last two take no requests either.
-	away, frozen, killed bool
-	back                 wasabiridge.Millis
+	fleet         *fleet
+	id            wasabiridge.InstanceID
+	incarnation   wasabiridge.Incarnation
+	table         *wasabiquarantine.Table
+	spread        *wasabiquarantine.Spread
+	sendScheduled bool
+	// offline says that the instance neither sends nor receives updates: it is partitioned
+	// from the others until backAt, or paused, or killed. If paused or killed, it does not
+	// take requests either.
+	offline, paused, killed bool
+	backAt                  wasabiridge.Millis
 }
 
 type server struct {
@@ -90,16 +94,16 @@
 	return f
 }
 
-// start begins a new life of an instance.
+// start starts an instance, or replaces it with a new process.
 func (f *fleet) start(i int) {
 	if i == len(f.instances) {
 		f.instances = append(f.instances, nil)
 	}
 	n := &instance{fleet: f, id: wasabiridge.InstanceID(fmt.Sprint("i", i)), incarnation: wasabiridge.Incarnation(f.now)}
-	n.table = wasabiquarantine.New(wasabiquarantine.Options{Self: n.id, Seed: f.random.Uint64(), Changed: n.wake})
+	n.table = wasabiquarantine.New(wasabiquarantine.Options{Self: n.id, Seed: f.random.Uint64(), Changed: n.scheduleSend})
 	n.spread = wasabiquarantine.NewSpread(f.random.Uint64())
 	f.instances[i] = n
-	f.met = false
+	f.membersCurrent = false
 	f.agenda.Add(f.now, n.tick)
 }
 
@@ -111,52 +115,53 @@
 
 // kill ends an instance for good.
 func (n *instance) kill() {
-	n.away, n.killed = true, true
-	n.fleet.met = false
+	n.offline, n.killed = true, true
+	n.fleet.membersCurrent = false
 }
 
-func (n *instance) wake() {
-	if n.telling || n.fleet.design.noNews {
+func (n *instance) scheduleSend() {
+	if n.sendScheduled || n.fleet.design.noUpdates {
 		return
 	}
-	n.telling = true
-	n.fleet.agenda.Add(n.fleet.now+gather, func() {
-		n.telling = false
-		news := n.table.TakeNews(n.fleet.now)
-		n.tell(n.fleet.instances[:n.fleet.active], news.Narrow)
-		n.tell(n.fleet.instances, news.Wide)
-		for _, c := range news.Corrections {
-			n.tell([]*instance{n.fleet.byID[c.To]}, c.Marks)
+	n.sendScheduled = true
+	n.fleet.agenda.Add(n.fleet.now+batchDelay, func() {
+		n.sendScheduled = false
+		updates := n.table.TakeNews(n.fleet.now)
+		n.send(n.fleet.instances[:n.fleet.active], updates.Narrow)
+		n.send(n.fleet.instances, updates.Wide)
+		for _, c := range updates.Corrections {
+			n.send([]*instance{n.fleet.byID[c.To]}, c.Marks)
 		}
 	})
 }
 
-func (n *instance) tell(to []*instance, news []wasabiridge.CrashNews) {
-	if n.away || len(news) == 0 {
+func (n *instance) send(to []*instance, records []wasabiridge.CrashNews) {
+	if n.offline || len(records) == 0 {
 		return
 	}
 	for _, other := range to {
 		if other != nil && other != n {
-			n.tellOne(other, news, tellTries)
+			n.sendOne(other, records, sendAttempts)
 		}
 	}
 }
 
-// tellOne tells one other instance, and again when the message is lost or not answered.
-func (n *instance) tellOne(other *instance, news []wasabiridge.CrashNews, tries int) {
+// sendOne sends an update to another instance, and retries when the message is lost or not
+// answered.
+func (n *instance) sendOne(other *instance, records []wasabiridge.CrashNews, attempts int) {
 	f := n.fleet
-	if n.away || tries == 0 {
+	if n.offline || attempts == 0 {
 		return
 	}
 	f.messages++
-	f.told += len(news)
-	lost := f.random.Float64() < f.lost
-	f.agenda.Add(f.now+hop, func() {
-		if lost || other.away {
-			f.agenda.Add(f.now+tellAgain, func() { n.tellOne(other, news, tries-1) })
+	f.sentRecords += len(records)
+	lost := f.random.Float64() < f.lossRate
+	f.agenda.Add(f.now+messageDelay, func() {
+		if lost || other.offline {
+			f.agenda.Add(f.now+sendRetryDelay, func() { n.sendOne(other, records, attempts-1) })
 			return
 		}
-		other.table.Observe(f.now, wasabiridge.CrashesHeard{From: n.id, Crashes: news})
+		other.table.Observe(f.now, wasabiridge.CrashesHeard{From: n.id, Crashes: records})
 	})
 }
 
@@ -165,27 +170,27 @@
 		return
 	}
 	f := n.fleet
-	f.agenda.Add(f.now+repeat, n.tick)
-	if n.away {
+	f.agenda.Add(f.now+repeatInterval, n.tick)
+	if n.offline {
 		return
 	}
 	n.table.Observe(f.now, wasabiridge.Ticked{})
 	n.table.TakeNotes()
-	if f.design.noNews {
+	if f.design.noUpdates {
 		return
 	}
-	f.meet()
-	n.table.Meet(f.names)
+	f.updateMembers()
+	n.table.Meet(f.memberIDs)
 	if f.design.noRepeats {
 		return
 	}
 	repeated := n.table.Repeated(f.now)
 	one, all := n.spread.Targets(f.members, f.activeEntries)
-	n.tell(f.named(one), repeated.Narrow)
-	n.tell(f.named(append(one, all...)), repeated.Wide)
+	n.send(f.instancesOf(one), repeated.Narrow)
+	n.send(f.instancesOf(append(one, all...)), repeated.Wide)
 }
 
-func (f *fleet) named(entries []wasabiridge.InstanceEntry) []*instance {
+func (f *fleet) instancesOf(entries []wasabiridge.InstanceEntry) []*instance {
 	var out []*instance
 	for _, e := range entries {
 		out = append(out, f.byID[e.ID])
@@ -193,19 +198,19 @@
 	return out
 }
 
-// meet notes who is there, when that has changed.
-func (f *fleet) meet() {
-	if f.met {
+// updateMembers lists the running instances, if they have changed.
+func (f *fleet) updateMembers() {
+	if f.membersCurrent {
 		return
 	}
-	f.met, f.members, f.activeEntries, f.names, f.byID = true, nil, nil, nil, map[wasabiridge.InstanceID]*instance{}
+	f.membersCurrent, f.members, f.activeEntries, f.memberIDs, f.byID = true, nil, nil, nil, map[wasabiridge.InstanceID]*instance{}
 	for i, n := range f.instances {
 		if n.killed {
 			continue
 		}
 		e := wasabiridge.InstanceEntry{ID: n.id}
 		f.byID[n.id] = n
-		f.names = append(f.names, n.id)
+		f.memberIDs = append(f.memberIDs, n.id)
 		f.members = append(f.members, wasabiridge.Member{InstanceEntry: e, Incarnation: n.incarnation})
 		if i < f.active {
 			f.activeEntries = append(f.activeEntries, e)
@@ -213,13 +218,13 @@
 	}
 }
 
-// anyInstance is where a caller comes to.
+// anyInstance draws the instance that a caller reaches.
 func (f *fleet) anyInstance() *instance { return f.instances[f.random.IntN(len(f.instances))] }
 
-// ask sends a request at an instance, and again as often as told while servers end
-// under it. One that is deferred comes back once if told so.
-func (f *fleet) ask(n *instance, r wasabiridge.Request, fatal, back bool, retries int) {
-	if n.killed || n.frozen {
+// request sends a request to an instance, with up to retries further attempts while servers
+// end under it. A deferred request is sent again once if back is set.
+func (f *fleet) request(n *instance, r wasabiridge.Request, fatal, back bool, retries int) {
+	if n.killed || n.paused {
 		return
 	}
 	standing := n.table.Judge(f.now, r)
@@ -230,7 +235,7 @@
 	case wasabiridge.StandingDeferred:
 		f.deferred[r.Fingerprint]++
 		if back {
-			f.agenda.Add(f.now+comeBack, func() { f.ask(f.anyInstance(), r, fatal, false, retries) })
+			f.agenda.Add(f.now+deferredRetry, func() { f.request(f.anyInstance(), r, fatal, false, retries) })
 		}
 		return
 	}
@@ -249,15 +254,15 @@
 		e.Attempt = id
 		n.table.Observe(f.now, e)
 		if e.ServerEnded && retries > 0 {
-			f.ask(n, r, fatal, back, retries-1)
+			f.request(n, r, fatal, back, retries-1)
 		}
 	}
 	s.running[id] = func() { end(crashed) }
 	if fatal {
-		if !n.away && f.now >= n.back+contact {
+		if !n.offline && f.now >= n.backAt+propagation {
 			f.arrivals = append(f.arrivals, f.now)
 		}
-		f.agenda.Add(f.now+fatalRun, func() {
+		f.agenda.Add(f.now+fatalDuration, func() {
 			if s.running[id] != nil {
 				f.ends = append(f.ends, f.now)
 				f.crash(s)
@@ -265,7 +270,7 @@
 		})
 		return
 	}
-	f.agenda.Add(f.now+wasabiridge.Millis(1+f.random.IntN(int(properRun))), func() {
+	f.agenda.Add(f.now+wasabiridge.Millis(1+f.random.IntN(int(maxDuration))), func() {
 		if s.running[id] != nil {
 			f.served[r.Fingerprint]++
 			end(answered)
@@ -299,7 +304,8 @@
 	})
 }
 
-// crash ends a server with all that runs there. It is back after a while.
+// crash ends a server with everything that runs there. The server restarts after
+// restartTime.
 func (f *fleet) crash(s *server) {
 	if s.down {
 		return
@@ -315,18 +321,18 @@
 			end()
 		}
 	}
-	f.agenda.Add(f.now+rebirth, func() { s.down = false })
+	f.agenda.Add(f.now+restartTime, func() { s.down = false })
 }
 
-// further counts how often the fatal request reached a server later than contact after
-// it had ended the third.
-func (f *fleet) further() int {
+// furtherSends counts how often the fatal request reached a server later than propagation
+// after it had ended the third one.
+func (f *fleet) furtherSends() int {
 	if len(f.ends) < 3 {
 		return 0
 	}
 	n := 0
 	for _, at := range f.arrivals {
-		if at > f.ends[2]+contact {
+		if at > f.ends[2]+propagation {
 			n++
 		}
 	}
--- a/internal/wasabiquarantine/handler.go
+++ b/internal/wasabiquarantine/handler.go
@@ -10,8 +10,8 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// shown is one request that something is held against, as operators see it.
-type shown struct {
+// entryJSON is a suspect or blocked request, as operators see it.
+type entryJSON struct {
 	Fingerprint string   `json:"fingerprint"`
 	Account     string   `json:"account"`
 	Model       string   `json:"model,omitempty"`
@@ -21,7 +21,7 @@
 	AgesMillis  []int64  `json:"ages_ms"`
 }
 
-// Handler lets operators see what is held against requests (GET /) and let one go again
+// Handler lets operators list suspect and blocked requests (GET /) and release one of them
 // (DELETE /FINGERPRINT).
 func (k *Keeper) Handler() http.Handler {
 	router := chi.NewRouter()
@@ -32,9 +32,9 @@
 
 func (k *Keeper) serveList(w http.ResponseWriter, _ *http.Request) {
 	entries, _ := k.Snapshot()
-	out := make([]shown, 0, len(entries))
+	out := make([]entryJSON, 0, len(entries))
 	for _, e := range entries {
-		s := shown{
+		s := entryJSON{
 			Fingerprint: e.Fingerprint.String(), Account: string(e.Account), Model: string(e.Model), Barred: e.Barred, LeftMillis: int64(e.Left),
 		}
 		for _, end := range e.Ends {
--- a/internal/wasabiquarantine/isolation.go
+++ b/internal/wasabiquarantine/isolation.go
@@ -8,14 +8,16 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Isolation ranks servers for a suspect: it goes to the one with the highest value, at
-// every instance, and each suspect to another one. So suspects that ran beside the
-// request that ends servers part from it.
+// Isolation ranks backend servers for a suspect request: every instance sends it to the
+// server with the highest value. Suspects with different fingerprints mostly get different
+// servers, so requests that merely ran beside the one that ends servers are separated from
+// it.
 func Isolation(f wasabiridge.Fingerprint, b wasabiridge.BackendServerID) uint64 {
 	return rank(f, string(b))
 }
 
-// rank is the weight of a name for a fingerprint, by which all instances choose alike.
+// rank returns the weight of a name for a fingerprint (rendezvous hashing), so that all
+// instances make the same choice.
 func rank(f wasabiridge.Fingerprint, name string) uint64 {
 	data := binary.BigEndian.AppendUint64(make([]byte, 0, 64), uint64(f))
 	return xxhash.Sum64(append(data, name...))
--- a/internal/wasabiquarantine/judge.go
+++ b/internal/wasabiquarantine/judge.go
@@ -6,86 +6,88 @@
 
 // Judge implements wasabiridge.Quarantine.
 func (t *Table) Judge(now wasabiridge.Millis, r wasabiridge.Request) wasabiridge.Standing {
-	m := t.marks[r.Fingerprint]
+	m := t.records[r.Fingerprint]
 	if m == nil || len(m.ends) == 0 {
 		return wasabiridge.StandingFree
 	}
 	switch {
-	case m.count() < endsMost:
+	case m.count() < maxEnds:
 		return wasabiridge.StandingSuspect
-	case t.isBarred(now, m):
+	case t.isBlocked(now, m):
 		t.counts.Refused++
 		return wasabiridge.StandingBarred
-	case !t.isProven(m) && now < m.ends[endsMost-1].At+freeFor:
-	case m.running > 0 || !t.isTrialist(m.fingerprint):
+	case !t.isProven(m) && now < m.ends[maxEnds-1].At+unprovenGrace:
+	case m.running > 0 || !t.mayTry(m.fingerprint):
 		t.counts.Deferred++
 		return wasabiridge.StandingDeferred
 	}
 	return wasabiridge.StandingSuspect
 }
 
-// isBarred reports whether a request reaches no server now.
-func (t *Table) isBarred(now wasabiridge.Millis, m *mark) bool {
-	return t.isProven(m) && now < m.newest()+t.barFor(m) && !t.hasNewWeights(m)
+// isBlocked reports whether a request must not be sent to any server now.
+func (t *Table) isBlocked(now wasabiridge.Millis, m *record) bool {
+	return t.isProven(m) && now < m.newest()+t.blockDuration(m) && !t.hasNewWeights(m)
 }
 
-// isProven reports whether the ends are proof against the request: as many as may be,
-// and not at what may have been one moment, or two.
+// isProven reports whether the ends of servers are sufficient proof against the request:
+// there are enough of them, at enough distinct moments.
 //
-// The failure it guards against: racks are lost, and with them servers that ran the same
-// popular request. It would be refused although it is harmless.
-func (t *Table) isProven(m *mark) bool {
-	if m.count() < endsMost {
+// The failure it guards against: racks fail, and with them servers that run the same
+// popular request. It would be blocked although it is harmless.
+func (t *Table) isProven(m *record) bool {
+	if m.count() < maxEnds {
 		return false
 	}
-	moments := m.moments(func(at wasabiridge.Millis) bool { return t.isCrowded(m, at) })
-	return moments >= momentsProof || moments > 1 && m.count() >= endsProof
+	moments := m.moments(func(at wasabiridge.Millis) bool { return t.hasOtherEnds(m, at) })
+	return moments >= proofMoments || moments > 1 && m.count() >= proofEnds
 }
 
-// isCrowded reports whether servers under which the request did not run ended at about
-// the same time.
-func (t *Table) isCrowded(m *mark, at wasabiridge.Millis) bool {
+// hasOtherEnds reports whether more than maxOtherEnds servers that did not run the request
+// ended at about the same time.
+func (t *Table) hasOtherEnds(m *record, at wasabiridge.Millis) bool {
 	others := 0
 	for b, ended := range t.endings {
-		if apart := ended - at; max(apart, -apart) > crowdSpan || m.has(b) {
+		if distance := ended - at; max(distance, -distance) > otherEndsSpan || m.hasEnded(b) {
 			continue
 		}
-		if others++; others > crowdMost {
+		if others++; others > maxOtherEnds {
 			return true
 		}
 	}
 	return false
 }
 
-// Meet takes the names of the other living instances, with which trials are shared out.
+// Meet takes the names of the other running instances. The choice of the instances that may
+// try a request depends on them.
 func (t *Table) Meet(others []wasabiridge.InstanceID) { t.others = others }
 
-// isTrialist reports whether this is one of the instances that may try a request. All
-// instances that know the same others agree on them.
+// mayTry reports whether this is one of the instances that may send an unproven request, or
+// one whose block has expired, as a trial. All instances that know the same members choose
+// the same ones.
 //
-// The failure it guards against: callers send a request in the same moment to all
-// instances, and after an end at each of three servers each instance tries it once more.
-func (t *Table) isTrialist(f wasabiridge.Fingerprint) bool {
+// The failure it guards against: callers send a request to all instances at the same
+// moment, and after it has ended three servers each instance tries it once more.
+func (t *Table) mayTry(f wasabiridge.Fingerprint) bool {
 	own, ahead := rank(f, string(t.self)), 0
 	for _, other := range t.others {
 		if rank(f, string(other)) > own {
 			ahead++
 		}
 	}
-	return ahead < trialists
+	return ahead < trialInstances
 }
 
-// barFor is how long a bar holds after the newest end.
-func (t *Table) barFor(m *mark) wasabiridge.Millis {
-	trials := m.count() - endsMost
-	if trials >= trialMost {
-		return wasabiridge.Millis(t.spread * float64(barLast))
+// blockDuration returns how long a block lasts from the newest end of a server on.
+func (t *Table) blockDuration(m *record) wasabiridge.Millis {
+	trials := m.count() - maxEnds
+	if trials >= maxTrials {
+		return wasabiridge.Millis(t.jitter * float64(longestBlock))
 	}
-	return wasabiridge.Millis(t.spread * float64(barFirst<<max(trials, 0)))
+	return wasabiridge.Millis(t.jitter * float64(firstBlock<<max(trials, 0)))
 }
 
-// hasNewWeights reports whether newer weights were named than those under which
-// servers ended. Trials for that are few, like those after a time.
-func (t *Table) hasNewWeights(m *mark) bool {
-	return m.count() < endsMost+trialMost && m.weights() > 0 && t.named[m.model] > m.weights()
+// hasNewWeights reports whether the model has newer weights than those with which servers
+// ended. The trials that this permits are bounded like those after an expiry.
+func (t *Table) hasNewWeights(m *record) bool {
+	return m.count() < maxEnds+maxTrials && m.weights() > 0 && t.latestWeights[m.model] > m.weights()
 }
--- a/internal/wasabiquarantine/keeper.go
+++ b/internal/wasabiquarantine/keeper.go
@@ -12,130 +12,136 @@
 )
 
 const (
-	// gatherDelay gathers what changes at about the same time into one message: a server
-	// that ends had many requests.
-	gatherDelay = 5 * time.Millisecond
-	// repeatEvery is how often what is known is repeated.
-	repeatEvery = 500 * time.Millisecond
-	// tellTries is how often an instance is told that does not answer, tellAgain the time
-	// in between, tellTimeout the time for one try.
-	tellTries   = 6
-	tellAgain   = 400 * time.Millisecond
-	tellTimeout = 400 * time.Millisecond
+	// batchDelay is how long changes are collected for one update: a server that ends had
+	// many requests.
+	batchDelay = 5 * time.Millisecond
+	// repeatInterval is how often the known records are sent again.
+	repeatInterval = 500 * time.Millisecond
+	// sendAttempts is how often an update is sent to an instance that does not answer,
+	// sendRetryDelay the delay between two attempts, sendTimeout the time-out of one
+	// attempt.
+	sendAttempts   = 6
+	sendRetryDelay = 400 * time.Millisecond
+	sendTimeout    = 400 * time.Millisecond
 )
 
-// KeeperOptions are the parts of a Keeper. Clock is needed.
+// KeeperOptions are the dependencies and settings of a Keeper. Clock is required.
 type KeeperOptions struct {
 	Self        wasabiridge.InstanceID
 	Incarnation wasabiridge.Incarnation
 	Clock       wasabiridge.Clock
 	Seed        uint64
 	Log         zerolog.Logger
-	// Members returns the other living instances, Active those that callers are sent to.
-	// Nil means none, and all members.
+	// Members returns the other running instances, Active the instances that callers are
+	// routed to. A nil Members means that there are no other instances, a nil Active that
+	// callers are routed to all members.
 	Members func() []wasabiridge.Member
 	Active  func() []wasabiridge.InstanceEntry
-	// Tell hands news to the instance at an address. Nil means that nobody is told.
+	// Tell sends an update to the instance at an address. Nil means that no updates are
+	// sent.
 	Tell func(ctx context.Context, address string, n wasabiridge.News) error
-	// Rows is where bars outlast all instances. Nil means that they do not.
+	// Rows stores blocks so that they survive a restart of all instances. Nil means that
+	// they are not stored.
 	Rows wasabiridge.Table
 }
 
-// Keeper joins a Table to the other instances, to the rows in which bars are kept, and to
-// the log. It is safe for concurrent use.
+// Keeper connects a Table to the other instances, to the rows in which blocks are stored,
+// and to the log. It is safe for concurrent use.
 type Keeper struct {
 	options KeeperOptions
 	table   *Table
 	loop    *wasabiloop.Loop
 	changed chan struct{}
-	bars    chan Note
+	blocks  chan Note
 }
 
-// NewKeeper returns a keeper with a table that knows nothing.
+// NewKeeper returns a keeper with an empty table.
 func NewKeeper(o KeeperOptions) *Keeper {
 	if o.Members == nil {
 		o.Members = func() []wasabiridge.Member { return nil }
 	}
-	k := &Keeper{options: o, changed: make(chan struct{}, 1), bars: make(chan Note, barsSize)}
-	k.table = New(Options{Self: o.Self, Seed: o.Seed, Changed: k.wake})
+	k := &Keeper{options: o, changed: make(chan struct{}, 1), blocks: make(chan Note, blockQueueSize)}
+	k.table = New(Options{Self: o.Self, Seed: o.Seed, Changed: k.signalChange})
 	return k
 }
 
-// Table returns the table for the decisions. It belongs to the loop that Join is given.
+// Table returns the quarantine table. It may be used only in the loop that is given to
+// Join.
 func (k *Keeper) Table() *Table { return k.table }
 
-// Join names the loop that owns the table. It is called once, before anything else.
+// Join sets the loop that owns the table. It must be called once, before any other method
+// but Table.
 func (k *Keeper) Join(l *wasabiloop.Loop) { k.loop = l }
 
-// wake lets Run look at what has changed.
-func (k *Keeper) wake() {
+// signalChange makes Run send and log what has changed.
+func (k *Keeper) signalChange() {
 	select {
 	case k.changed <- struct{}{}:
 	default:
 	}
 }
 
-// Run tells the other instances what is known, keeps bars, and logs what was decided,
-// until the context ends. It is called once.
+// Run sends updates to the other instances, stores blocks and logs decisions, until the
+// context ends. It must be called only once.
 func (k *Keeper) Run(ctx context.Context) {
 	if k.options.Rows != nil {
-		go k.readBars(ctx)
-		go k.writeBars(ctx)
+		go k.loadBlocks(ctx)
+		go k.writeBlocks(ctx)
 	}
-	ticker := time.NewTicker(repeatEvery)
+	ticker := time.NewTicker(repeatInterval)
 	defer ticker.Stop()
 	spread := NewSpread(k.options.Seed)
 	for {
 		select {
 		case <-k.changed:
-			time.Sleep(gatherDelay)
-			k.tellChanges(ctx)
+			time.Sleep(batchDelay)
+			k.sendChanges(ctx)
 		case <-ticker.C:
-			k.repeat(ctx, spread)
+			k.sendRepeats(ctx, spread)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// tellChanges tells and logs what has changed.
-func (k *Keeper) tellChanges(ctx context.Context) {
-	var news News
+// sendChanges sends, logs and stores what has changed.
+func (k *Keeper) sendChanges(ctx context.Context) {
+	var updates News
 	var notes []Note
-	k.loop.Inspect(func() { news, notes = k.table.TakeNews(k.options.Clock.Now()), k.table.TakeNotes() })
+	k.loop.Inspect(func() { updates, notes = k.table.TakeNews(k.options.Clock.Now()), k.table.TakeNotes() })
 	for _, note := range notes {
 		k.log(note)
-		k.noteBar(note)
+		k.queueBlock(note)
 	}
-	k.tell(ctx, k.active(), news.Narrow)
-	k.tell(ctx, k.members(), news.Wide)
-	for _, c := range news.Corrections {
+	k.send(ctx, k.active(), updates.Narrow)
+	k.send(ctx, k.members(), updates.Wide)
+	for _, c := range updates.Corrections {
 		for _, m := range k.options.Members() {
 			if m.ID == c.To {
-				k.tell(ctx, []wasabiridge.InstanceEntry{m.InstanceEntry}, c.Marks)
+				k.send(ctx, []wasabiridge.InstanceEntry{m.InstanceEntry}, c.Marks)
 			}
 		}
 	}
 }
 
-// repeat tells some instances what they should know by now.
-func (k *Keeper) repeat(ctx context.Context, spread *Spread) {
+// sendRepeats sends the known records again to some instances.
+func (k *Keeper) sendRepeats(ctx context.Context, spread *Spread) {
 	members := k.options.Members()
 	var others []wasabiridge.InstanceID
 	for _, m := range members {
 		others = append(others, m.ID)
 	}
 	one, all := spread.Targets(members, k.active())
-	var news News
+	var updates News
 	k.loop.Inspect(func() {
 		k.table.Meet(others)
-		news = k.table.Repeated(k.options.Clock.Now())
+		updates = k.table.Repeated(k.options.Clock.Now())
 	})
-	k.tell(ctx, one, news.Narrow)
-	k.tell(ctx, append(one, all...), news.Wide)
+	k.send(ctx, one, updates.Narrow)
+	k.send(ctx, append(one, all...), updates.Wide)
 }
 
-// members returns the other instances that do not leave.
+// members returns the other instances that are not leaving.
 func (k *Keeper) members() []wasabiridge.InstanceEntry {
 	var out []wasabiridge.InstanceEntry
 	for _, m := range k.options.Members() {
@@ -146,7 +152,7 @@
 	return out
 }
 
-// active returns the other instances that callers are sent to.
+// active returns the other instances that callers are routed to.
 func (k *Keeper) active() []wasabiridge.InstanceEntry {
 	if k.options.Active == nil {
 		return k.members()
@@ -160,48 +166,49 @@
 	return out
 }
 
-// tell tells other instances, each until it answers. It does not wait for them.
+// send sends an update to other instances, with retries until each has answered. It does
+// not wait for them.
 //
-// The failure it guards against: a message is lost. Its instance sends the request on, or
-// goes on to suspect one that was answered elsewhere.
-func (k *Keeper) tell(ctx context.Context, to []wasabiridge.InstanceEntry, crashes []wasabiridge.CrashNews) {
+// The failure it guards against: a message is lost. Its receiver would send the request to
+// further servers, or keep suspecting one that was answered elsewhere.
+func (k *Keeper) send(ctx context.Context, to []wasabiridge.InstanceEntry, crashes []wasabiridge.CrashNews) {
 	if k.options.Tell == nil || len(crashes) == 0 {
 		return
 	}
-	news := wasabiridge.News{From: k.options.Self, Crashes: crashes}
+	update := wasabiridge.News{From: k.options.Self, Crashes: crashes}
 	for _, e := range to {
 		if e.PeerAddress != "" {
-			go k.tellOne(ctx, e.PeerAddress, news)
+			go k.sendOne(ctx, e.PeerAddress, update)
 		}
 	}
 }
 
-func (k *Keeper) tellOne(ctx context.Context, address string, news wasabiridge.News) {
-	for range tellTries {
-		timed, cancel := context.WithTimeout(ctx, tellTimeout)
-		err := k.options.Tell(timed, address, news)
+func (k *Keeper) sendOne(ctx context.Context, address string, update wasabiridge.News) {
+	for range sendAttempts {
+		timed, cancel := context.WithTimeout(ctx, sendTimeout)
+		err := k.options.Tell(timed, address, update)
 		cancel()
 		if err == nil {
 			return
 		}
-		k.options.Log.Debug().Err(err).Str("address", address).Msg("News not taken.")
+		k.options.Log.Debug().Err(err).Str("address", address).Msg("Update not delivered.")
 		select {
-		case <-time.After(tellAgain):
+		case <-time.After(sendRetryDelay):
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// Hear takes the news of another instance. What finds the loop full is lost, and
-// repeated.
+// Hear takes an update received from another instance. It is dropped while the loop's queue
+// is full; the sender repeats it.
 func (k *Keeper) Hear(n wasabiridge.News) {
 	if len(n.Crashes) > 0 {
 		k.loop.Observe(wasabiridge.CrashesHeard{From: n.From, Crashes: n.Crashes})
 	}
 }
 
-// log tells what is held against a request, or is not any more.
+// log logs a suspicion or a block, or that it was lifted.
 func (k *Keeper) log(note Note) {
 	m := note.Mark
 	line := k.options.Log.Info().Stringer("fingerprint", m.Fingerprint).Str("account", string(m.Account)).Int("ends", len(m.Ends)).
@@ -218,25 +225,26 @@
 		for _, e := range m.Ends {
 			ended = append(ended, string(e.Backend))
 		}
-		line.Strs("ended", ended).Int64("for_ms", int64(note.For)).Msg("Request barred.")
+		line.Strs("ended", ended).Int64("for_ms", int64(note.For)).Msg("Request blocked.")
 	case NoteLifted:
-		line.Str("why", string(note.Why)).Msg("Request let go again.")
+		line.Str("why", string(note.Why)).Msg("Suspicion or block of a request lifted.")
 	}
 }
 
-// Snapshot returns what is held against requests, and totals since the start.
+// Snapshot returns the suspect and blocked requests, and totals since the start of the
+// process.
 func (k *Keeper) Snapshot() (entries []Entry, counts Counts) {
 	k.loop.Inspect(func() { entries, counts = k.table.Entries(k.options.Clock.Now()), k.table.Counts() })
 	return entries, counts
 }
 
-// Release lets a request go again, here and at all instances. It reports ErrNotFound when
-// nothing is held against it here.
+// Release lifts the suspicion or block of a request, here and at all instances. It reports
+// ErrNotFound if this instance has none against the request.
 func (k *Keeper) Release(f wasabiridge.Fingerprint) error {
 	known := false
 	k.loop.Inspect(func() { known = k.table.Holds(f) })
 	if !known {
-		return wasabiridge.ErrNotFound.New("quarantine: nothing is held against %s here", f)
+		return wasabiridge.ErrNotFound.New("quarantine: request %s is neither suspect nor blocked at this instance", f)
 	}
 	k.loop.Post(wasabiridge.QuarantineReleased{Fingerprint: f})
 	return nil
--- a/internal/wasabiquarantine/keeper_test.go
+++ b/internal/wasabiquarantine/keeper_test.go
@@ -18,56 +18,56 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabiquarantine"
 )
 
-// tableOnly lets a table take events as the decisions do.
-type tableOnly struct{ table *wasabiquarantine.Table }
+// tableDecider passes the loop's events to a table.
+type tableDecider struct{ table *wasabiquarantine.Table }
 
-func (d tableOnly) Handle(now wasabiridge.Millis, e wasabiridge.Event) []wasabiridge.Effect {
+func (d tableDecider) Handle(now wasabiridge.Millis, e wasabiridge.Event) []wasabiridge.Effect {
 	d.table.Observe(now, e)
 	return nil
 }
 
-// lines takes log lines.
-type lines struct {
+// logBuffer collects log lines.
+type logBuffer struct {
 	mu sync.Mutex
 	b  strings.Builder
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(p)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.String()
 }
 
-// told keeps what other instances were told.
-type told struct {
-	mu   sync.Mutex
-	news []wasabiridge.News
-	// refuse is how many messages are not taken at first.
-	refuse int
+// updateRecorder records the updates that are sent to other instances.
+type updateRecorder struct {
+	mu      sync.Mutex
+	updates []wasabiridge.News
+	// rejected is how many of the next messages are rejected.
+	rejected int
 }
 
-func (t *told) tell(_ context.Context, _ string, n wasabiridge.News) error {
+func (t *updateRecorder) send(_ context.Context, _ string, n wasabiridge.News) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.refuse > 0 {
-		t.refuse--
+	if t.rejected > 0 {
+		t.rejected--
 		return wasabiridge.ErrUnavailable.New("test: lost")
 	}
-	t.news = append(t.news, n)
+	t.updates = append(t.updates, n)
 	return nil
 }
 
-func (t *told) epochs() map[uint32]bool {
+func (t *updateRecorder) epochs() map[uint32]bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := map[uint32]bool{}
-	for _, n := range t.news {
+	for _, n := range t.updates {
 		for _, c := range n.Crashes {
 			out[c.Epoch] = true
 		}
@@ -75,30 +75,30 @@
 	return out
 }
 
-// Story: an operator knows that a barred request is harmless, since what it met is
-// mended. They see what is held against it and let it go; the other instances hear of
-// that, although the first message to them is lost.
+// Guards against a release that stays with one instance: an operator lists the requests and
+// releases a blocked one that is harmless after a repair. The other instances must receive
+// the release although the first message is lost.
 func TestOperatorsReleaseRequests(t *testing.T) {
 	g := NewWithT(t)
-	log, others := &lines{}, &told{refuse: 1}
+	log, updates := &logBuffer{}, &updateRecorder{rejected: 1}
 	k := wasabiquarantine.NewKeeper(wasabiquarantine.KeeperOptions{
-		Self: "i1", Clock: wasabiclock.NewVirtual(1e9), Seed: 1, Log: zerolog.New(log), Tell: others.tell,
+		Self: "i1", Clock: wasabiclock.NewVirtual(1e9), Seed: 1, Log: zerolog.New(log), Tell: updates.send,
 		Members: func() []wasabiridge.Member {
 			return []wasabiridge.Member{{InstanceEntry: wasabiridge.InstanceEntry{ID: "i2", PeerAddress: "a"}}}
 		},
 	})
-	loop := wasabiloop.New(wasabiloop.Options{Decider: tableOnly{k.Table()}, Clock: wasabiclock.NewVirtual(1e9)})
+	loop := wasabiloop.New(wasabiloop.Options{Decider: tableDecider{k.Table()}, Clock: wasabiclock.NewVirtual(1e9)})
 	t.Cleanup(loop.Close)
 	k.Join(loop)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go k.Run(ctx)
 	const fingerprint = wasabiridge.Fingerprint(0xabc)
-	barred := wasabiridge.CrashNews{Fingerprint: fingerprint, Account: "shop", Model: "m"}
+	blocked := wasabiridge.CrashNews{Fingerprint: fingerprint, Account: "shop", Model: "m"}
 	for i := range 3 {
-		barred.Ends = append(barred.Ends, wasabiridge.ServerEnd{Backend: wasabiridge.BackendServerID(fmt.Sprint("e", i)), Ran: 50, Age: wasabiridge.Millis(1000 * (i + 1))})
+		blocked.Ends = append(blocked.Ends, wasabiridge.ServerEnd{Backend: wasabiridge.BackendServerID(fmt.Sprint("e", i)), Ran: 50, Age: wasabiridge.Millis(1000 * (i + 1))})
 	}
-	k.Hear(wasabiridge.News{From: "i2", Crashes: []wasabiridge.CrashNews{barred}})
+	k.Hear(wasabiridge.News{From: "i2", Crashes: []wasabiridge.CrashNews{blocked}})
 	server := httptest.NewServer(k.Handler())
 	t.Cleanup(server.Close)
 	list := func() string {
@@ -110,7 +110,7 @@
 		return b.String()
 	}
 	g.Eventually(list).Should(And(ContainSubstring(`"fingerprint":"0000000000000abc"`), ContainSubstring(`"barred":true`), ContainSubstring(`"ended":["e2","e1","e0"]`)))
-	g.Eventually(log.String).Should(And(ContainSubstring("Request barred."), ContainSubstring(`"from":"i2"`)))
+	g.Eventually(log.String).Should(And(ContainSubstring("Request blocked."), ContainSubstring(`"from":"i2"`)))
 	release := func(fingerprint string) int {
 		r, err := http.NewRequest(http.MethodDelete, server.URL+"/"+fingerprint, nil)
 		g.Expect(err).NotTo(HaveOccurred())
@@ -123,7 +123,7 @@
 	g.Expect(release("def")).To(Equal(http.StatusNotFound))
 	g.Expect(release(fingerprint.String())).To(Equal(http.StatusNoContent))
 	g.Eventually(list).ShouldNot(ContainSubstring("abc"))
-	g.Eventually(others.epochs, "5s").Should(HaveKey(uint32(1)))
+	g.Eventually(updates.epochs, "5s").Should(HaveKey(uint32(1)))
 	g.Eventually(log.String).Should(ContainSubstring(`"why":"released"`))
 	_, counts := k.Snapshot()
 	g.Expect(counts.Barred).To(Equal(1))
--- a/internal/wasabiquarantine/merge.go
+++ b/internal/wasabiquarantine/merge.go
@@ -7,34 +7,35 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// hear takes what another instance knows.
-func (t *Table) hear(now wasabiridge.Millis, from wasabiridge.InstanceID, c wasabiridge.CrashNews) {
+// receive merges what another instance has sent.
+func (t *Table) receive(now wasabiridge.Millis, from wasabiridge.InstanceID, c wasabiridge.CrashNews) {
 	if c.Fingerprint == 0 {
 		return
 	}
-	t.add(now, from, c)
+	t.merge(now, from, c)
 }
 
-// add merges news into what is known. From is empty for an end that was seen here.
-func (t *Table) add(now wasabiridge.Millis, from wasabiridge.InstanceID, c wasabiridge.CrashNews) {
+// merge merges evidence into the table. from is empty for a server end that this instance
+// saw itself.
+func (t *Table) merge(now wasabiridge.Millis, from wasabiridge.InstanceID, c wasabiridge.CrashNews) {
 	for _, e := range c.Ends {
 		t.endings[e.Backend] = max(t.endings[e.Backend], now-e.Age)
 	}
-	m := t.marks[c.Fingerprint]
+	m := t.records[c.Fingerprint]
 	if m == nil {
-		m = t.newMark(now, c)
+		m = t.newRecord(now, c)
 	}
 	if c.Epoch < m.epoch {
-		t.correct(from, m)
+		t.queueCorrection(from, m)
 		return
 	}
-	before, barred := m.count(), t.isBarred(now, m)
+	before, blocked := m.count(), t.isBlocked(now, m)
 	changed := false
 	if c.Epoch > m.epoch {
 		if len(m.ends) > 0 {
 			t.note(now, Note{Kind: NoteLifted, Mark: m.snapshot(now), Why: LiftedByAnswer, From: from})
 		}
-		m.wide = m.isWide()
+		m.wasWide = m.isWide()
 		m.epoch, m.ends, changed = c.Epoch, nil, true
 	}
 	for _, e := range c.Ends {
@@ -46,18 +47,19 @@
 	}
 	m.changed = now
 	if from == "" {
-		m.own = now
-		t.tell(m)
+		m.ownEndAt = now
+		t.queueUpdate(m)
 	}
-	t.noteEnds(now, m, from, before, barred)
+	t.noteEnds(now, m, from, before, blocked)
 }
 
-// correct lets an instance know that what it told does not count any more.
+// queueCorrection queues a reply to an instance that has sent a record of an earlier epoch.
 //
-// The failure it guards against: an instance to which hardly any callers are sent saw an
-// end, and is not told of an answer that others gave. It goes on to suspect the request.
-func (t *Table) correct(from wasabiridge.InstanceID, m *mark) {
-	if from == "" || len(t.corrections[from]) >= repeatedMost {
+// The failure it guards against: an instance that callers are hardly routed to saw a server
+// end, and is not sent the update that the request was answered elsewhere. It keeps
+// suspecting the request.
+func (t *Table) queueCorrection(from wasabiridge.InstanceID, m *record) {
+	if from == "" || len(t.corrections[from]) >= maxRepeated {
 		return
 	}
 	if t.corrections[from] == nil {
@@ -67,72 +69,73 @@
 	t.changed()
 }
 
-// newMark makes room for a mark. An account that has its share gives up one of its own.
-func (t *Table) newMark(now wasabiridge.Millis, c wasabiridge.CrashNews) *mark {
-	if t.owned[c.Account] >= accountMost {
-		t.evict(func(m *mark) bool { return m.account == c.Account })
+// newRecord adds a record, and evicts another one if there is no room. An account that has
+// used up its share gives up one of its own.
+func (t *Table) newRecord(now wasabiridge.Millis, c wasabiridge.CrashNews) *record {
+	if t.recordsPerAccount[c.Account] >= maxAccountRecords {
+		t.evict(func(m *record) bool { return m.account == c.Account })
 	}
-	if len(t.marks) >= marksMost {
-		t.evict(func(*mark) bool { return true })
+	if len(t.records) >= maxRecords {
+		t.evict(func(*record) bool { return true })
 	}
-	m := &mark{fingerprint: c.Fingerprint, account: c.Account, model: c.Model, changed: now}
-	for _, s := range t.sent {
+	m := &record{fingerprint: c.Fingerprint, account: c.Account, model: c.Model, changed: now}
+	for _, s := range t.inFlight {
 		if s.fingerprint == c.Fingerprint {
 			m.running++
 		}
 	}
-	t.marks[c.Fingerprint] = m
-	t.owned[c.Account]++
+	t.records[c.Fingerprint] = m
+	t.recordsPerAccount[c.Account]++
 	return m
 }
 
-// evict forgets the mark that counts for least: one that is cleared before one with
-// few ends, these before a barred one, and the oldest of each.
-func (t *Table) evict(among func(*mark) bool) {
-	var least *mark
-	for _, m := range t.marks {
-		if among(m) && (least == nil || m.before(least)) {
+// evict removes the least important record: cleared ones come before those with few ends,
+// these before blocked ones, and the oldest first among equals.
+func (t *Table) evict(among func(*record) bool) {
+	var least *record
+	for _, m := range t.records {
+		if among(m) && (least == nil || m.evictedBefore(least)) {
 			least = m
 		}
 	}
 	if least != nil {
-		t.forget(least)
+		t.remove(least)
 	}
 }
 
-func (t *Table) forget(m *mark) {
-	delete(t.marks, m.fingerprint)
-	delete(t.news, m.fingerprint)
-	if t.owned[m.account]--; t.owned[m.account] <= 0 {
-		delete(t.owned, m.account)
+func (t *Table) remove(m *record) {
+	delete(t.records, m.fingerprint)
+	delete(t.updated, m.fingerprint)
+	if t.recordsPerAccount[m.account]--; t.recordsPerAccount[m.account] <= 0 {
+		delete(t.recordsPerAccount, m.account)
 	}
 }
 
-// sweepInterval is how often marks are looked through.
+// sweepInterval is the time between two searches for expired records.
 const sweepInterval = wasabiridge.Second
 
-// sweep forgets marks whose time is over.
+// sweep removes records that have expired.
 func (t *Table) sweep(now wasabiridge.Millis) {
-	if now-t.swept < sweepInterval {
+	if now-t.sweptAt < sweepInterval {
 		return
 	}
-	t.swept = now
+	t.sweptAt = now
 	for b, at := range t.endings {
-		if now-at > endLife {
+		if now-at > endRetention {
 			delete(t.endings, b)
 		}
 	}
 	for _, f := range t.fingerprints() {
-		m := t.marks[f]
+		m := t.records[f]
 		switch {
-		case len(m.ends) == 0 && now-m.changed > clearedLife:
-			t.forget(m)
-		case len(m.ends) > 0 && now > m.newest()+t.barFor(m)+forgetAfter:
+		case len(m.ends) == 0 && now-m.changed > clearedRetention:
+			t.remove(m)
+		case len(m.ends) > 0 && now > m.newest()+t.blockDuration(m)+retention:
 			t.note(now, Note{Kind: NoteLifted, Mark: m.snapshot(now), Why: LiftedByTime})
-			t.forget(m)
+			t.remove(m)
 		}
 	}
 }
 
-// fingerprints returns those of all marks, in order.
-func (t *Table) fingerprints() []wasabiridge.Fingerprint { return slices.Sorted(maps.Keys(t.marks)) }
+// fingerprints returns those of all records, in ascending order.
+func (t *Table) fingerprints() []wasabiridge.Fingerprint { return slices.Sorted(maps.Keys(t.records)) }
--- a/internal/wasabiquarantine/note.go
+++ b/internal/wasabiquarantine/note.go
@@ -4,10 +4,10 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// notesMost bounds the notes that wait to be taken. The oldest are dropped.
-const notesMost = 256
+// maxNotes bounds the notes that wait to be taken. Beyond that, the oldest are dropped.
+const maxNotes = 256
 
-// Lifted says why a suspicion or a bar was lifted.
+// Lifted is the reason why a suspicion or a block was lifted.
 type Lifted string
 
 // Reasons for lifting.
@@ -17,35 +17,37 @@
 	LiftedByTime     Lifted = "forgotten"
 )
 
-// NoteKind says what a Note tells.
+// NoteKind is the kind of event that a Note reports.
 type NoteKind uint8
 
 // Kinds of notes.
 const (
-	// NoteEnd tells of the newest end in Mark.
+	// NoteEnd reports the newest server end in Mark.
 	NoteEnd NoteKind = iota
-	// NoteBarred tells that a request is barred from now on, with all its ends.
+	// NoteBarred reports that a request is blocked from now on, with all its server ends.
 	NoteBarred
-	// NoteLifted tells that what was held against a request does not count any more.
+	// NoteLifted reports that the suspicion or block of a request was lifted.
 	NoteLifted
 )
 
-// Note is something for the log.
+// Note is an event for the log.
 type Note struct {
 	Kind NoteKind
 	Mark wasabiridge.CrashNews
-	// From is the instance that told it. Empty means that it was seen here.
+	// From is the instance that sent the update. Empty means that this instance saw the
+	// event itself.
 	From wasabiridge.InstanceID
 	Why  Lifted
-	// For is how long the bar holds here.
+	// For is how long the block lasts at this instance.
 	For wasabiridge.Millis
 }
 
-// Counts are totals since the start.
+// Counts are totals since the start of the process.
 type Counts struct {
-	// Ends counts attempts under which a server ended, Barred requests that were barred,
-	// Lifted those that were let go again, Refused times that a barred one was asked about,
-	// Deferred times that one was that others may try.
+	// Ends counts attempts during which a server ended, Barred requests that were blocked,
+	// Lifted suspicions and blocks that were lifted, Refused the requests that were refused
+	// because of a block, Deferred those that were deferred because other instances may try
+	// them.
 	Ends, Barred, Lifted, Refused, Deferred int
 }
 
@@ -53,65 +55,65 @@
 	if n.Kind == NoteLifted {
 		t.counts.Lifted++
 		if len(n.Mark.Ends) == 1 {
-			// Whatever ran beside a request that ended a server is suspected once.
+			// Every request that ran beside one that ends a server is suspected once.
+			// These are too many to log.
 			return
 		}
 	}
-	if len(t.notes) >= notesMost {
+	if len(t.notes) >= maxNotes {
 		t.notes = t.notes[1:]
 	}
 	t.notes = append(t.notes, n)
 	t.changed()
 }
 
-// noteEnds tells of ends. What others tell of a first end is left out: those that ran
-// beside the request are many.
-func (t *Table) noteEnds(now wasabiridge.Millis, m *mark, from wasabiridge.InstanceID, before int, barred bool) {
+// noteEnds records notes on server ends. First ends that other instances report are left
+// out, because each end makes all requests suspects that ran at the server.
+func (t *Table) noteEnds(now wasabiridge.Millis, m *record, from wasabiridge.InstanceID, before int, blocked bool) {
 	if from == "" || m.count() > max(before, 1) {
 		t.note(now, Note{Kind: NoteEnd, Mark: m.snapshot(now), From: from})
 	}
-	if !barred && t.isBarred(now, m) {
+	if !blocked && t.isBlocked(now, m) {
 		t.counts.Barred++
-		t.note(now, Note{Kind: NoteBarred, Mark: m.snapshot(now), From: from, For: t.barFor(m)})
+		t.note(now, Note{Kind: NoteBarred, Mark: m.snapshot(now), From: from, For: t.blockDuration(m)})
 	}
 }
 
-// TakeNotes returns what the log should say, and forgets it.
+// TakeNotes returns the events to log since the last call.
 func (t *Table) TakeNotes() []Note {
 	out := t.notes
 	t.notes = nil
 	return out
 }
 
-// Counts returns totals since the start.
+// Counts returns totals since the start of the process.
 func (t *Table) Counts() Counts { return t.counts }
 
-// Holds reports whether something is held against a request.
+// Holds reports whether a request is suspect or blocked.
 func (t *Table) Holds(f wasabiridge.Fingerprint) bool {
-	m := t.marks[f]
+	m := t.records[f]
 	return m != nil && m.count() > 0
 }
 
-// Entry is a request with something against it.
+// Entry is a suspect or blocked request.
 type Entry struct {
 	wasabiridge.CrashNews
 	Barred bool
-	// Left is how long the bar holds here.
+	// Left is how long the block still lasts at this instance.
 	Left wasabiridge.Millis
 }
 
-// Entries returns all requests with something against them, in the order of their
-// fingerprints.
+// Entries returns all suspect and blocked requests, ordered by fingerprint.
 func (t *Table) Entries(now wasabiridge.Millis) []Entry {
 	var out []Entry
 	for _, f := range t.fingerprints() {
-		m := t.marks[f]
+		m := t.records[f]
 		if m.count() == 0 {
 			continue
 		}
-		e := Entry{CrashNews: m.snapshot(now), Barred: t.isBarred(now, m)}
+		e := Entry{CrashNews: m.snapshot(now), Barred: t.isBlocked(now, m)}
 		if e.Barred {
-			e.Left = max(0, m.newest()+t.barFor(m)-now)
+			e.Left = max(0, m.newest()+t.blockDuration(m)-now)
 		}
 		out = append(out, e)
 	}
--- a/internal/wasabiquarantine/quarantine.go
+++ b/internal/wasabiquarantine/quarantine.go
@@ -1,33 +1,36 @@
-// Package wasabiquarantine keeps requests from backend servers that would end under
-// them: a query of death, which ends every server that runs it and is sent again.
+// Package wasabiquarantine protects backend servers from queries of death: requests that
+// end every server that runs them, and are sent again.
 //
 // # Evidence
 //
-// A server counts as ended under a request when the request was inside, its connection
-// broke, and nothing listens at the server's address any more. Broken connections,
-// failures and silence of servers that go on listening are no evidence. One end counts
-// once, whoever tells it.
+// A server counts as ended under a request if the request was running there, its
+// connection broke, and nothing listens at the server's address any more. Broken
+// connections, errors and silence of servers that still listen are no evidence. One end
+// counts once, no matter how many instances report it.
 //
-// # Standing
+// # Standing of a request
 //
-// A request is named by its fingerprint, which covers its client account, so that one
-// account's requests never mark another's. After the first end it is a suspect. All
-// instances send it to the same server, chosen by the fingerprint: those that merely
-// ran beside it go elsewhere each and are answered there, and one whole answer anywhere
-// ends the suspicion. After three ends it is barred, or tried: ends at one moment may have
-// another cause, so it is barred when they lie at three moments, or four of them at two.
-// Until then it may go for freeFor after the third end; then trialists instances may each
-// try it once at a time, and the others ask its callers to come back soon.
+// A request is identified by its fingerprint, which covers its client account, so that the
+// requests of one account never affect those of another. After the first end of a server a
+// request is a suspect. All instances send a suspect to the same server, chosen by its
+// fingerprint: suspects that merely ran beside the fatal request go to other servers and
+// are answered there, and one complete answer at any instance ends the suspicion.
 //
-// A bar lapses after a while that grows with the ends, at each instance at a time of its
-// own, and when newer weights are named. Then it is tried again. After trialMost such
-// trials that ended a server too, only time or an operator lifts it.
+// After three ends a request is blocked or tried. Servers that end at one moment may have
+// another cause, so the request is blocked if the ends are at three moments, or if four
+// are at two moments. Otherwise it is still sent for unprovenGrace after the third end;
+// then trialInstances instances may each try it, one attempt at a time, and the others
+// tell its callers to retry soon.
 //
-// # News
+// A block expires after a time that grows with the number of ends and differs between
+// instances, and when newer weights are announced. Then the request is tried again. After
+// maxTrials trials that ended a server too, only time or an operator lifts the block.
 //
-// Instances tell each other what they know. It is merged in any order and any number of
-// times with the same outcome: whole answers raise an epoch, and within an epoch ends
-// are a set. See Spread for whom they tell.
+// # Updates between instances
+//
+// Instances send each other what they know. The result of merging does not depend on the
+// order or the number of updates: a complete answer raises the epoch of a request, and
+// within an epoch the ends form a set. See Spread for the choice of receivers.
 //
 // # Usage
 //
@@ -45,85 +48,89 @@
 )
 
 const (
-	// endsMost is how many servers may end under a request.
-	endsMost = 3
-	// endsProof is how many ends at two moments prove as much as ends at three moments.
-	endsProof, momentsProof = 4, 3
-	// trialists is how many instances may try a request.
-	trialists = 3
-	// freeFor is how long after the third end a request goes that is not proven: a popular
-	// one is answered somewhere meanwhile.
-	freeFor = wasabiridge.Second
-	// trialMost is how many further servers trials may end.
-	trialMost = 2
-	// barFirst is how long the first bar holds at least, barLast how long one does after
-	// the last trial. In between it doubles.
-	barFirst = wasabiridge.Minute
-	barLast  = wasabiridge.Hour
-	// barSpread is by how much longer than others an instance may hold a bar, as a part
-	// of it, so that they do not try at the same moment.
-	barSpread = 0.5
-	// forgetAfter is how long after the end of its bar, or after its last end, a mark is
-	// forgotten.
-	forgetAfter = 10 * wasabiridge.Minute
-	// clearedLife is how long it is remembered that a mark was cleared. Older news of
-	// its ends arrives within seconds.
-	clearedLife = wasabiridge.Minute
-	// crowdMost is how many other servers may end within crowdSpan of an end before that
-	// has a likelier cause than the request, apart is how long the servers of a rack that is
-	// lost take to end.
-	crowdMost = 1
-	crowdSpan = wasabiridge.Second
-	apart     = 300 * wasabiridge.Millis(1)
-	// endLife is for how long ends of servers are remembered by themselves.
-	endLife = 10 * wasabiridge.Minute
-	// reborn is how soon after its end a server cannot have ended again. Instances may
-	// know its lives by different numbers.
-	reborn = 1500 * wasabiridge.Millis(1)
-	// marksMost bounds the marks, accountMost those of one account.
-	marksMost   = 4096
-	accountMost = 64
-	// keptEnds bounds the ends that are remembered of one request.
-	keptEnds = 16
+	// maxEnds is how many servers may end under a request before it is blocked or tried.
+	maxEnds = 3
+	// proofEnds is the number of ends at two moments that prove as much as ends at
+	// proofMoments moments.
+	proofEnds, proofMoments = 4, 3
+	// trialInstances is how many instances may try a request.
+	trialInstances = 3
+	// unprovenGrace is how long after the third end an unproven request is still sent: if
+	// it is popular, it is answered somewhere in the meantime.
+	unprovenGrace = wasabiridge.Second
+	// maxTrials is how many further servers may end under trials.
+	maxTrials = 2
+	// firstBlock is the shortest duration of the first block, longestBlock that of a block
+	// after the last trial. In between the duration doubles.
+	firstBlock   = wasabiridge.Minute
+	longestBlock = wasabiridge.Hour
+	// blockJitter is the largest random extension of blocks at an instance, as a part of
+	// their duration, so that not all instances try a request at the same moment.
+	blockJitter = 0.5
+	// retention is how long a record is kept after the end of its block.
+	retention = 10 * wasabiridge.Minute
+	// clearedRetention is how long a cleared record is kept. Older updates on its ends
+	// arrive within seconds.
+	clearedRetention = wasabiridge.Minute
+	// maxOtherEnds is how many other servers may end within otherEndsSpan of an end before
+	// there is a likelier cause than the request. rackLossSpan is how long it takes until
+	// all servers of a failed rack have ended.
+	maxOtherEnds  = 1
+	otherEndsSpan = wasabiridge.Second
+	rackLossSpan  = 300 * wasabiridge.Millis(1)
+	// endRetention is how long the last end of each server is remembered, whatever the
+	// request.
+	endRetention = 10 * wasabiridge.Minute
+	// minRestartTime is the time after its end within which a server cannot have ended
+	// again. It identifies reports of the same end, since instances may assign different
+	// incarnations to a server.
+	minRestartTime = 1500 * wasabiridge.Millis(1)
+	// maxRecords bounds the number of records, maxAccountRecords that of one account.
+	maxRecords        = 4096
+	maxAccountRecords = 64
+	// maxKeptEnds bounds the ends that are kept for one request.
+	maxKeptEnds = 16
 )
 
-// Options set up a Table. The zero value works.
+// Options configure a Table. The zero value works.
 type Options struct {
 	// Self names this instance.
 	Self wasabiridge.InstanceID
-	// Seed decides how much longer than others this instance holds bars.
+	// Seed determines the jitter of this instance's blocks.
 	Seed uint64
-	// Changed is called when there is something to tell or to log. It must not block.
-	// Nil means that nobody waits for it.
+	// Changed is called when there is something to send or to log. It must not block. It
+	// may be nil.
 	Changed func()
 }
 
-// Table implements wasabiridge.Quarantine. See the package comment.
+// Table implements wasabiridge.Quarantine. See the package documentation.
 type Table struct {
 	self    wasabiridge.InstanceID
 	others  []wasabiridge.InstanceID
 	changed func()
-	spread  float64
-	marks   map[wasabiridge.Fingerprint]*mark
-	// owned counts the marks of each account.
-	owned map[wasabiridge.ClientAccountID]int
-	sent  map[wasabiridge.AttemptID]sending
-	named map[wasabiridge.ModelID]wasabiridge.WeightsVersion
-	news  map[wasabiridge.Fingerprint]bool
-	// corrections are the marks of which instances told that were cleared before.
+	jitter  float64
+	records map[wasabiridge.Fingerprint]*record
+	// recordsPerAccount counts the records of each account.
+	recordsPerAccount map[wasabiridge.ClientAccountID]int
+	inFlight          map[wasabiridge.AttemptID]flight
+	latestWeights     map[wasabiridge.ModelID]wasabiridge.WeightsVersion
+	// updated holds the requests whose records have changed since the last update.
+	updated map[wasabiridge.Fingerprint]bool
+	// corrections holds, by instance, the records that it sent and that had been cleared
+	// before.
 	corrections map[wasabiridge.InstanceID]map[wasabiridge.Fingerprint]bool
 	notes       []Note
-	// swept is when marks were last looked through for those to be forgotten.
-	swept wasabiridge.Millis
-	// endings are when servers last ended under any request.
+	// sweptAt is when expired records were last removed.
+	sweptAt wasabiridge.Millis
+	// endings is when each server last ended under any request.
 	endings map[wasabiridge.BackendServerID]wasabiridge.Millis
 	counts  Counts
 }
 
 var _ wasabiridge.Quarantine = (*Table)(nil)
 
-// sending is an attempt that has not ended, with what was known when it began.
-type sending struct {
+// flight is an attempt in flight, with the state in which it was sent.
+type flight struct {
 	fingerprint wasabiridge.Fingerprint
 	account     wasabiridge.ClientAccountID
 	model       wasabiridge.ModelID
@@ -133,19 +140,19 @@
 	weights     wasabiridge.WeightsVersion
 }
 
-// New returns a table that knows nothing yet.
+// New returns an empty table.
 func New(o Options) *Table {
 	if o.Changed == nil {
 		o.Changed = func() {}
 	}
 	return &Table{
 		self: o.Self, changed: o.Changed,
-		spread: 1 + barSpread*rand.New(rand.NewPCG(o.Seed, 1)).Float64(),
-		marks:  map[wasabiridge.Fingerprint]*mark{},
-		owned:  map[wasabiridge.ClientAccountID]int{},
-		sent:   map[wasabiridge.AttemptID]sending{},
-		named:  map[wasabiridge.ModelID]wasabiridge.WeightsVersion{},
-		news:   map[wasabiridge.Fingerprint]bool{},
+		jitter:            1 + blockJitter*rand.New(rand.NewPCG(o.Seed, 1)).Float64(),
+		records:           map[wasabiridge.Fingerprint]*record{},
+		recordsPerAccount: map[wasabiridge.ClientAccountID]int{},
+		inFlight:          map[wasabiridge.AttemptID]flight{},
+		latestWeights:     map[wasabiridge.ModelID]wasabiridge.WeightsVersion{},
+		updated:           map[wasabiridge.Fingerprint]bool{},
 
 		endings:     map[wasabiridge.BackendServerID]wasabiridge.Millis{},
 		corrections: map[wasabiridge.InstanceID]map[wasabiridge.Fingerprint]bool{},
@@ -157,12 +164,12 @@
 	if r.Fingerprint == 0 {
 		return
 	}
-	s := sending{at: now, fingerprint: r.Fingerprint, account: r.Account, model: r.Model, backend: b, weights: t.named[r.Model]}
-	if m := t.marks[r.Fingerprint]; m != nil {
+	s := flight{at: now, fingerprint: r.Fingerprint, account: r.Account, model: r.Model, backend: b, weights: t.latestWeights[r.Model]}
+	if m := t.records[r.Fingerprint]; m != nil {
 		s.epoch = m.epoch
 		m.running++
 	}
-	t.sent[id] = s
+	t.inFlight[id] = s
 }
 
 // Observe implements wasabiridge.Quarantine.
@@ -172,35 +179,35 @@
 		t.ended(now, e)
 	case wasabiridge.CrashesHeard:
 		for _, c := range e.Crashes {
-			t.hear(now, e.From, c)
+			t.receive(now, e.From, c)
 		}
 	case wasabiridge.QuarantineReleased:
-		if m := t.marks[e.Fingerprint]; m != nil && len(m.ends) > 0 {
+		if m := t.records[e.Fingerprint]; m != nil && len(m.ends) > 0 {
 			t.clear(now, m, LiftedByOperator)
 		}
 	case wasabiridge.WeightsNamed:
-		t.named[e.Model] = max(t.named[e.Model], e.Weights)
+		t.latestWeights[e.Model] = max(t.latestWeights[e.Model], e.Weights)
 	case wasabiridge.Ticked:
 		t.sweep(now)
 	}
 }
 
-// ended takes how an attempt ended. A server that gave a whole answer, be it a failure
+// ended handles the end of an attempt. A server that gave a complete answer, even an error
 // of its own, has survived the request.
 func (t *Table) ended(now wasabiridge.Millis, e wasabiridge.AttemptEnded) {
-	s, ok := t.sent[e.Attempt]
+	s, ok := t.inFlight[e.Attempt]
 	if !ok {
 		return
 	}
-	delete(t.sent, e.Attempt)
-	m := t.marks[s.fingerprint]
+	delete(t.inFlight, e.Attempt)
+	m := t.records[s.fingerprint]
 	if m != nil && m.running > 0 {
 		m.running--
 	}
 	switch {
 	case e.ServerEnded:
 		t.counts.Ends++
-		t.add(now, "", wasabiridge.CrashNews{
+		t.merge(now, "", wasabiridge.CrashNews{
 			Fingerprint: s.fingerprint, Account: s.account, Model: s.model, Epoch: s.epoch,
 			Ends: []wasabiridge.ServerEnd{{
 				Backend: s.backend.ID, Incarnation: s.backend.Incarnation, Ran: now - s.at, Weights: s.weights,
@@ -212,17 +219,17 @@
 }
 
 // clear ends the suspicion of a request.
-func (t *Table) clear(now wasabiridge.Millis, m *mark, why Lifted) {
+func (t *Table) clear(now wasabiridge.Millis, m *record, why Lifted) {
 	t.note(now, Note{Kind: NoteLifted, Mark: m.snapshot(now), Why: why})
-	m.wide = m.isWide()
+	m.wasWide = m.isWide()
 	m.epoch++
 	m.ends = nil
 	m.changed = now
-	t.tell(m)
+	t.queueUpdate(m)
 }
 
-// tell lets the other instances know what has changed.
-func (t *Table) tell(m *mark) {
-	t.news[m.fingerprint] = true
+// queueUpdate queues an update of a record for the other instances.
+func (t *Table) queueUpdate(m *record) {
+	t.updated[m.fingerprint] = true
 	t.changed()
 }
--- a/internal/wasabiquarantine/quarantine_test.go
+++ b/internal/wasabiquarantine/quarantine_test.go
@@ -15,23 +15,23 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabitest"
 )
 
-// bench drives one table by hand.
-type bench struct {
+// tableDriver drives a single table.
+type tableDriver struct {
 	table *wasabiquarantine.Table
 	now   wasabiridge.Millis
 	next  wasabiridge.AttemptID
 }
 
-func newBench() *bench {
-	return &bench{table: wasabiquarantine.New(wasabiquarantine.Options{Seed: 1}), now: 1e6}
+func newTableDriver() *tableDriver {
+	return &tableDriver{table: wasabiquarantine.New(wasabiquarantine.Options{Seed: 1}), now: 1e6}
 }
 
-func asked(f wasabiridge.Fingerprint) wasabiridge.Request {
+func requestWith(f wasabiridge.Fingerprint) wasabiridge.Request {
 	return wasabiridge.Request{Fingerprint: f, Account: "a", Model: "m"}
 }
 
-// begin sends an attempt, and returns how to end it.
-func (b *bench) begin(r wasabiridge.Request, server wasabiridge.BackendServerID) func(wasabiridge.AttemptEnded) {
+// begin sends an attempt, and returns a function that ends it.
+func (b *tableDriver) begin(r wasabiridge.Request, server wasabiridge.BackendServerID) func(wasabiridge.AttemptEnded) {
 	b.next++
 	id := b.next
 	b.table.Sent(b.now, r, id, wasabiridge.BackendServer{ID: server})
@@ -49,215 +49,238 @@
 	notRun   = wasabiridge.AttemptEnded{Result: wasabiridge.AttemptNotRun}
 )
 
-// ends lets servers end under a request, one after the other.
-func (b *bench) ends(f wasabiridge.Fingerprint, servers ...wasabiridge.BackendServerID) {
+// endServers ends servers under a request, one after the other.
+func (b *tableDriver) endServers(f wasabiridge.Fingerprint, servers ...wasabiridge.BackendServerID) {
 	for _, s := range servers {
-		end := b.begin(asked(f), s)
+		end := b.begin(requestWith(f), s)
 		b.now += 100
 		end(crashed)
 		b.now += 2000
 	}
 }
 
-func (b *bench) hear(c ...wasabiridge.CrashNews) {
+func (b *tableDriver) receive(c ...wasabiridge.CrashNews) {
 	b.table.Observe(b.now, wasabiridge.CrashesHeard{From: "other", Crashes: c})
 }
 
-func (b *bench) wait(d wasabiridge.Millis) {
+func (b *tableDriver) wait(d wasabiridge.Millis) {
 	for end := b.now + d; b.now < end; {
 		b.now = min(end, b.now+wasabiridge.Second)
 		b.table.Observe(b.now, wasabiridge.Ticked{})
 	}
 }
 
-// What tells a request that ends servers from one that ran beside it, was cut off, or
-// met servers that fail for other reasons.
+// Guards against blocking the wrong requests: a request that ends servers must be
+// distinguished from one that ran beside it, whose connection broke, or that reached
+// servers that failed for other reasons.
 func TestStandingFollowsTheEvidence(t *testing.T) {
-	const free, suspect, deferred, barred = wasabiridge.StandingFree, wasabiridge.StandingSuspect, wasabiridge.StandingDeferred, wasabiridge.StandingBarred
-	heard := func(epoch uint32, ages ...wasabiridge.Millis) wasabiridge.CrashNews {
+	const free, suspect, deferred, blocked = wasabiridge.StandingFree, wasabiridge.StandingSuspect, wasabiridge.StandingDeferred, wasabiridge.StandingBarred
+	received := func(epoch uint32, ages ...wasabiridge.Millis) wasabiridge.CrashNews {
 		c := wasabiridge.CrashNews{Fingerprint: 1, Account: "a", Model: "m", Epoch: epoch}
 		for i, age := range ages {
 			c.Ends = append(c.Ends, wasabiridge.ServerEnd{Backend: wasabiridge.BackendServerID(fmt.Sprint("h", i)), Ran: 50, Age: age, Weights: 1})
 		}
 		return c
 	}
-	// others lets servers end at this moment under other requests.
-	others := func(b *bench, n int) {
+	// others ends n servers under other requests at the present moment.
+	others := func(b *tableDriver, n int) {
 		for i := range n {
-			b.hear(wasabiridge.CrashNews{Fingerprint: wasabiridge.Fingerprint(50 + i), Account: "a", Ends: []wasabiridge.ServerEnd{{Backend: wasabiridge.BackendServerID(fmt.Sprint("o", i)), Ran: 50}}})
+			b.receive(wasabiridge.CrashNews{Fingerprint: wasabiridge.Fingerprint(50 + i), Account: "a", Ends: []wasabiridge.ServerEnd{{Backend: wasabiridge.BackendServerID(fmt.Sprint("o", i)), Ran: 50}}})
 		}
 	}
 	cases := map[string]struct {
-		do   func(b *bench)
+		do   func(b *tableDriver)
 		want wasabiridge.Standing
 	}{
-		"nothing happened": {func(*bench) {}, free},
-		"connections broke, servers listen": {func(b *bench) {
-			b.begin(asked(1), "s1")(broken)
-			b.begin(asked(1), "s2")(broken)
-			b.begin(asked(1), "s3")(broken)
+		"nothing happened": {func(*tableDriver) {}, free},
+		"connections broke, servers still listen": {func(b *tableDriver) {
+			b.begin(requestWith(1), "s1")(broken)
+			b.begin(requestWith(1), "s2")(broken)
+			b.begin(requestWith(1), "s3")(broken)
 		}, free},
-		"one server ended":            {func(b *bench) { b.ends(1, "s1") }, suspect},
-		"three, one after the other":  {func(b *bench) { b.ends(1, "s1", "s2", "s3") }, barred},
-		"three lives of one server":   {func(b *bench) { b.ends(1, "s1", "s1", "s1") }, barred},
-		"three under another request": {func(b *bench) { b.ends(2, "s1", "s2", "s3") }, free},
-		"three at one moment": {func(b *bench) {
-			one, two, three := b.begin(asked(1), "s1"), b.begin(asked(1), "s2"), b.begin(asked(1), "s3")
+		"one server ended":            {func(b *tableDriver) { b.endServers(1, "s1") }, suspect},
+		"three, one after the other":  {func(b *tableDriver) { b.endServers(1, "s1", "s2", "s3") }, blocked},
+		"three ends of one server":    {func(b *tableDriver) { b.endServers(1, "s1", "s1", "s1") }, blocked},
+		"three under another request": {func(b *tableDriver) { b.endServers(2, "s1", "s2", "s3") }, free},
+		"three at one moment": {func(b *tableDriver) {
+			one, two, three := b.begin(requestWith(1), "s1"), b.begin(requestWith(1), "s2"), b.begin(requestWith(1), "s3")
 			b.now += 20
 			one(crashed)
 			two(crashed)
 			three(crashed)
 		}, suspect},
-		"three at one moment, and one more": {func(b *bench) {
-			one, two, three := b.begin(asked(1), "s1"), b.begin(asked(1), "s2"), b.begin(asked(1), "s3")
+		"three at one moment, and one more": {func(b *tableDriver) {
+			one, two, three := b.begin(requestWith(1), "s1"), b.begin(requestWith(1), "s2"), b.begin(requestWith(1), "s3")
 			b.now += 20
 			one(crashed)
 			two(crashed)
 			three(crashed)
-			b.ends(1, "s4")
-		}, barred},
-		"three of a rack, and one at once": {func(b *bench) {
-			one, two, three := b.begin(asked(1), "s1"), b.begin(asked(1), "s2"), b.begin(asked(1), "s3")
+			b.endServers(1, "s4")
+		}, blocked},
+		"three of a failed rack, and one at once": {func(b *tableDriver) {
+			one, two, three := b.begin(requestWith(1), "s1"), b.begin(requestWith(1), "s2"), b.begin(requestWith(1), "s3")
 			b.now += 20
 			one(crashed)
 			two(crashed)
 			three(crashed)
 			others(b, 2)
-			b.ends(1, "s4")
+			b.endServers(1, "s4")
 		}, suspect},
-		"three of a rack, and one later": {func(b *bench) {
-			one, two, three := b.begin(asked(1), "s1"), b.begin(asked(1), "s2"), b.begin(asked(1), "s3")
+		"three of a failed rack, and one later": {func(b *tableDriver) {
+			one, two, three := b.begin(requestWith(1), "s1"), b.begin(requestWith(1), "s2"), b.begin(requestWith(1), "s3")
 			b.now += 20
 			one(crashed)
 			two(crashed)
 			three(crashed)
 			others(b, 2)
 			b.now += 300
-			b.ends(1, "s4")
-		}, barred},
-		"one after the other within a rack": {func(b *bench) {
+			b.endServers(1, "s4")
+		}, blocked},
+		"three one after the other, within a failed rack": {func(b *tableDriver) {
 			others(b, 2)
 			for _, server := range []wasabiridge.BackendServerID{"s1", "s2", "s3"} {
-				end := b.begin(asked(1), server)
+				end := b.begin(requestWith(1), server)
 				b.now += 20
 				end(crashed)
 			}
 		}, suspect},
-		"one after the other at once": {func(b *bench) {
+		"three one after the other, without a delay": {func(b *tableDriver) {
 			for _, server := range []wasabiridge.BackendServerID{"s1", "s2", "s3"} {
-				end := b.begin(asked(1), server)
+				end := b.begin(requestWith(1), server)
 				b.now += 20
 				end(crashed)
 			}
-		}, barred},
-		"two callers at the server that ended": {func(b *bench) {
-			one, two := b.begin(asked(1), "s1"), b.begin(asked(1), "s1")
+		}, blocked},
+		"two callers at the server that ended": {func(b *tableDriver) {
+			one, two := b.begin(requestWith(1), "s1"), b.begin(requestWith(1), "s1")
 			one(crashed)
 			two(crashed)
-			b.ends(1, "s2")
+			b.endServers(1, "s2")
 		}, suspect},
-		"an answer in between":           {func(b *bench) { b.ends(1, "s1", "s2"); b.begin(asked(1), "s3")(answered); b.ends(1, "s4") }, suspect},
-		"an answer after the third":      {func(b *bench) { other := b.begin(asked(1), "s4"); b.ends(1, "s1", "s2", "s3"); other(answered) }, free},
-		"a failure of a server's own":    {func(b *bench) { b.ends(1, "s1"); b.begin(asked(1), "s2")(failed) }, free},
-		"a refusal is no answer":         {func(b *bench) { b.ends(1, "s1"); b.begin(asked(1), "s2")(notRun) }, suspect},
-		"others saw two, one here":       {func(b *bench) { b.hear(heard(0, 300, 100)); b.ends(1, "s1") }, barred},
-		"the same end from two sides":    {func(b *bench) { b.ends(1, "h0"); b.hear(heard(0, 2000)); b.hear(heard(0, 2003)) }, suspect},
-		"answered elsewhere":             {func(b *bench) { b.ends(1, "s1", "s2", "s3"); b.hear(heard(1)) }, free},
-		"late news of before the answer": {func(b *bench) { b.ends(1, "s1"); b.begin(asked(1), "s2")(answered); b.hear(heard(0, 500, 300, 100)) }, free},
-		"released": {func(b *bench) {
-			b.ends(1, "s1", "s2", "s3")
+		"an answer in between": {func(b *tableDriver) {
+			b.endServers(1, "s1", "s2")
+			b.begin(requestWith(1), "s3")(answered)
+			b.endServers(1, "s4")
+		}, suspect},
+		"an answer after the third": {func(b *tableDriver) {
+			other := b.begin(requestWith(1), "s4")
+			b.endServers(1, "s1", "s2", "s3")
+			other(answered)
+		}, free},
+		"an error reported by a server":             {func(b *tableDriver) { b.endServers(1, "s1"); b.begin(requestWith(1), "s2")(failed) }, free},
+		"a refusal does not count as an answer":     {func(b *tableDriver) { b.endServers(1, "s1"); b.begin(requestWith(1), "s2")(notRun) }, suspect},
+		"other instances saw two, this one saw one": {func(b *tableDriver) { b.receive(received(0, 300, 100)); b.endServers(1, "s1") }, blocked},
+		"the same end reported by two instances": {func(b *tableDriver) {
+			b.endServers(1, "h0")
+			b.receive(received(0, 2000))
+			b.receive(received(0, 2003))
+		}, suspect},
+		"answered elsewhere": {func(b *tableDriver) { b.endServers(1, "s1", "s2", "s3"); b.receive(received(1)) }, free},
+		"late update from before the answer": {func(b *tableDriver) {
+			b.endServers(1, "s1")
+			b.begin(requestWith(1), "s2")(answered)
+			b.receive(received(0, 500, 300, 100))
+		}, free},
+		"released": {func(b *tableDriver) {
+			b.endServers(1, "s1", "s2", "s3")
 			b.table.Observe(b.now, wasabiridge.QuarantineReleased{Fingerprint: 1})
 		}, free},
-		"a minute later":      {func(b *bench) { b.ends(1, "s1", "s2", "s3"); b.wait(57 * wasabiridge.Second) }, barred},
-		"the bar has lapsed":  {func(b *bench) { b.ends(1, "s1", "s2", "s3"); b.wait(95 * wasabiridge.Second) }, suspect},
-		"one trial at a time": {func(b *bench) { b.ends(1, "s1", "s2", "s3"); b.wait(95 * wasabiridge.Second); b.begin(asked(1), "s4") }, deferred},
-		"the next after a trial not run": {func(b *bench) {
-			b.ends(1, "s1", "s2", "s3")
+		"a minute later":        {func(b *tableDriver) { b.endServers(1, "s1", "s2", "s3"); b.wait(57 * wasabiridge.Second) }, blocked},
+		"the block has expired": {func(b *tableDriver) { b.endServers(1, "s1", "s2", "s3"); b.wait(95 * wasabiridge.Second) }, suspect},
+		"one trial at a time": {func(b *tableDriver) {
+			b.endServers(1, "s1", "s2", "s3")
+			b.wait(95 * wasabiridge.Second)
+			b.begin(requestWith(1), "s4")
+		}, deferred},
+		"the next after a trial not run": {func(b *tableDriver) {
+			b.endServers(1, "s1", "s2", "s3")
 			b.wait(95 * wasabiridge.Second)
-			b.begin(asked(1), "s4")(notRun)
+			b.begin(requestWith(1), "s4")(notRun)
 		}, suspect},
-		"a trial ended a server too": {func(b *bench) {
-			b.ends(1, "s1", "s2", "s3")
+		"a trial ended a server too": {func(b *tableDriver) {
+			b.endServers(1, "s1", "s2", "s3")
 			b.wait(95 * wasabiridge.Second)
-			b.ends(1, "s4")
+			b.endServers(1, "s4")
 			b.wait(95 * wasabiridge.Second)
-		}, barred},
-		"two trials, for long": {func(b *bench) {
-			b.ends(1, "s1", "s2", "s3")
+		}, blocked},
+		"two trials ended servers, long block": {func(b *tableDriver) {
+			b.endServers(1, "s1", "s2", "s3")
 			b.wait(95 * wasabiridge.Second)
-			b.ends(1, "s4")
+			b.endServers(1, "s4")
 			b.wait(4 * wasabiridge.Minute)
-			b.ends(1, "s5")
+			b.endServers(1, "s5")
 			b.wait(50 * wasabiridge.Minute)
-		}, barred},
-		"forgotten at last": {func(b *bench) { b.ends(1, "s1", "s2", "s3"); b.wait(15 * wasabiridge.Minute) }, free},
-		"newer weights": {func(b *bench) {
+		}, blocked},
+		"removed after the retention": {func(b *tableDriver) { b.endServers(1, "s1", "s2", "s3"); b.wait(15 * wasabiridge.Minute) }, free},
+		"newer weights": {func(b *tableDriver) {
 			b.table.Observe(b.now, wasabiridge.WeightsNamed{Model: "m", Weights: 1})
-			b.ends(1, "s1", "s2", "s3")
+			b.endServers(1, "s1", "s2", "s3")
 			b.table.Observe(b.now, wasabiridge.WeightsNamed{Model: "m", Weights: 2})
 		}, suspect},
-		"newer weights of another model": {func(b *bench) {
+		"newer weights of another model": {func(b *tableDriver) {
 			b.table.Observe(b.now, wasabiridge.WeightsNamed{Model: "m", Weights: 1})
-			b.ends(1, "s1", "s2", "s3")
+			b.endServers(1, "s1", "s2", "s3")
 			b.table.Observe(b.now, wasabiridge.WeightsNamed{Model: "n", Weights: 2})
-		}, barred},
+		}, blocked},
 	}
 	for _, name := range wasabitest.Names(cases) {
-		b := newBench()
+		b := newTableDriver()
 		cases[name].do(b)
-		NewWithT(t).Expect(b.table.Judge(b.now, asked(1))).To(Equal(cases[name].want), name)
+		NewWithT(t).Expect(b.table.Judge(b.now, requestWith(1))).To(Equal(cases[name].want), name)
 	}
 }
 
-// However often weights are named, few trials end servers: three ends, then two trials.
+// Guards against trials without a bound: however often new weights are announced, a request
+// ends at most five servers, three before the block and two in trials.
 func TestTrialsAreFew(t *testing.T) {
-	g, b := NewWithT(t), newBench()
+	g, b := NewWithT(t), newTableDriver()
 	ended := 0
 	for version := range 20 {
 		b.table.Observe(b.now, wasabiridge.WeightsNamed{Model: "m", Weights: wasabiridge.WeightsVersion(version + 1)})
 		for i := range 5 {
-			if b.table.Judge(b.now, asked(1)) == wasabiridge.StandingBarred {
+			if b.table.Judge(b.now, requestWith(1)) == wasabiridge.StandingBarred {
 				break
 			}
-			b.ends(1, wasabiridge.BackendServerID(fmt.Sprint(version, "/", i)))
+			b.endServers(1, wasabiridge.BackendServerID(fmt.Sprint(version, "/", i)))
 			ended++
 		}
 	}
 	g.Expect(ended).To(Equal(5))
 }
 
-// One account's requests fill only its own share, and never drop what is barred.
-func TestMarksAreBounded(t *testing.T) {
-	g, b := NewWithT(t), newBench()
-	b.ends(1, "s1", "s2", "s3")
+// Guards against records that evict more important ones: the records of one account use
+// only its own share, and suspects never evict a blocked request.
+func TestRecordsAreBounded(t *testing.T) {
+	g, b := NewWithT(t), newTableDriver()
+	b.endServers(1, "s1", "s2", "s3")
 	other := wasabiridge.CrashNews{Fingerprint: 7, Account: "b", Ends: []wasabiridge.ServerEnd{{Backend: "s9"}}}
-	b.hear(other)
+	b.receive(other)
 	for i := range 10000 {
-		b.hear(wasabiridge.CrashNews{Fingerprint: wasabiridge.Fingerprint(100 + i), Account: "a", Ends: []wasabiridge.ServerEnd{{Backend: "s"}}})
+		b.receive(wasabiridge.CrashNews{Fingerprint: wasabiridge.Fingerprint(100 + i), Account: "a", Ends: []wasabiridge.ServerEnd{{Backend: "s"}}})
 	}
 	g.Expect(len(b.table.Entries(b.now))).To(BeNumerically("<=", 65))
-	g.Expect(b.table.Judge(b.now, asked(1))).To(Equal(wasabiridge.StandingBarred))
+	g.Expect(b.table.Judge(b.now, requestWith(1))).To(Equal(wasabiridge.StandingBarred))
 	g.Expect(b.table.Holds(7)).To(BeTrue())
-	g.Expect(b.table.Holds(10099)).To(BeTrue(), "the newest stays")
+	g.Expect(b.table.Holds(10099)).To(BeTrue(), "the newest is kept")
 	for i := range 200 {
-		// An account whose whole share is barred gives up the oldest for the newest.
+		// An account with blocked requests only evicts its oldest record for the newest.
 		b.now += 10000
-		b.ends(wasabiridge.Fingerprint(20000+i), "s1", "s2", "s3")
-		g.Expect(b.table.Judge(b.now, asked(wasabiridge.Fingerprint(20000+i)))).To(Equal(wasabiridge.StandingBarred))
+		b.endServers(wasabiridge.Fingerprint(20000+i), "s1", "s2", "s3")
+		g.Expect(b.table.Judge(b.now, requestWith(wasabiridge.Fingerprint(20000+i)))).To(Equal(wasabiridge.StandingBarred))
 	}
-	g.Expect(b.table.Holds(7)).To(BeTrue(), "another account's")
-	b.ends(1, "s1", "s2", "s3")
+	g.Expect(b.table.Holds(7)).To(BeTrue(), "a record of another account")
+	b.endServers(1, "s1", "s2", "s3")
 	for account := range 10000 {
-		b.hear(wasabiridge.CrashNews{Fingerprint: wasabiridge.Fingerprint(1e6 + account), Account: wasabiridge.ClientAccountID(fmt.Sprint(account)), Ends: []wasabiridge.ServerEnd{{Backend: "s"}}})
+		b.receive(wasabiridge.CrashNews{Fingerprint: wasabiridge.Fingerprint(1e6 + account), Account: wasabiridge.ClientAccountID(fmt.Sprint(account)), Ends: []wasabiridge.ServerEnd{{Backend: "s"}}})
 	}
 	g.Expect(len(b.table.Entries(b.now))).To(BeNumerically("<=", 4096))
-	g.Expect(b.table.Judge(b.now, asked(1))).To(Equal(wasabiridge.StandingBarred))
+	g.Expect(b.table.Judge(b.now, requestWith(1))).To(Equal(wasabiridge.StandingBarred))
 	g.Expect(len(b.table.Repeated(b.now).Wide)).To(BeNumerically("<=", 32))
 }
 
-// Instances hear the same news in another order, some of it twice. They know the same in
-// the end.
-func TestNewsComesInAnyOrder(t *testing.T) {
+// Guards against instances that disagree: those that receive the same updates in another
+// order, some of them twice, must end up with the same records.
+func TestUpdatesMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []wasabiridge.CrashNews
 		for range rapid.IntRange(1, 12).Draw(t, "news") {
@@ -272,9 +295,9 @@
 			all = append(all, c)
 		}
 		seen := func(order []wasabiridge.CrashNews) map[wasabiridge.Fingerprint]string {
-			b := newBench()
+			b := newTableDriver()
 			for _, c := range order {
-				b.hear(c)
+				b.receive(c)
 			}
 			out := map[wasabiridge.Fingerprint]string{}
 			for _, e := range b.table.Entries(b.now) {
--- a/internal/wasabiquarantine/row.go
+++ b/internal/wasabiquarantine/row.go
@@ -8,14 +8,14 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// RowPrefix begins the keys of the rows in which bars outlast all instances.
+// RowPrefix is the common prefix of the keys of the rows in which blocks are stored.
 const RowPrefix = "quarantine/"
 
-// RowLife is how long a row tells anything.
-const RowLife = wasabiridge.Millis(float64(barLast)*(1+barSpread)) + forgetAfter
+// RowLife is how long the latest end in a row counts.
+const RowLife = wasabiridge.Millis(float64(longestBlock)*(1+blockJitter)) + retention
 
-// row is a bar as it is kept. Times are milliseconds of the time of day, which
-// instances share but for some seconds.
+// row is a stored block. Times are in milliseconds of the time of day, which instances
+// share up to a clock skew of some seconds.
 type row struct {
 	Account string   `json:"account"`
 	Model   string   `json:"model,omitempty"`
@@ -34,7 +34,7 @@
 // RowKey returns the key of a request's row.
 func RowKey(f wasabiridge.Fingerprint) string { return RowPrefix + f.String() }
 
-// EncodeRow returns a bar as it is kept, at a time of day.
+// EncodeRow encodes a block as it is stored, at a time of day.
 func EncodeRow(now wasabiridge.Millis, c wasabiridge.CrashNews) ([]byte, error) {
 	out := row{Account: string(c.Account), Model: string(c.Model), Epoch: c.Epoch}
 	for _, e := range c.Ends {
@@ -45,23 +45,23 @@
 	return json.Marshal(out)
 }
 
-// DecodeRow reads a kept bar at a time of day. It reports ErrInvalid for a row that is
-// none.
+// DecodeRow decodes a stored block at a time of day. It reports ErrInvalid for a key that
+// names no request, or a value that is not a block.
 func DecodeRow(now wasabiridge.Millis, r wasabiridge.Row) (wasabiridge.CrashNews, error) {
 	id, err := strconv.ParseUint(strings.TrimPrefix(r.Key, RowPrefix), 16, 64)
 	if err != nil || id == 0 {
-		return wasabiridge.CrashNews{}, wasabiridge.ErrInvalid.New("quarantine: %q names no request", r.Key)
+		return wasabiridge.CrashNews{}, wasabiridge.ErrInvalid.New("quarantine: row key %q contains no fingerprint", r.Key)
 	}
 	var in row
 	if err = json.Unmarshal(r.Value, &in); err != nil {
-		return wasabiridge.CrashNews{}, wasabiridge.ErrInvalid.Wrap(err, "quarantine: row %q", r.Key)
+		return wasabiridge.CrashNews{}, wasabiridge.ErrInvalid.Wrap(err, "quarantine: decoding row %q", r.Key)
 	}
 	out := wasabiridge.CrashNews{
 		Fingerprint: wasabiridge.Fingerprint(id), Account: wasabiridge.ClientAccountID(in.Account), Model: wasabiridge.ModelID(in.Model), Epoch: in.Epoch,
 	}
-	ends := in.Ends[:min(len(in.Ends), keptEnds)]
+	ends := in.Ends[:min(len(in.Ends), maxKeptEnds)]
 	for _, e := range ends {
-		// The clock of whoever wrote may be ahead.
+		// The clock of the writer may be ahead.
 		now = max(now, wasabiridge.Millis(e.AtMillis))
 	}
 	for _, e := range ends {
@@ -73,7 +73,7 @@
 	return out, nil
 }
 
-// IsOver reports whether a kept bar tells nothing any more.
+// IsOver reports whether a stored block has expired.
 func IsOver(c wasabiridge.CrashNews) bool {
 	for _, e := range c.Ends {
 		if e.Age < RowLife {
--- a/internal/wasabiquarantine/spread.go
+++ b/internal/wasabiquarantine/spread.go
@@ -10,47 +10,49 @@
 )
 
 const (
-	// repeatedMost bounds the marks of one message that repeats them.
-	repeatedMost = 32
-	// ownRepeat is for how long an instance repeats an end that it saw, to hear whether
-	// that still counts.
-	ownRepeat = 5 * wasabiridge.Second
-	// clearedRepeat is for how long it is repeated that a mark was cleared.
-	clearedRepeat = 10 * wasabiridge.Second
+	// maxRepeated bounds the records of one repeating update, and the corrections to one
+	// instance.
+	maxRepeated = 32
+	// ownRepeatSpan is how long an instance repeats an end that it saw, to receive a
+	// correction if the request was cleared in the meantime.
+	ownRepeatSpan = 5 * wasabiridge.Second
+	// clearedRepeatSpan is how long it is repeated that a request was cleared.
+	clearedRepeatSpan = 10 * wasabiridge.Second
 )
 
-// News is what to tell. Narrow goes to instances that callers are sent to, Wide to all.
+// News are the records to send. Narrow goes to the instances that callers are routed to,
+// Wide to all instances.
 type News struct {
 	Narrow, Wide []wasabiridge.CrashNews
-	// Corrections go to single instances that told what does not count any more.
+	// Corrections go to single instances that have sent records of an earlier epoch.
 	Corrections []Correction
 }
 
-// Correction is what one instance is told, because it told what does not count any more.
+// Correction is the reply to an instance that has sent records of an earlier epoch.
 type Correction struct {
 	To    wasabiridge.InstanceID
 	Marks []wasabiridge.CrashNews
 }
 
-// TakeNews returns what the other instances should be told at once, and forgets it.
+// TakeNews returns the updates to send at once, and clears them.
 func (t *Table) TakeNews(now wasabiridge.Millis) News {
 	var out News
 	for _, f := range t.fingerprints() {
-		if !t.news[f] {
+		if !t.updated[f] {
 			continue
 		}
-		m := t.marks[f]
+		m := t.records[f]
 		if m.isWide() {
 			out.Wide = append(out.Wide, m.snapshot(now))
 			continue
 		}
 		out.Narrow = append(out.Narrow, m.snapshot(now))
 	}
-	clear(t.news)
+	clear(t.updated)
 	for _, id := range slices.Sorted(maps.Keys(t.corrections)) {
 		c := Correction{To: id}
 		for _, f := range slices.Sorted(maps.Keys(t.corrections[id])) {
-			if m := t.marks[f]; m != nil {
+			if m := t.records[f]; m != nil {
 				c.Marks = append(c.Marks, m.snapshot(now))
 			}
 		}
@@ -60,26 +62,27 @@
 	return out
 }
 
-// Repeated returns what is told again and again to a few other instances each time,
-// those that may be barred first, and then those that changed last.
+// Repeated returns the records to send again to a few other instances each time: those that
+// may be blocked first, and then those that changed last.
 //
-// The failure it guards against: news is lost, or whoever had it has gone; an instance
-// starts, wakes up or was cut off. It sends a request on that all others know better.
+// The failure it guards against: an update is lost, or the instances that had it have
+// ended; or an instance starts, resumes after a pause or was partitioned off. It would send
+// a request to servers although all others know better.
 func (t *Table) Repeated(now wasabiridge.Millis) News {
-	var hot []*mark
+	var repeated []*record
 	for _, f := range t.fingerprints() {
-		if t.isRepeated(now, t.marks[f]) {
-			hot = append(hot, t.marks[f])
+		if t.isRepeated(now, t.records[f]) {
+			repeated = append(repeated, t.records[f])
 		}
 	}
-	slices.SortStableFunc(hot, func(a, b *mark) int {
-		if a.count() >= endsMost != (b.count() >= endsMost) {
+	slices.SortStableFunc(repeated, func(a, b *record) int {
+		if a.count() >= maxEnds != (b.count() >= maxEnds) {
 			return cmp.Compare(b.count(), a.count())
 		}
 		return cmp.Compare(b.changed, a.changed)
 	})
 	var out News
-	for _, m := range hot[:min(len(hot), repeatedMost)] {
+	for _, m := range repeated[:min(len(repeated), maxRepeated)] {
 		if m.isWide() {
 			out.Wide = append(out.Wide, m.snapshot(now))
 		} else {
@@ -89,49 +92,50 @@
 	return out
 }
 
-// isRepeated reports whether a mark is told again: while it counts for all, for a while
-// after it was cleared, and for a while after its end was seen here.
-func (t *Table) isRepeated(now wasabiridge.Millis, m *mark) bool {
+// isRepeated reports whether a record is sent again: while all instances should know it,
+// for a while after it was cleared, and for a while after this instance saw an end.
+func (t *Table) isRepeated(now wasabiridge.Millis, m *record) bool {
 	switch {
 	case m.count() == 0:
-		return m.isWide() && now-m.changed < clearedRepeat
+		return m.isWide() && now-m.changed < clearedRepeatSpan
 	case m.isWide():
 		return true
 	}
-	return m.own > 0 && now-m.own < ownRepeat
+	return m.ownEndAt > 0 && now-m.ownEndAt < ownRepeatSpan
 }
 
 const (
-	// greeters is how many instances tell one that has just come what they know, in the
-	// mean.
-	greeters = 8
+	// joinSenders is the mean number of instances that send their records to an instance
+	// that has just joined.
+	joinSenders = 8
 )
 
-// Spread chooses whom an instance tells again what it knows. It is deterministic for a
+// Spread chooses the instances to which records are sent again. It is deterministic for a
 // seed and not safe for concurrent use.
 type Spread struct {
 	random *rand.Rand
-	// known are the lives of the members that were seen before.
-	known map[wasabiridge.InstanceID]wasabiridge.Incarnation
+	// incarnations holds the incarnations of the members that were seen before.
+	incarnations map[wasabiridge.InstanceID]wasabiridge.Incarnation
 }
 
-// NewSpread returns a Spread that has seen nobody.
+// NewSpread returns a Spread that has not seen any members.
 func NewSpread(seed uint64) *Spread {
-	return &Spread{random: rand.New(rand.NewPCG(seed, 2)), known: map[wasabiridge.InstanceID]wasabiridge.Incarnation{}}
+	return &Spread{random: rand.New(rand.NewPCG(seed, 2)), incarnations: map[wasabiridge.InstanceID]wasabiridge.Incarnation{}}
 }
 
-// Targets returns whom to tell now: of the instances that callers are sent to one at
-// random, and of all one at random and the share of those that have come since the last
-// time. Members are the other living instances, active those that callers are sent to.
+// Targets returns the instances to send to now. one is a random instance among those that
+// callers are routed to; all is a random member and some of those that have joined since
+// the last call, so that each of these is chosen by joinSenders instances in the mean.
+// members are the other running instances, active those that callers are routed to.
 func (s *Spread) Targets(members []wasabiridge.Member, active []wasabiridge.InstanceEntry) (one, all []wasabiridge.InstanceEntry) {
 	seen := map[wasabiridge.InstanceID]wasabiridge.Incarnation{}
 	for _, m := range members {
 		seen[m.ID] = m.Incarnation
-		if life, ok := s.known[m.ID]; (!ok || life != m.Incarnation) && s.random.Float64()*float64(len(members)) < greeters {
+		if incarnation, ok := s.incarnations[m.ID]; (!ok || incarnation != m.Incarnation) && s.random.Float64()*float64(len(members)) < joinSenders {
 			all = append(all, m.InstanceEntry)
 		}
 	}
-	s.known = seen
+	s.incarnations = seen
 	if len(active) > 0 {
 		one = append(one, active[s.random.IntN(len(active))])
 	}
--- a/internal/wasabiquarantine/spread_test.go
+++ b/internal/wasabiquarantine/spread_test.go
@@ -12,58 +12,58 @@
 
 const fatal wasabiridge.Fingerprint = 1
 
-// sends lets callers send the fatal request every so often, each time at another
+// sendFatal makes callers send the fatal request in intervals, each time to a random
 // instance.
-func (f *fleet) sends(every, span wasabiridge.Millis, callers, retries int) {
+func (f *fleet) sendFatal(every, span wasabiridge.Millis, callers, retries int) {
 	for at := wasabiridge.Millis(0); at < span; at += every {
 		f.agenda.Add(f.now+at, func() {
 			for range callers {
-				f.ask(f.anyInstance(), asked(fatal), true, true, retries)
+				f.request(f.anyInstance(), requestWith(fatal), true, true, retries)
 			}
 		})
 	}
 }
 
-// leave lets a third of the instances leave the others, and come back five seconds
+// interruptThird takes a third of the instances offline, and brings them back five seconds
 // later.
-func (f *fleet) leave(set func(n *instance, away bool)) {
-	for at, away := range map[wasabiridge.Millis]bool{100: true, 5100: false} {
+func (f *fleet) interruptThird(set func(n *instance, offline bool)) {
+	for at, offline := range map[wasabiridge.Millis]bool{100: true, 5100: false} {
 		f.agenda.Add(f.now+at, func() {
 			for i := range len(f.instances) / 3 {
-				set(f.instances[3*i], away)
+				set(f.instances[3*i], offline)
 			}
 		})
 	}
 }
 
-// Story: a request ends every server that runs it, and comes again at any instance. Of
-// the instances some are killed, start, stand still or are cut off just when they should
-// hear of it, and a tenth of the messages is lost. Once it has ended three servers it may
-// reach at most three more, sent by those in touch. The cause of what callers saw: no
-// instance knew what another one had seen.
+// Guards against a request that ends every server that runs it and is sent again to any
+// instance, while no instance knows what the others have seen. Some instances are killed,
+// started, paused or partitioned just when they should receive the updates, and a tenth of
+// the messages is lost. After the request has ended three servers, reachable instances may
+// send it to at most three more.
 func TestAtMostThreeFurtherSends(t *testing.T) {
 	cases := map[string]struct {
 		instances, active, servers int
 		callers, retries           int
 		every                      wasabiridge.Millis
 		trouble                    func(f *fleet)
-		// most is how many servers may end at the most: three and three further ones, and
-		// those that callers send it to in the same moment, before anything is known.
-		most int
+		// maxEnded bounds the servers that may end: three and three further ones, and those
+		// to which callers send the request at the same moment, before anything is known.
+		maxEnded int
 	}{
-		"one caller":                       {6, 6, 9, 1, 0, 600, nil, 6},
-		"one caller, with retries":         {6, 6, 9, 1, 1, 600, nil, 6},
-		"one that comes seldom":            {6, 6, 9, 1, 0, 5000, nil, 6},
-		"ten at the same moment":           {6, 6, 9, 10, 0, 600, nil, 14},
-		"ten at the same moment, seldom":   {6, 6, 9, 10, 0, 5000, nil, 14},
-		"ten, seldom, hundreds":            {374, 62, 1600, 10, 1, 5000, nil, 14},
-		"ten, with retries, many servers":  {6, 6, 200, 10, 1, 600, nil, 14},
-		"hundreds of instances":            {374, 62, 1600, 1, 1, 300, nil, 6},
-		"hundreds, ten at the same moment": {374, 62, 1600, 10, 1, 600, nil, 14},
-		"who saw the third end is killed then": {6, 6, 9, 1, 0, 600, func(f *fleet) {
+		"one caller":                                    {6, 6, 9, 1, 0, 600, nil, 6},
+		"one caller, with retries":                      {6, 6, 9, 1, 1, 600, nil, 6},
+		"one caller, seldom":                            {6, 6, 9, 1, 0, 5000, nil, 6},
+		"ten at the same moment":                        {6, 6, 9, 10, 0, 600, nil, 14},
+		"ten at the same moment, seldom":                {6, 6, 9, 10, 0, 5000, nil, 14},
+		"ten, seldom, hundreds of instances":            {374, 62, 1600, 10, 1, 5000, nil, 14},
+		"ten, with retries, many servers":               {6, 6, 200, 10, 1, 600, nil, 14},
+		"hundreds of instances":                         {374, 62, 1600, 1, 1, 300, nil, 6},
+		"hundreds of instances, ten at the same moment": {374, 62, 1600, 10, 1, 600, nil, 14},
+		"the instance that saw the third end is killed": {6, 6, 9, 1, 0, 600, func(f *fleet) {
 			f.agenda.Add(f.now+1302, func() { f.instances[0].kill() })
 		}, 6},
-		"half of hundreds are killed and start again": {374, 62, 1600, 1, 1, 300, func(f *fleet) {
+		"half of hundreds are killed and restart": {374, 62, 1600, 1, 1, 300, func(f *fleet) {
 			f.agenda.Add(f.now+2000, func() {
 				for i := range 187 {
 					f.instances[i].kill()
@@ -75,12 +75,12 @@
 				}
 			})
 		}, 6},
-		"a third stands still for five seconds": {374, 62, 1600, 1, 1, 300, func(f *fleet) {
-			f.leave(func(n *instance, away bool) { n.away, n.frozen = away, away })
+		"a third is paused for five seconds": {374, 62, 1600, 1, 1, 300, func(f *fleet) {
+			f.interruptThird(func(n *instance, away bool) { n.offline, n.paused = away, away })
 		}, 6},
-		// Each that is cut off has only itself to learn from.
-		"a third is cut off from the others for five seconds": {374, 62, 1600, 1, 1, 300, func(f *fleet) {
-			f.leave(func(n *instance, away bool) { n.away, n.back = away, f.now })
+		// Each partitioned instance knows only of the ends that it saw itself.
+		"a third is partitioned off for five seconds": {374, 62, 1600, 1, 1, 300, func(f *fleet) {
+			f.interruptThird(func(n *instance, away bool) { n.offline, n.backAt = away, f.now })
 		}, 34},
 	}
 	for _, name := range wasabitest.Names(cases) {
@@ -92,23 +92,24 @@
 		for seed := range seeds {
 			g := NewWithT(t)
 			f := newFleet(seed, c.instances, c.active, c.servers, design{})
-			f.lost = 0.1
-			f.sends(c.every, 14*wasabiridge.Second, c.callers, c.retries)
+			f.lossRate = 0.1
+			f.sendFatal(c.every, 14*wasabiridge.Second, c.callers, c.retries)
 			if c.trouble != nil {
 				c.trouble(f)
 			}
 			f.run(16 * wasabiridge.Second)
-			g.Expect(f.further()).To(BeNumerically("<=", 3), "%s, seed %d", name, seed)
-			g.Expect(len(f.ends)).To(BeNumerically("<=", c.most), "%s, seed %d", name, seed)
-			t.Logf("%s, seed %d: %d servers ended, %d further sends, %d refused, %d messages", name, seed, len(f.ends), f.further(), f.refused[fatal], f.messages)
+			g.Expect(f.furtherSends()).To(BeNumerically("<=", 3), "%s, seed %d", name, seed)
+			g.Expect(len(f.ends)).To(BeNumerically("<=", c.maxEnded), "%s, seed %d", name, seed)
+			t.Logf("%s, seed %d: %d servers ended, %d further sends, %d refused, %d messages", name, seed, len(f.ends), f.furtherSends(), f.refused[fatal], f.messages)
 		}
 	}
 }
 
-// Story: a rack, a zone, and three times a third of all servers are lost. What ran there
-// comes again by itself, and popular requests run everywhere. None of them ended a
-// server, so none may be refused, and a whole answer clears it at every instance.
-func TestProperRequestsAreNotBarred(t *testing.T) {
+// Guards against blocking harmless requests when many servers end: a rack, a zone, and
+// three times a third of all servers are lost. Requests that ran there are retried, and
+// popular requests run everywhere. None of them ended a server, so none may be refused, and
+// a complete answer to a popular request must clear it at every instance.
+func TestHarmlessRequestsAreNotBlocked(t *testing.T) {
 	cases := map[string]struct{ instances, active, servers, popular, perSecond int }{
 		"few":      {6, 6, 9, 50, 300},
 		"hundreds": {374, 62, 1600, 500, 9300},
@@ -116,14 +117,14 @@
 	for _, name := range wasabitest.Names(cases) {
 		t.Run(name, func(t *testing.T) {
 			c := cases[name]
-			properRequests(t, newFleet(1, c.instances, c.active, c.servers, design{}), c.popular, c.perSecond)
+			runHarmlessRequests(t, newFleet(1, c.instances, c.active, c.servers, design{}), c.popular, c.perSecond)
 		})
 	}
 }
 
-func properRequests(t *testing.T, f *fleet, popular, perSecond int) {
+func runHarmlessRequests(t *testing.T, f *fleet, popular, perSecond int) {
 	g := NewWithT(t)
-	f.lost = 0.1
+	f.lossRate = 0.1
 	next := wasabiridge.Fingerprint(1e6)
 	const span = 15 * wasabiridge.Second
 	for at := range span {
@@ -135,7 +136,7 @@
 					r.Fingerprint = 1 + wasabiridge.Fingerprint(f.random.IntN(popular))
 					r.Account = wasabiridge.ClientAccountID(fmt.Sprint("a", r.Fingerprint%8))
 				}
-				f.ask(f.anyInstance(), r, false, true, 1)
+				f.request(f.anyInstance(), r, false, true, 1)
 			}
 		})
 	}
@@ -153,7 +154,7 @@
 	for i := range 3 {
 		lose(wasabiridge.Millis(4000+3500*i), 1, 3)
 	}
-	f.run(span + contact)
+	f.run(span + propagation)
 	refused := 0
 	for _, n := range f.refused {
 		refused += n
@@ -163,7 +164,7 @@
 	for _, n := range f.deferred {
 		deferred += n
 	}
-	t.Logf("%d asked to come back soon", deferred)
+	t.Logf("%d requests deferred", deferred)
 	held := 0
 	for _, n := range f.instances {
 		for _, e := range n.table.Entries(f.now) {
@@ -175,14 +176,15 @@
 			}
 		}
 	}
-	g.Expect(held).To(BeZero(), "marks of popular requests that were answered everywhere")
-	t.Logf("%d served, %d messages with %d marks", len(f.served), f.messages, f.told)
+	g.Expect(held).To(BeZero(), "suspicions of popular requests that were answered everywhere")
+	t.Logf("%d served, %d messages with %d records", len(f.served), f.messages, f.sentRecords)
 }
 
-// What news, repeats and isolation are for, with one caller and with ten that send the
-// request that ends servers in the same moment, beside proper requests.
-func TestWhatThePartsAreFor(t *testing.T) {
-	designs := map[string]design{"whole": {}, "no news": {noNews: true}, "no repeats": {noRepeats: true}, "no isolation": {noIsolation: true}}
+// Compares runs without updates, repeats or isolation, with one caller and with ten that
+// send the fatal request at the same moment, beside harmless requests. Without updates more
+// servers must end, and with all mechanisms no harmless request may be refused.
+func TestMechanismComparison(t *testing.T) {
+	designs := map[string]design{"whole": {}, "no updates": {noUpdates: true}, "no repeats": {noRepeats: true}, "no isolation": {noIsolation: true}}
 	g := NewWithT(t)
 	type total struct{ ended, further, refused, deferred int }
 	totals := map[string]total{}
@@ -191,19 +193,19 @@
 			var sum total
 			for seed := range uint64(40) {
 				f := newFleet(seed, 6, 6, 30, designs[name])
-				f.lost = 0.1
-				f.sends(600, 15*wasabiridge.Second, callers, 1)
+				f.lossRate = 0.1
+				f.sendFatal(600, 15*wasabiridge.Second, callers, 1)
 				for at := wasabiridge.Millis(0); at < 15*wasabiridge.Second; at += 5 {
 					f.agenda.Add(f.now+at, func() {
-						f.ask(f.anyInstance(), asked(wasabiridge.Fingerprint(10+f.random.IntN(50))), false, true, 1)
+						f.request(f.anyInstance(), requestWith(wasabiridge.Fingerprint(10+f.random.IntN(50))), false, true, 1)
 					})
 				}
 				f.run(20 * wasabiridge.Second)
 				if designs[name] == (design{}) {
-					g.Expect(f.further()).To(BeNumerically("<=", 3))
+					g.Expect(f.furtherSends()).To(BeNumerically("<=", 3))
 				}
 				sum.ended += len(f.ends)
-				sum.further += f.further()
+				sum.further += f.furtherSends()
 				sum.refused -= f.refused[fatal]
 				for _, n := range f.refused {
 					sum.refused += n
@@ -214,12 +216,12 @@
 				}
 			}
 			totals[fmt.Sprint(name, callers)] = sum
-			t.Logf("%s, callers %d: %d servers ended in 40 runs, %d further sends, of proper requests %d refused and %d deferred",
+			t.Logf("%s, callers %d: %d servers ended in 40 runs, %d further sends, of harmless requests %d refused and %d deferred",
 				name, callers, sum.ended, sum.further, sum.refused, sum.deferred)
 		}
 	}
 	for _, callers := range []string{"1", "10"} {
-		g.Expect(totals["no news"+callers].ended).To(BeNumerically(">", totals["whole"+callers].ended))
+		g.Expect(totals["no updates"+callers].ended).To(BeNumerically(">", totals["whole"+callers].ended))
 		g.Expect(totals["whole"+callers].refused).To(BeZero())
 	}
 }
