--- a/internal/wasabimember/doc.go
+++ b/internal/wasabimember/doc.go
@@ -1,31 +1,31 @@
-// Package wasabimember knows which other instances are alive or leaving,
-// sooner than the platform's list does, at a cost for each instance that does
-// not grow with their number.
+// Package wasabimember tracks which other instances are alive or leaving. It
+// detects changes sooner than the platform's instance list shows them, at a
+// cost for each instance that does not grow with their number.
 //
 // # How it works
 //
-// A Machine is a deterministic state machine. Every instance lies on a few
-// rings that are ordered by hashes of the names, and exchanges heartbeats with
-// its successor on each ring in turn. So each instance is watched by as many
-// others as there are rings, over connections that stay the same. A successor
-// that does not answer is suspected; its other predecessors are asked, and any
-// of them that still reaches it vouches for it. Without a voucher it is given
-// up.
+// A Machine is a deterministic state machine. Every instance has a position on
+// a few hash rings, which order the instances by hashes of their names, and
+// sends heartbeats to its successors on the rings in rotation. So each instance
+// is watched by as many others as there are rings, and the connections stay the
+// same. A successor that does not answer is suspected; its other watchers are
+// asked to probe it, and any of them that still reaches it confirms that.
+// Without a confirmation it is declared dead.
 //
-// News (deaths, departures, new instances, a new configuration, backend
-// servers that leave) is handed on to all successors at once by whoever did
-// not know it, within an allowance, and rides on the following heartbeats.
-// Members are compared by a digest; only when digests differ are a few members
-// sent in turn.
+// Updates (deaths, departures, new instances, a new configuration, backend
+// servers that leave) are gossiped: an instance to which an update is new sends
+// it to all its successors at once, within a token bucket, and repeats it in
+// its following heartbeats. Membership views are compared by a digest; only
+// when digests differ are a few members sent, in rotation through the table.
 //
-// An instance that hears of its own death raises its sequence number, and that
-// outdoes the news. News of a death that is older than a few seconds is never
-// believed about a member that counts as alive here: it is checked by asking
-// that member. So two parts of the system that were cut from each other do not
-// bury each other's members when they meet again.
+// An instance that receives an update about its own death raises its sequence
+// number, and its answer supersedes that update. A death that is reported more
+// than a few seconds late is never applied to a member that is alive in the
+// local view: it is verified by probing that member. So when two sides of a
+// network partition reconnect, they do not declare each other's members dead.
 //
-// Disagreement between instances costs efficiency only. Nothing that must be
-// agreed rests on this package.
+// Instances that disagree about the members lose efficiency only. Nothing that
+// needs agreement depends on this package.
 //
 // # Usage
 //
--- a/internal/wasabimember/driver_test.go
+++ b/internal/wasabimember/driver_test.go
@@ -20,21 +20,22 @@
 }
 
 const (
-	// tickEvery is twice the time between the ticks of the daemon, which makes
-	// the runs shorter and what they find slower.
+	// tickEvery is twice the tick interval of the daemon. It shortens the test
+	// runs and can only delay what the tests detect.
 	tickEvery = 100 * wasabiridge.Millis(1)
-	// begin is where the virtual time of a run begins. Incarnations count from
-	// it, so that messages are as long as in earnest.
+	// begin is the virtual time at which a run starts. Incarnations count up
+	// from it, so that encoded messages are as long as in production.
 	begin = 1_764_000_000_000 * wasabiridge.Millis(1)
 )
 
-// delivery is an event on its way to an instance.
+// delivery is an event in transit to an instance.
 type delivery struct {
 	at    wasabiridge.Millis
 	order int
 	to    int
 	event wasabimember.Event
-	// from is who gets the answer to an Asked. It is -1 for other events.
+	// from is the instance that gets the response to an Asked event. It is -1
+	// for other events.
 	from int
 }
 
@@ -59,13 +60,13 @@
 type node struct {
 	id      wasabiridge.InstanceID
 	machine *wasabimember.Machine
-	// down drops all events; paused keeps deliveries until it ends.
+	// down drops all events; paused stores them until the pause ends.
 	down, paused bool
 	waiting      []delivery
 	messages     int
 	bytes        int
 	changes      int
-	// alive is what the changes add up to.
+	// alive is the membership view that results from all Changed effects.
 	alive    map[wasabiridge.InstanceID]bool
 	backends map[wasabiridge.BackendServerID]bool
 	config   wasabiridge.ConfigVersion
@@ -80,7 +81,8 @@
 	n.alive[m.ID] = true
 }
 
-// driver runs machines in virtual time with seeded loss and delay.
+// driver runs machines in virtual time with message loss and delay from a
+// seeded generator.
 type driver struct {
 	now     wasabiridge.Millis
 	random  *rand.Rand
@@ -90,13 +92,14 @@
 	cut     func(from, to int) bool
 	nodes   []*node
 	entries []wasabiridge.InstanceEntry
-	// list is what the platform says. It starts as the entries.
+	// list is the platform's list. It initially contains all entries.
 	list  []wasabiridge.InstanceEntry
 	queue queue
 	order int
-	// lostFetches is the share of configurations that come a second late.
-	lostFetches float64
-	// measure makes the driver count bytes, which takes time.
+	// lateFetches is the fraction of configuration fetches that complete a
+	// second late.
+	lateFetches float64
+	// measure makes the driver count message bytes, which is slow.
 	measure bool
 }
 
@@ -125,18 +128,18 @@
 	}
 }
 
-// start begins a new life of an instance.
-func (d *driver) start(i int, life wasabiridge.Incarnation) {
+// start starts a new incarnation of an instance.
+func (d *driver) start(i int, incarnation wasabiridge.Incarnation) {
 	*d.nodes[i] = node{
 		id: d.entries[i].ID,
 		machine: wasabimember.New(d.now, wasabimember.Options{
-			Self: d.entries[i], Incarnation: wasabiridge.Incarnation(begin) + life, Seed: d.seed*1000 + uint64(i),
+			Self: d.entries[i], Incarnation: wasabiridge.Incarnation(begin) + incarnation, Seed: d.seed*1000 + uint64(i),
 		}),
 		backends: map[wasabiridge.BackendServerID]bool{},
 		alive:    map[wasabiridge.InstanceID]bool{d.entries[i].ID: true},
 	}
 	d.post(i, wasabimember.Listed{Entries: d.list}, 0)
-	if life == 1 {
+	if incarnation == 1 {
 		d.post(i, wasabimember.Ticked{}, wasabiridge.Millis(d.random.Int64N(int64(tickEvery))))
 	}
 }
@@ -151,21 +154,21 @@
 	heap.Push(&d.queue, v)
 }
 
-// run lets time pass.
+// run advances the virtual time by span.
 func (d *driver) run(span wasabiridge.Millis) {
 	d.runUntil(d.now+span, func() bool { return false })
 }
 
-// runUntil lets time pass until done holds, which is looked at every 10 ms. It
-// returns the time that passed.
+// runUntil advances the virtual time until done returns true, which is checked
+// every 10 ms. It returns the time that passed.
 func (d *driver) runUntil(end wasabiridge.Millis, done func() bool) wasabiridge.Millis {
-	begin, look := d.now, d.now
+	begin, nextCheck := d.now, d.now
 	for len(d.queue) > 0 && d.queue[0].at <= end {
-		if d.queue[0].at >= look {
+		if d.queue[0].at >= nextCheck {
 			if done() {
 				return d.now - begin
 			}
-			look = d.queue[0].at + 10
+			nextCheck = d.queue[0].at + 10
 		}
 		v := heap.Pop(&d.queue).(delivery)
 		d.now = v.at
@@ -209,7 +212,7 @@
 			if e.Member.Config > n.config {
 				n.config = e.Member.Config
 				wait := 10 * wasabiridge.Millis(1)
-				if d.random.Float64() < d.lostFetches {
+				if d.random.Float64() < d.lateFetches {
 					wait += wasabiridge.Second
 				}
 				d.post(v.to, wasabimember.ConfigInForce{Version: n.config}, wait)
@@ -243,7 +246,8 @@
 	d.push(delivery{at: d.now + d.delay(from, to), to: to, event: e, from: from})
 }
 
-// resume ends a pause. What arrived meanwhile is handled at once, late.
+// resume ends a pause. Events that arrived during the pause are handled at
+// once, late.
 func (d *driver) resume(i int) {
 	n := d.nodes[i]
 	n.paused = false
@@ -253,8 +257,8 @@
 	n.waiting = nil
 }
 
-// sees reports whether all running instances count exactly the wanted ones
-// among the living.
+// sees reports whether the view of every running instance has exactly wanted
+// living members.
 func (d *driver) sees(wanted int) bool {
 	for _, n := range d.nodes {
 		if !n.down && !n.paused && len(n.alive) != wanted {
@@ -264,10 +268,10 @@
 	return true
 }
 
-// settle starts all and waits until everyone knows everyone.
+// settle runs until every instance has all others in its view.
 func (d *driver) settle(g Gomega) wasabiridge.Millis {
 	took := d.runUntil(d.now+2*wasabiridge.Minute, func() bool { return d.sees(len(d.nodes)) })
-	g.Expect(d.sees(len(d.nodes))).To(BeTrue(), "not all know each other after %d ms", took)
+	g.Expect(d.sees(len(d.nodes))).To(BeTrue(), "views are incomplete after %d ms", took)
 	for i, n := range d.nodes {
 		g.Expect(n.machine.Alive()).To(HaveLen(len(d.nodes)), "instance %d", i)
 	}
--- a/internal/wasabimember/event.go
+++ b/internal/wasabimember/event.go
@@ -2,36 +2,38 @@
 
 import "github.com/wasabiridge/wasabiridge"
 
-// Event is something that a Machine is told.
+// Event is an input of a Machine.
 type Event interface{ isEvent() }
 
-// Effect is something that a Machine wants done.
+// Effect is an action that a Machine requests from its driver.
 type Effect interface{ isEffect() }
 
-// Ticked says that time has passed. The driver sends one every 50 ms.
+// Ticked reports that time has passed. The driver sends one every 50 ms.
 type Ticked struct{}
 
 // Listed carries the platform's list of instances.
 type Listed struct{ Entries []wasabiridge.InstanceEntry }
 
-// Asked says that another instance sent a heartbeat. Exactly one Reply follows.
+// Asked reports a heartbeat that another instance sent. Handling it emits
+// exactly one Reply.
 type Asked struct{ Heartbeat wasabiridge.Heartbeat }
 
-// Answered carries the answer to an Exchange. An Exchange without an answer
-// needs no event.
+// Answered carries the response to an Exchange. An Exchange that gets no
+// response needs no event.
 type Answered struct{ Heartbeat wasabiridge.Heartbeat }
 
-// LeaveStarted says that this instance is leaving.
+// LeaveStarted reports that this instance has begun to leave.
 type LeaveStarted struct{}
 
-// ConfigInForce says which version of the configuration is in force here.
+// ConfigInForce reports the version of the configuration that is in force at
+// this instance.
 type ConfigInForce struct{ Version wasabiridge.ConfigVersion }
 
-// BackendsLeft names backend servers of which this instance learned that they
+// BackendsLeft names backend servers that reported to this instance that they
 // are leaving.
 type BackendsLeft struct{ Backends []wasabiridge.BackendServerID }
 
-// AnnounceWanted asks for heartbeats to a few random members at once.
+// AnnounceWanted requests heartbeats to Count random members at once.
 type AnnounceWanted struct{ Count int }
 
 func (Ticked) isEvent()         {}
@@ -43,25 +45,26 @@
 func (BackendsLeft) isEvent()   {}
 func (AnnounceWanted) isEvent() {}
 
-// Exchange asks to send a heartbeat to another instance.
+// Exchange requests that a heartbeat be sent to another instance.
 type Exchange struct {
 	To        wasabiridge.InstanceID
 	Address   string
 	Heartbeat wasabiridge.Heartbeat
 }
 
-// Reply is the answer to the heartbeat that was just handled.
+// Reply is the response to the heartbeat that was just handled.
 type Reply struct{ Heartbeat wasabiridge.Heartbeat }
 
-// Changed says that a member was added, given up, or changed its state.
+// Changed reports that a member was added, was declared dead, or changed its
+// state.
 type Changed struct{ Member wasabiridge.Member }
 
-// Heard says that a member itself spoke. Its Config is the version in force
-// there, and its PeerAddress is where that version can be fetched.
+// Heard reports a heartbeat that came from the member itself. Its Config is the
+// version in force there, and that version can be fetched at its PeerAddress.
 type Heard struct{ Member wasabiridge.Member }
 
-// BackendsLeaving names backend servers of which another instance says that
-// they must get no new work.
+// BackendsLeaving names backend servers that, according to another instance,
+// must get no new requests.
 type BackendsLeaving struct{ Backends []wasabiridge.BackendServerID }
 
 func (Exchange) isEffect()        {}
--- a/internal/wasabimember/heartbeat.go
+++ b/internal/wasabimember/heartbeat.go
@@ -6,14 +6,15 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// heartbeat takes what another instance says of itself and of others.
-func (m *Machine) heartbeat(now wasabiridge.Millis, h wasabiridge.Heartbeat) {
+// receive applies a heartbeat: the sender's own state, its reports about other
+// members, and its list of leaving backend servers.
+func (m *Machine) receive(now wasabiridge.Millis, h wasabiridge.Heartbeat) {
 	if h.From.ID == m.self.member.ID {
 		return
 	}
-	m.speaker(now, h)
+	m.applySender(now, h)
 	for _, other := range h.Others {
-		m.hearsay(now, h.From.ID, other)
+		m.applyReport(now, h.From.ID, other)
 	}
 	var fresh []wasabiridge.BackendServerID
 	for _, b := range h.LeavingBackends {
@@ -22,15 +23,15 @@
 		}
 	}
 	if len(fresh) > 0 {
-		m.floodDue = true
+		m.broadcastDue = true
 		m.emit(BackendsLeaving{Backends: fresh})
 	}
 }
 
-// speaker takes what the sender says of itself. That it speaks proves that it
-// is alive.
-func (m *Machine) speaker(now wasabiridge.Millis, h wasabiridge.Heartbeat) {
-	m.alive(now, h.From)
+// applySender applies what the sender reports about itself. The heartbeat
+// proves that the sender is alive.
+func (m *Machine) applySender(now wasabiridge.Millis, h wasabiridge.Heartbeat) {
+	m.applyAlive(now, h.From)
 	e := m.table.get(h.From.ID)
 	if e == nil || e.state != alive || e.member.Incarnation != h.From.Incarnation {
 		return
@@ -39,14 +40,14 @@
 	m.table.suspect(e, false)
 	e.member.Config = max(e.member.Config, h.From.Config)
 	e.digest = h.Digest
-	e.rest, e.restUntil = 0, 0
-	m.answered(e)
-	m.vouch(now, e)
+	e.backoff, e.backoffUntil = 0, 0
+	m.endProbe(e)
+	m.confirmToRequesters(now, e)
 	m.emit(Heard{Member: e.member})
 }
 
-// hearsay takes what one instance says of another.
-func (m *Machine) hearsay(now wasabiridge.Millis, from wasabiridge.InstanceID, other wasabiridge.Member) {
+// applyReport applies what one instance reports about another.
+func (m *Machine) applyReport(now wasabiridge.Millis, from wasabiridge.InstanceID, other wasabiridge.Member) {
 	if other.ID == m.self.member.ID {
 		m.refute(now, other)
 		return
@@ -54,94 +55,97 @@
 	e := m.table.get(other.ID)
 	switch {
 	case other.Dead:
-		m.death(now, other)
+		m.applyDeath(now, other)
 	case other.Suspect:
-		m.asked(now, from, other)
+		m.indirectProbe(now, from, other)
 	case other.Vouched && e != nil && e.member.Incarnation == other.Incarnation:
-		m.vouchedFor(now, e)
+		m.confirmedByOther(now, e)
 	default:
-		m.alive(now, other)
+		m.applyAlive(now, other)
 	}
 }
 
-// refute outdoes news of this instance's own death. Without it, an instance
-// that was paused or cut off would stay given up for ever.
-func (m *Machine) refute(now wasabiridge.Millis, said wasabiridge.Member) {
+// refute supersedes a report of this instance's own death with a higher
+// sequence number. Without it, an instance that was paused or partitioned would
+// be considered dead for ever.
+func (m *Machine) refute(now wasabiridge.Millis, report wasabiridge.Member) {
 	self := &m.self.member
-	if !said.Dead || said.Incarnation != self.Incarnation || said.Sequence < self.Sequence {
+	if !report.Dead || report.Incarnation != self.Incarnation || report.Sequence < self.Sequence {
 		return
 	}
-	self.Sequence = said.Sequence + 1
-	m.note(now, m.self, 0)
+	self.Sequence = report.Sequence + 1
+	m.recordChange(now, m.self, 0)
 }
 
-// alive takes news of a living member.
-func (m *Machine) alive(now wasabiridge.Millis, said wasabiridge.Member) {
-	e := m.table.get(said.ID)
+// applyAlive applies a report of a living member.
+func (m *Machine) applyAlive(now wasabiridge.Millis, report wasabiridge.Member) {
+	e := m.table.get(report.ID)
 	if e == nil {
-		if said.PeerAddress == "" {
+		if report.PeerAddress == "" {
 			return
 		}
-		e = newEntry(said)
+		e = newEntry(report)
 		m.table.add(e)
 	}
-	if e == m.self || !e.outdone(said) {
+	if e == m.self || !e.supersededBy(report) {
 		return
 	}
-	// A new life may have new addresses, so it counts once they are known. A
-	// list may name no more than the peer address; such a member would count as
-	// alive without an address for callers.
-	newLife := said.Incarnation != e.member.Incarnation || e.state == unproven
-	if newLife && said.PeerAddress == "" && (e.state != unproven || e.member.CallerURL == "") {
+	// A new incarnation may have new addresses, so it is added only once they
+	// are known. The platform's list may give no more than the peer address;
+	// without this check such a member would be alive but have no address for
+	// callers.
+	newIncarnation := report.Incarnation != e.member.Incarnation || e.state == unverified
+	if newIncarnation && report.PeerAddress == "" && (e.state != unverified || e.member.CallerURL == "") {
 		return
 	}
 	m.table.set(e, alive, func() {
 		entry := e.member.InstanceEntry
-		if said.PeerAddress != "" {
-			entry = said.InstanceEntry
+		if report.PeerAddress != "" {
+			entry = report.InstanceEntry
 		}
-		entry.Leaving = said.Leaving
+		entry.Leaving = report.Leaving
 		e.member = wasabiridge.Member{
-			InstanceEntry: entry, Incarnation: said.Incarnation, Sequence: said.Sequence,
-			Config: max(e.member.Config, said.Config),
+			InstanceEntry: entry, Incarnation: report.Incarnation, Sequence: report.Sequence,
+			Config: max(e.member.Config, report.Config),
 		}
 	})
-	if newLife {
-		e.joined = now - said.Age
+	if newIncarnation {
+		e.joined = now - report.Age
 		e.digest = 0
-		m.answered(e)
+		m.endProbe(e)
 	}
-	m.note(now, e, said.Age)
+	m.recordChange(now, e, report.Age)
 }
 
-// death takes news of a death.
-func (m *Machine) death(now wasabiridge.Millis, said wasabiridge.Member) {
-	e := m.table.get(said.ID)
-	if e == nil || !e.outdone(said) {
+// applyDeath applies a report of a death.
+func (m *Machine) applyDeath(now wasabiridge.Millis, report wasabiridge.Member) {
+	e := m.table.get(report.ID)
+	if e == nil || !e.supersededBy(report) {
 		return
 	}
-	if e.state == alive && said.Age > newsLife {
-		m.doubt(e, said)
+	if e.state == alive && report.Age > updateLifetime {
+		m.verifyDeath(e, report)
 		return
 	}
-	m.bury(now, e, said)
+	m.markDead(now, e, report)
 }
 
-func (m *Machine) bury(now wasabiridge.Millis, e *entry, said wasabiridge.Member) {
+func (m *Machine) markDead(now wasabiridge.Millis, e *entry, report wasabiridge.Member) {
 	known := e.state == alive
 	m.table.set(e, dead, func() {
-		e.member.Incarnation, e.member.Sequence = said.Incarnation, said.Sequence
+		e.member.Incarnation, e.member.Sequence = report.Incarnation, report.Sequence
 		e.member.Dead, e.member.Suspect = true, false
 	})
-	m.answered(e)
+	m.endProbe(e)
 	if !known {
-		e.since = now - said.Age
+		e.since = now - report.Age
 		return
 	}
-	m.note(now, e, said.Age)
+	m.recordChange(now, e, report.Age)
 }
 
-// compose writes a heartbeat for another instance, which may be unknown.
+// compose builds a heartbeat for another instance. to is nil for an instance
+// that is not in the table.
 func (m *Machine) compose(now wasabiridge.Millis, to *entry) wasabiridge.Heartbeat {
 	h := wasabiridge.Heartbeat{
 		From:            m.self.member,
@@ -150,36 +154,37 @@
 	}
 	agreed := to != nil && to.digest == m.table.digest
 	h.From.Age = min(now-m.self.since, wasabiridge.Minute)
-	if agreed && now-m.self.joined > youth {
-		h.From = brief(h.From)
+	if agreed && now-m.self.joined > joinPeriod {
+		h.From = withoutAddresses(h.From)
 	}
-	said := []*entry{m.self, to}
+	included := []*entry{m.self, to}
 	if to != nil && to.state == dead {
 		h.Others = append(h.Others, m.describe(now, to))
 	}
 	if agreed {
-		// It knows the same members: no news can be new to it.
+		// The digests match, so the receiver has the same members and no update
+		// can be new to it.
 		return h
 	}
-	for _, e := range m.news.take(now, newsPerMessage) {
-		if slices.Contains(said, e) {
+	for _, e := range m.updates.take(now, updatesPerMessage) {
+		if slices.Contains(included, e) {
 			continue
 		}
-		said = append(said, e)
+		included = append(included, e)
 		h.Others = append(h.Others, m.describe(now, e))
 	}
-	if to == nil || to.digest == 0 || agreed || !m.mayCompare(now, to) {
+	if to == nil || to.digest == 0 || agreed || !m.syncAllowed(now, to) {
 		return h
 	}
 	for range min(syncPerMessage, len(m.table.ordered)) {
-		e := m.inTurn()
-		if e == nil || slices.Contains(said, e) {
+		e := m.nextForSync()
+		if e == nil || slices.Contains(included, e) {
 			continue
 		}
-		if !m.sync.spend(now) {
+		if !m.syncBudget.spend(now) {
 			break
 		}
-		said = append(said, e)
+		included = append(included, e)
 		full := m.describe(now, e)
 		full.InstanceEntry = e.member.InstanceEntry
 		h.Others = append(h.Others, full)
@@ -187,38 +192,40 @@
 	return h
 }
 
-// mayCompare reports whether members are sent in turn because digests differ.
-// While news is under way digests differ anyhow.
-func (m *Machine) mayCompare(now wasabiridge.Millis, to *entry) bool {
-	return now-m.changed > settled || now-m.started < youth || now-to.joined < youth
+// syncAllowed reports whether differing digests cause members to be sent. While
+// updates are still spreading, digests differ anyway.
+func (m *Machine) syncAllowed(now wasabiridge.Millis, to *entry) bool {
+	return now-m.changed > settleTime || now-m.started < joinPeriod || now-to.joined < joinPeriod
 }
 
-// inTurn returns the next entry of the table that something is known of.
-func (m *Machine) inTurn() *entry {
+// nextForSync returns the next entry of the table that is not known from the
+// platform's list alone, or nil when there is none.
+func (m *Machine) nextForSync() *entry {
 	for range m.table.ordered {
 		m.cursor = (m.cursor + 1) % len(m.table.ordered)
-		if e := m.table.ordered[m.cursor]; e.state != unproven {
+		if e := m.table.ordered[m.cursor]; e.state != unverified {
 			return e
 		}
 	}
 	return nil
 }
 
-// describe writes an entry as others need it. Addresses go with new members
-// only, everyone else has them from the list or from the first news.
+// describe returns the report about an entry that other instances receive. Only
+// reports of new members carry addresses; for all others the receiver has them
+// from the platform's list or from the first report.
 func (m *Machine) describe(now wasabiridge.Millis, e *entry) wasabiridge.Member {
 	out := e.member
 	out.Config, out.Heard, out.Suspect = 0, 0, false
 	out.Dead = e.state == dead
 	out.Age = now - e.since
-	if out.Dead || now-e.joined > youth {
-		out = brief(out)
+	if out.Dead || now-e.joined > joinPeriod {
+		out = withoutAddresses(out)
 	}
 	return out
 }
 
-// brief leaves out what does not change during the life of a member.
-func brief(m wasabiridge.Member) wasabiridge.Member {
+// withoutAddresses clears the fields that do not change within an incarnation.
+func withoutAddresses(m wasabiridge.Member) wasabiridge.Member {
 	m.PeerAddress, m.CallerURL, m.Zone, m.Region = "", "", "", ""
 	return m
 }
--- a/internal/wasabimember/herd_test.go
+++ b/internal/wasabimember/herd_test.go
@@ -10,17 +10,18 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabitest"
 )
 
-// toldBytes bounds what an instance sends in heartbeats, for each of the others,
-// when all start at once. It sent 2,800 when it repeated its news to those that
-// knew the same members already.
-const toldBytes = 1600
+// startBytes bounds what an instance sends in heartbeats, for each other
+// instance, when all start at once. It was 2,800 when instances repeated
+// updates to members whose digest already matched.
+const startBytes = 1600
 
 var _ = Describe("All instances that start at once", func() {
 	for _, size := range []int{195, 374} {
-		// All instances lose power and come back together; the list names three of
-		// them. Each has to hear some hundred bytes about each of the others. Small
-		// instances have links of 20 Mbit/s, and bytes between zones are paid for.
-		It(fmt.Sprintf("do not repeat to each other what both know: %d instances", size), func() {
+		// All instances lose power and restart together; the platform's list
+		// names three of them. Each needs some hundred bytes about each other
+		// one. Small instances have links of 20 Mbit/s, and traffic between
+		// availability zones is billed.
+		It(fmt.Sprintf("do not send updates to members with the same view: %d instances", size), func() {
 			d := newDriver(size, wasabitest.Seed, 0)
 			d.list = d.entries[:3]
 			d.measure = true
@@ -30,7 +31,7 @@
 			for _, n := range d.nodes {
 				bytes += n.bytes
 			}
-			Expect(bytes / size / size).To(BeNumerically("<", toldBytes))
+			Expect(bytes / size / size).To(BeNumerically("<", startBytes))
 		})
 	}
 })
--- a/internal/wasabimember/keeper.go
+++ b/internal/wasabimember/keeper.go
@@ -11,27 +11,29 @@
 )
 
 const (
-	tick = 50 * time.Millisecond
-	// inboxSize bounds the events that wait for the machine. When it is full,
-	// heartbeats of others are refused and answers dropped, as if the network
-	// had lost them; everything else waits.
+	tickInterval = 50 * time.Millisecond
+	// inboxSize bounds the events that wait for the machine. When the inbox is
+	// full, heartbeats of other instances are refused and responses are
+	// dropped, as if the network had lost them; all other events block their
+	// sender.
 	inboxSize = 256
-	// outboxSize bounds the heartbeats that are under way. When it is full,
-	// further ones are dropped, as if the network had lost them.
+	// outboxSize bounds the heartbeats in flight. Beyond it, heartbeats are
+	// dropped, as if the network had lost them.
 	outboxSize = 64
-	// exchangeTimeout bounds the wait for an answer. It lies above the time
-	// between distant regions and above one retransmission.
+	// exchangeTimeout bounds the wait for a response. It is longer than a round
+	// trip between distant regions and one retransmission.
 	exchangeTimeout = 900 * time.Millisecond
-	// listInterval is the time between two reads of the platform's list, and
-	// listRetry the time after the first read that failed.
+	// listInterval is the time between two reads of the platform's list. Until
+	// a first read succeeds, the wait doubles from listRetry up to
+	// listInterval.
 	listInterval = 10 * time.Second
 	listRetry    = 500 * time.Millisecond
-	// refreshInterval is how old the published members may be in what does
-	// not concern who is alive, such as their configuration.
+	// refreshInterval bounds the age of the published members in fields whose
+	// changes emit no Changed, such as their configuration.
 	refreshInterval = wasabiridge.Second
 )
 
-// KeeperOptions set up a Keeper.
+// KeeperOptions configures a Keeper.
 type KeeperOptions struct {
 	Self        wasabiridge.InstanceEntry
 	Incarnation wasabiridge.Incarnation
@@ -42,49 +44,54 @@
 	List  wasabiridge.InstanceList
 	Peers wasabiridge.PeerClient
 	Log   zerolog.Logger
-	// Recorder takes the time line. Nil means none.
+	// Recorder receives timeline events. Nil means that none are recorded.
 	Recorder wasabiridge.Recorder
-	// OnHeard is called for each heartbeat of another instance. The member's
-	// Config is in force there and can be fetched at its PeerAddress.
+	// OnHeard is called for each heartbeat that comes from another instance
+	// itself. The member's Config is in force there and can be fetched at its
+	// PeerAddress.
 	OnHeard func(m wasabiridge.Member)
-	// OnBackendsLeaving is called once for each leaving backend server of
-	// which another instance tells.
+	// OnBackendsLeaving is called with backend servers that, according to
+	// another instance, are leaving. Each of them is passed once.
 	OnBackendsLeaving func(backends []wasabiridge.BackendServerID)
-	// HybridNow tells the time that goes into heartbeats, and ObserveHybrid
-	// takes that of others, for the order of the time line. Nil means none.
+	// HybridNow returns the hybrid timestamp for outgoing heartbeats, and
+	// ObserveHybrid receives the timestamps of incoming ones. Both serve the
+	// order of the timeline; nil turns them off.
 	HybridNow     func() wasabiridge.Millis
 	ObserveHybrid func(at wasabiridge.Millis)
 }
 
-// Keeper drives a Machine with a clock, the platform's list and the peers. It
-// is safe for concurrent use. The callbacks of its options are called by its
-// own goroutine and must not block.
+// Keeper runs a Machine with a clock, the platform's list and a peer client. It
+// is safe for concurrent use. The callbacks in its options must not block. They
+// are called from the goroutine of Run, except ObserveHybrid, which may be
+// called from any goroutine.
 type Keeper struct {
 	options KeeperOptions
 	machine *Machine
 	summary Summary
 	inbox   chan delivery
 	outbox  chan struct{}
-	// done is closed when Run ends, so that nobody waits at a full inbox.
+	// done is closed when Run ends, so that no sender blocks on a full inbox.
 	done     chan struct{}
-	view     atomic.Pointer[view]
-	refusals atomic.Uint64
-	losses   atomic.Uint64
+	snapshot atomic.Pointer[snapshot]
+	refused  atomic.Uint64
+	dropped  atomic.Uint64
 }
 
-// view is what the keeper publishes.
-type view struct {
+// snapshot is the published snapshot of the members.
+type snapshot struct {
 	alive, members []wasabiridge.Member
 	at             wasabiridge.Millis
 }
 
-// delivery is an event for the machine and where its Reply goes.
+// delivery is an event for the machine and the channel for its Reply, nil for
+// events without one.
 type delivery struct {
 	event Event
 	reply chan wasabiridge.Heartbeat
 }
 
-// NewKeeper returns a keeper that knows its own instance only. Run starts it.
+// NewKeeper returns a keeper whose view contains its own instance only. Run
+// starts it.
 func NewKeeper(o KeeperOptions) *Keeper {
 	k := &Keeper{
 		options: o,
@@ -97,13 +104,14 @@
 	return k
 }
 
-// Run drives the machine until the context ends. It is called once.
+// Run feeds events to the machine until the context ends. It must be called
+// once only.
 func (k *Keeper) Run(ctx context.Context) {
 	defer close(k.done)
 	if k.options.List != nil {
 		go k.readList(ctx)
 	}
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -119,13 +127,13 @@
 
 func (k *Keeper) handle(ctx context.Context, d delivery) {
 	now := k.options.Clock.Now()
-	changed := now-k.view.Load().at >= refreshInterval
+	changed := now-k.snapshot.Load().at >= refreshInterval
 	for _, e := range k.machine.Handle(now, d.event) {
 		switch e := e.(type) {
 		case Exchange:
 			k.exchange(ctx, e)
 		case Reply:
-			d.reply <- k.stamp(e.Heartbeat)
+			d.reply <- k.addTimestamp(e.Heartbeat)
 		case Changed:
 			changed = true
 			k.record(now, e.Member)
@@ -142,21 +150,21 @@
 	if changed {
 		k.publish(now)
 	}
-	k.summary.Write(now, k.options.Log, len(k.view.Load().members))
+	k.summary.Write(now, k.options.Log, len(k.snapshot.Load().members))
 }
 
 func (k *Keeper) publish(now wasabiridge.Millis) {
-	k.view.Store(&view{alive: k.machine.Alive(), members: k.machine.Members(), at: now})
+	k.snapshot.Store(&snapshot{alive: k.machine.Alive(), members: k.machine.Members(), at: now})
 }
 
-func (k *Keeper) stamp(h wasabiridge.Heartbeat) wasabiridge.Heartbeat {
+func (k *Keeper) addTimestamp(h wasabiridge.Heartbeat) wasabiridge.Heartbeat {
 	if k.options.HybridNow != nil {
 		h.SentAt = k.options.HybridNow()
 	}
 	return h
 }
 
-func (k *Keeper) observe(h wasabiridge.Heartbeat) {
+func (k *Keeper) observeTimestamp(h wasabiridge.Heartbeat) {
 	if k.options.ObserveHybrid != nil && h.SentAt != 0 {
 		k.options.ObserveHybrid(h.SentAt)
 	}
@@ -173,16 +181,16 @@
 	})
 }
 
-// exchange sends a heartbeat. An answer comes back as an event; a failure
-// needs none.
+// exchange sends a heartbeat in a new goroutine. The response is posted as an
+// event; a failure needs none.
 func (k *Keeper) exchange(ctx context.Context, e Exchange) {
 	select {
 	case k.outbox <- struct{}{}:
 	default:
-		k.losses.Add(1)
+		k.dropped.Add(1)
 		return
 	}
-	h := k.stamp(e.Heartbeat)
+	h := k.addTimestamp(e.Heartbeat)
 	go func() {
 		defer func() { <-k.outbox }()
 		ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
@@ -190,45 +198,47 @@
 		var answer wasabiridge.Heartbeat
 		var err error
 		if answer, err = k.options.Peers.Exchange(ctx, e.Address, h); err != nil {
-			k.options.Log.Debug().Err(err).Str("member", string(e.To)).Msg("No answer.")
+			k.options.Log.Debug().Err(err).Str("member", string(e.To)).Msg("A member did not respond to a heartbeat.")
 			return
 		}
-		k.observe(answer)
+		k.observeTimestamp(answer)
 		select {
 		case k.inbox <- delivery{event: Answered{Heartbeat: answer}}:
 		default:
-			k.losses.Add(1)
+			k.dropped.Add(1)
 		}
 	}()
 }
 
-// HandleExchange answers a heartbeat of another instance.
+// HandleExchange responds to a heartbeat of another instance. It reports
+// wasabiridge.ErrUnavailable when the inbox is full or when the context ends
+// before the machine has handled the heartbeat.
 func (k *Keeper) HandleExchange(ctx context.Context, h wasabiridge.Heartbeat) (wasabiridge.Heartbeat, error) {
-	k.observe(h)
+	k.observeTimestamp(h)
 	d := delivery{event: Asked{Heartbeat: h}, reply: make(chan wasabiridge.Heartbeat, 1)}
 	select {
 	case k.inbox <- d:
 	default:
-		k.refusals.Add(1)
-		return wasabiridge.Heartbeat{}, wasabiridge.ErrUnavailable.New("member: too many events wait")
+		k.refused.Add(1)
+		return wasabiridge.Heartbeat{}, wasabiridge.ErrUnavailable.New("member: heartbeat refused, the event queue is full")
 	}
 	select {
 	case answer := <-d.reply:
 		return answer, nil
 	case <-ctx.Done():
-		return wasabiridge.Heartbeat{}, wasabiridge.ErrUnavailable.Wrap(ctx.Err(), "member: no time to answer")
+		return wasabiridge.Heartbeat{}, wasabiridge.ErrUnavailable.Wrap(ctx.Err(), "member: context ended before the heartbeat was handled")
 	}
 }
 
-// readList hands the platform's list to the machine, again and again. While
-// the platform is down the last list stays.
+// readList polls the platform's list for the machine until the context ends.
+// While the platform is down, the last list stays in use.
 func (k *Keeper) readList(ctx context.Context) {
 	wait := listRetry
 	for {
 		var entries []wasabiridge.InstanceEntry
 		var err error
 		if entries, err = k.options.List.Instances(ctx); err != nil {
-			k.options.Log.Warn().Err(err).Msg("The list of instances could not be read.")
+			k.options.Log.Warn().Err(err).Msg("Could not read the platform's list of instances.")
 			wait = min(2*wait, listInterval)
 		} else {
 			wait = listInterval
@@ -250,17 +260,17 @@
 	}
 }
 
-// Alive returns the instances, with this one, that callers may be sent to:
-// those that were heard of, are not given up and are not leaving. The slice
-// must not be written to.
-func (k *Keeper) Alive() []wasabiridge.Member { return k.view.Load().alive }
+// Alive returns the instances that callers may be sent to, including this one:
+// those that have sent a heartbeat or were reported alive, are not dead and are
+// not leaving. The slice must not be modified.
+func (k *Keeper) Alive() []wasabiridge.Member { return k.snapshot.Load().alive }
 
-// Members returns the other instances that are not given up, leaving ones too.
-// The slice must not be written to.
-func (k *Keeper) Members() []wasabiridge.Member { return k.view.Load().members }
+// Members returns the other instances that are not dead, including those that
+// are leaving. The slice must not be modified.
+func (k *Keeper) Members() []wasabiridge.Member { return k.snapshot.Load().members }
 
-// Locate returns the peer address of an instance. It reports false when the
-// instance is not known to be alive.
+// Locate returns the peer address of an instance, and false when the instance
+// is not among Members.
 func (k *Keeper) Locate(id wasabiridge.InstanceID) (string, bool) {
 	for _, m := range k.Members() {
 		if m.ID == id {
@@ -270,24 +280,26 @@
 	return "", false
 }
 
-// Lost counts heartbeats that were dropped here because too many waited.
-func (k *Keeper) Lost() uint64 { return k.refusals.Load() + k.losses.Load() }
+// Lost counts heartbeats and responses that were dropped at this instance
+// because its inbox or outbox was full.
+func (k *Keeper) Lost() uint64 { return k.refused.Load() + k.dropped.Load() }
 
-// Leave tells all members that this instance is leaving.
+// Leave announces to all members that this instance is leaving.
 func (k *Keeper) Leave(ctx context.Context) { k.post(ctx, LeaveStarted{}) }
 
-// SetConfig tells which version of the configuration is in force here.
+// SetConfig sets the version of the configuration in force at this instance,
+// which heartbeats carry.
 func (k *Keeper) SetConfig(v wasabiridge.ConfigVersion) {
 	k.post(context.Background(), ConfigInForce{Version: v})
 }
 
-// LeavingBackends tells all members of backend servers that are leaving.
+// LeavingBackends announces to all members backend servers that are leaving.
 func (k *Keeper) LeavingBackends(backends ...wasabiridge.BackendServerID) {
 	k.post(context.Background(), BackendsLeft{Backends: backends})
 }
 
-// Announce exchanges heartbeats with up to n random members at once, within
-// the allowance. It does not wait for them.
+// Announce sends heartbeats to up to n random members at once, within the token
+// bucket for out-of-schedule heartbeats. It does not wait for the responses.
 func (k *Keeper) Announce(n int) {
 	k.post(context.Background(), AnnounceWanted{Count: n})
 }
--- a/internal/wasabimember/keeper_test.go
+++ b/internal/wasabimember/keeper_test.go
@@ -15,7 +15,8 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabipeer"
 )
 
-// relay is a PeerHandler whose keeper comes later. Only heartbeats are used.
+// relay is a PeerHandler whose keeper is set after the server has started. Only
+// heartbeats are used.
 type relay struct {
 	wasabiridge.PeerHandler
 	keeper atomic.Pointer[wasabimember.Keeper]
@@ -92,7 +93,7 @@
 }
 
 var _ = Describe("Keepers over gRPC", func() {
-	It("find each other, spread news and give up one that dies", func() {
+	It("discover each other, spread updates and remove an instance that crashes", func() {
 		all := startInstances(4)
 		for _, n := range all {
 			Eventually(func() []string { return names(n.keeper.Alive()) }, "20s").Should(HaveLen(4))
@@ -121,7 +122,7 @@
 		Expect(all[0].keeper.Lost()).To(BeNumerically("<", 1000))
 	})
 
-	It("refuse heartbeats instead of piling them up while the machine stands still", func() {
+	It("refuse heartbeats instead of queueing them without bound while the machine does not run", func() {
 		k := wasabimember.NewKeeper(wasabimember.KeeperOptions{Self: entryOf(0), Clock: wasabiclock.System()})
 		ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 		defer cancel()
--- a/internal/wasabimember/machine.go
+++ b/internal/wasabimember/machine.go
@@ -6,54 +6,55 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Machine decides whom to exchange heartbeats with, what they say, and who is
-// alive. It is deterministic and not safe for concurrent use. Create it with
-// New.
+// Machine decides which instances to exchange heartbeats with, what the
+// heartbeats contain, and which members are alive. It is deterministic and not
+// safe for concurrent use. Create it with New.
 type Machine struct {
 	self    *entry
 	table   table
 	probes  []*probe
-	news    news
+	updates updateQueue
 	leaving leavingBackends
 	random  *rand.Rand
 
 	started  wasabiridge.Millis
 	lastTick wasabiridge.Millis
 	// changed is when the set of living members last changed.
-	changed   wasabiridge.Millis
-	nextBeat  wasabiridge.Millis
-	nextReach wasabiridge.Millis
-	nextCheck wasabiridge.Millis
-	turn      int
-	// flooded is when news last went to all successors; floodDue says that
-	// more waits.
-	flooded  wasabiridge.Millis
-	floodDue bool
-	flood    allowance
-	sync     allowance
-	// cursor is the place in the table from which members are sent in turn.
+	changed       wasabiridge.Millis
+	nextHeartbeat wasabiridge.Millis
+	nextContact   wasabiridge.Millis
+	nextVerify    wasabiridge.Millis
+	rotation      int
+	// lastBroadcast is when updates were last sent to all successors;
+	// broadcastDue is set while more are waiting.
+	lastBroadcast   wasabiridge.Millis
+	broadcastDue    bool
+	broadcastBudget tokenBucket
+	syncBudget      tokenBucket
+	// cursor is the position in the table up to which members were sent because
+	// digests differed.
 	cursor int
 	verify []*entry
-	// watched are the successors as of the given change of the table.
+	// watched caches the successors as of the table version watchedAt.
 	watched   []*entry
 	watchedAt uint64
 
 	effects []Effect
 }
 
-// New returns a machine that knows itself only.
+// New returns a machine whose table contains its own instance only.
 func New(now wasabiridge.Millis, o Options) *Machine {
 	m := &Machine{
-		table:    table{byID: make(map[wasabiridge.InstanceID]*entry)},
-		random:   rand.New(rand.NewPCG(o.Seed, uint64(o.Incarnation))),
-		started:  now,
-		lastTick: now,
-		changed:  now,
-		flood:    newAllowance(now, floodBurst, floodRate),
-		sync:     newAllowance(now, syncBurst, syncRate),
+		table:           table{byID: make(map[wasabiridge.InstanceID]*entry)},
+		random:          rand.New(rand.NewPCG(o.Seed, uint64(o.Incarnation))),
+		started:         now,
+		lastTick:        now,
+		changed:         now,
+		broadcastBudget: newTokenBucket(now, broadcastBurst, broadcastRate),
+		syncBudget:      newTokenBucket(now, syncBurst, syncRate),
 	}
-	m.nextBeat = now + m.jitter(beatInterval)
-	m.nextReach = now + m.jitter(reachInterval)
+	m.nextHeartbeat = now + m.jitter(heartbeatInterval)
+	m.nextContact = now + m.jitter(contactInterval)
 	m.self = newEntry(wasabiridge.Member{InstanceEntry: o.Self, Incarnation: o.Incarnation})
 	m.self.since, m.self.joined = now, now
 	m.table.add(m.self)
@@ -65,8 +66,8 @@
 	return wasabiridge.Millis(m.random.Int64N(int64(span)))
 }
 
-// Handle takes one event and returns what has to be done. The returned slice
-// is valid until the next call.
+// Handle applies one event and returns the requested effects. The returned
+// slice is valid until the next call.
 func (m *Machine) Handle(now wasabiridge.Millis, e Event) []Effect {
 	m.effects = m.effects[:0]
 	switch e := e.(type) {
@@ -75,29 +76,29 @@
 	case Listed:
 		m.listed(now, e.Entries)
 	case Asked:
-		m.heartbeat(now, e.Heartbeat)
+		m.receive(now, e.Heartbeat)
 		m.emit(Reply{Heartbeat: m.compose(now, m.table.get(e.Heartbeat.From.ID))})
 	case Answered:
-		m.heartbeat(now, e.Heartbeat)
+		m.receive(now, e.Heartbeat)
 	case LeaveStarted:
 		m.leave(now)
 	case ConfigInForce:
 		m.configInForce(e.Version)
 	case BackendsLeft:
 		for _, b := range e.Backends {
-			m.floodDue = m.leaving.add(now, b) || m.floodDue
+			m.broadcastDue = m.leaving.add(now, b) || m.broadcastDue
 		}
 	case AnnounceWanted:
 		m.announce(now, e.Count)
 	}
-	m.spread(now)
+	m.broadcast(now)
 	return m.effects
 }
 
 func (m *Machine) emit(e Effect) { m.effects = append(m.effects, e) }
 
-// Alive returns the members, with this instance, that are alive and not
-// leaving, ordered by name.
+// Alive returns the members that are alive and not leaving, including this
+// instance, ordered by name.
 func (m *Machine) Alive() []wasabiridge.Member {
 	var out []wasabiridge.Member
 	for _, e := range m.table.ordered {
@@ -108,8 +109,8 @@
 	return out
 }
 
-// Members returns the other members that are not given up, leaving ones too,
-// ordered by name.
+// Members returns the other members that are not dead, including those that are
+// leaving, ordered by name.
 func (m *Machine) Members() []wasabiridge.Member {
 	var out []wasabiridge.Member
 	for _, e := range m.table.ordered {
@@ -120,7 +121,7 @@
 	return out
 }
 
-// Config returns the version of the configuration that heartbeats tell.
+// Config returns the version of the configuration that heartbeats carry.
 func (m *Machine) Config() wasabiridge.ConfigVersion { return m.self.member.Config }
 
 func (m *Machine) leave(now wasabiridge.Millis) {
@@ -131,7 +132,7 @@
 		m.self.member.Leaving = true
 		m.self.member.Sequence++
 	})
-	m.note(now, m.self, 0)
+	m.recordChange(now, m.self, 0)
 }
 
 func (m *Machine) configInForce(v wasabiridge.ConfigVersion) {
@@ -139,11 +140,11 @@
 		return
 	}
 	m.self.member.Config = v
-	m.floodDue = true
+	m.broadcastDue = true
 }
 
-// listed takes the platform's list. An entry of the list alone proves nothing:
-// the list lags, so who is listed may be dead and who is not may live.
+// listed applies the platform's list. A list entry alone proves nothing: the
+// list lags, so a listed instance may be dead and an unlisted one may be alive.
 func (m *Machine) listed(now wasabiridge.Millis, entries []wasabiridge.InstanceEntry) {
 	for _, e := range m.table.ordered {
 		e.listed = false
@@ -168,14 +169,15 @@
 	}
 }
 
-// note records a change that is age old and hands it on while it is news.
-func (m *Machine) note(now wasabiridge.Millis, e *entry, age wasabiridge.Millis) {
+// recordChange records a change that happened age ago, and queues it as an
+// update unless it is older than updateLifetime.
+func (m *Machine) recordChange(now wasabiridge.Millis, e *entry, age wasabiridge.Millis) {
 	e.since = now - age
 	m.changed = now
 	m.emit(Changed{Member: e.member})
-	if age > newsLife {
+	if age > updateLifetime {
 		return
 	}
-	m.news.add(e)
-	m.floodDue = true
+	m.updates.add(e)
+	m.broadcastDue = true
 }
--- a/internal/wasabimember/measure_test.go
+++ b/internal/wasabimember/measure_test.go
@@ -13,7 +13,7 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabitest"
 )
 
-// What one exchange takes on the wire beside its two heartbeats, from
+// Bytes on the wire per exchange besides its two heartbeats, from
 // BenchmarkExchange of package wasabipeer: 377 bytes with a shared key and 420
 // with TLS, less two heartbeats of 49 bytes.
 const (
@@ -29,9 +29,9 @@
 
 var measuredSizes = []int{9, 90, 370}
 
-// BenchmarkMembers measures, in virtual time with a tenth of messages lost,
-// how long it takes until all have noticed a death, and what an instance
-// sends and receives while nothing happens.
+// BenchmarkMembers measures, in virtual time with a tenth of the messages lost,
+// how long it takes until all instances have detected a death, and what an
+// instance sends and receives while nothing changes.
 func BenchmarkMembers(b *testing.B) {
 	for _, size := range measuredSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -78,18 +78,18 @@
 	b.ReportMetric(float64(most)/(float64(measuredSpan)/float64(wasabiridge.Second)), "wire-key-most-B/s")
 }
 
-// BenchmarkConfigNews measures how long it takes until the news of a version
-// of the configuration has reached all and was taken. A fetch takes 10 ms; none
-// or one in five comes a second late.
+// BenchmarkConfigNews measures how long a new version of the configuration
+// takes to be announced to all instances and fetched by them. A fetch takes 10
+// ms; either none or one in five takes a second longer.
 func BenchmarkConfigNews(b *testing.B) {
 	const changes = 100
 	for _, size := range measuredSizes {
-		for _, lost := range []float64{0, 0.2} {
-			b.Run(fmt.Sprintf("%d/late=%.1f", size, lost), func(b *testing.B) {
+		for _, late := range []float64{0, 0.2} {
+			b.Run(fmt.Sprintf("%d/late=%.1f", size, late), func(b *testing.B) {
 				for b.Loop() {
 					d := newDriver(size, wasabitest.Seed, tenPercent)
 					d.settle(NewWithT(b))
-					d.lostFetches = lost
+					d.lateFetches = late
 					var took []wasabiridge.Millis
 					for i := range changes {
 						took = append(took, d.changeConfig(i%size, wasabiridge.ConfigVersion(i+1)))
@@ -104,8 +104,8 @@
 	}
 }
 
-// changeConfig lets half a minute pass, brings a version into force at one
-// instance, and returns how long it takes until all have it.
+// changeConfig waits for half a minute, brings a version into force at one
+// instance, and returns how long it takes until all instances have it.
 func (d *driver) changeConfig(i int, v wasabiridge.ConfigVersion) wasabiridge.Millis {
 	d.run(30*wasabiridge.Second + wasabiridge.Millis(d.random.Int64N(int64(wasabiridge.Second))))
 	d.nodes[i].config = v
@@ -115,8 +115,8 @@
 	})
 }
 
-// BenchmarkMachine measures the time of the machine for one second of an
-// instance's life: its ticks, and the heartbeats it gets and answers.
+// BenchmarkMachine measures the processing time of the machine for one second
+// of operation: its ticks and the heartbeats that it receives and answers.
 func BenchmarkMachine(b *testing.B) {
 	for _, size := range measuredSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/internal/wasabimember/member_test.go
+++ b/internal/wasabimember/member_test.go
@@ -15,11 +15,12 @@
 
 const (
 	tenPercent = 0.1
-	// inTime is what users were promised for deaths and departures.
-	inTime = 3 * wasabiridge.Second
+	// detectionTime is the limit promised to users for detecting deaths and
+	// departures.
+	detectionTime = 3 * wasabiridge.Second
 )
 
-// sizes are the numbers of instances of today and of the target.
+// sizes are the current number of instances and the target.
 var sizes = []int{9, 370}
 
 func started(count int, seed uint64, loss float64) *driver {
@@ -40,19 +41,21 @@
 	return out
 }
 
-// events change something at instance i. All others must notice in time.
+// events change something at instance i. All others must detect it within
+// detectionTime. The indices, and with them the random draws, follow the sorted
+// names.
 var events = map[string]struct {
 	cause func(d *driver, i int)
 	seen  func(d *driver, i int, n *node) bool
 }{
-	// A caller's next address must work. An instance crashes without a word;
-	// the platform's list names it for minutes more.
-	"an instance dies": {
+	// A caller's next address must work. An instance crashes without notice;
+	// the platform's list still names it for minutes.
+	"an instance crashes": {
 		cause: func(d *driver, i int) { d.nodes[i].down = true },
 		seen:  func(d *driver, i int, n *node) bool { return !n.alive[d.entries[i].ID] },
 	},
-	// An instance hangs for long, its connections stay open.
-	"an instance stands still": {
+	// An instance hangs for a long time, and its connections stay open.
+	"an instance stays paused": {
 		cause: func(d *driver, i int) { d.nodes[i].paused = true },
 		seen:  func(d *driver, i int, n *node) bool { return !n.alive[d.entries[i].ID] },
 	},
@@ -62,19 +65,19 @@
 		cause: func(d *driver, i int) { d.post(i, wasabimember.LeaveStarted{}, 0) },
 		seen:  func(d *driver, i int, n *node) bool { return !n.alive[d.entries[i].ID] },
 	},
-	// A backend server tells one instance that it is leaving.
+	// A backend server notifies one instance that it is leaving.
 	"a backend server leaves": {
 		cause: func(d *driver, i int) {
 			d.post(i, wasabimember.BackendsLeft{Backends: []wasabiridge.BackendServerID{"b"}}, 0)
 		},
 		seen: func(d *driver, i int, n *node) bool { return n == d.nodes[i] || n.backends["b"] },
 	},
-	// An operator's edit is accepted at one instance.
+	// An operator's change is accepted at one instance.
 	"a configuration is accepted": {
 		cause: func(d *driver, i int) { d.post(i, wasabimember.ConfigInForce{Version: 7}, 0) },
 		seen:  func(d *driver, i int, n *node) bool { return n == d.nodes[i] || n.config == 7 },
 	},
-	// An instance is replaced; its next life starts at once.
+	// An instance is replaced; its next incarnation starts at once.
 	"an instance restarts": {
 		cause: func(d *driver, i int) { d.start(i, 2) },
 		seen: func(d *driver, i int, n *node) bool {
@@ -91,12 +94,12 @@
 var _ = Describe("Members", func() {
 	for _, size := range sizes {
 		for seed := range uint64(3) {
-			It(fmt.Sprintf("notice every event in time while a tenth of messages is lost: %d instances, seed %d", size, seed), func() {
+			It(fmt.Sprintf("detect every event in time while a tenth of messages is lost: %d instances, seed %d", size, seed), func() {
 				d := started(size, wasabitest.Seed+seed, tenPercent)
 				for i, name := range slices.Sorted(maps.Keys(events)) {
 					e := events[name]
 					e.cause(d, i)
-					d.run(inTime)
+					d.run(detectionTime)
 					Expect(d.others(func(n *node) bool { return e.seen(d, i, n) })).To(BeEmpty(), name)
 					d.run(10 * wasabiridge.Second)
 				}
@@ -104,10 +107,10 @@
 		}
 	}
 
-	// A zone loses its power: 42 of 370 instances are gone at once, and many of
-	// them were each other's watchers. Callers of the other zones must not be
-	// sent there.
-	It("notice in time that a whole zone died", func() {
+	// An availability zone loses power: 42 of 370 instances are gone at once,
+	// and many of them watched each other. Callers in the other zones must not
+	// be sent there.
+	It("detect in time that a whole availability zone failed", func() {
 		d := started(370, wasabitest.Seed, tenPercent)
 		living := 0
 		for i, n := range d.nodes {
@@ -116,13 +119,13 @@
 				living++
 			}
 		}
-		d.run(inTime)
+		d.run(detectionTime)
 		Expect(d.others(func(n *node) bool { return len(n.alive) == living })).To(BeEmpty())
 	})
 
-	// All instances are replaced at once and know nothing but the list. Then a
-	// single one restarts.
-	It("know each other soon after a restart of all, and of one", func() {
+	// All instances are replaced at once and know only the platform's list.
+	// Then a single one restarts.
+	It("have complete views soon after a restart of all instances, and of one", func() {
 		d := newDriver(370, wasabitest.Seed, tenPercent)
 		Expect(d.runUntil(d.now+wasabiridge.Minute, func() bool { return d.sees(370) })).To(BeNumerically("<", 5*wasabiridge.Second))
 		d.run(30 * wasabiridge.Second)
@@ -130,9 +133,10 @@
 		Expect(d.runUntil(d.now+wasabiridge.Minute, func() bool { return d.sees(370) })).To(BeNumerically("<", 10*wasabiridge.Second))
 	})
 
-	// The platform is down and an instance starts with the peer addresses of its
-	// settings only. Callers that it sends on need the other addresses.
-	It("learn the addresses of callers when the list has none", func() {
+	// The platform is down and an instance starts with only the peer addresses
+	// from its settings. It sends callers on to other instances, so it needs
+	// their caller addresses.
+	It("obtain the caller addresses of other instances when the list has none", func() {
 		for seed := range uint64(20) {
 			d := started(9, wasabitest.Seed+seed, tenPercent)
 			d.list = nil
@@ -149,20 +153,20 @@
 		}
 	})
 
-	// Nobody is buried by lost messages alone, and no list changes.
-	It("keep their lists still while a tenth of messages is lost", func() {
+	// Lost messages alone must not make any member dead or change any view.
+	It("do not change their views while a tenth of messages is lost", func() {
 		d := started(90, wasabitest.Seed, tenPercent)
 		before := d.changes()
 		d.run(10 * wasabiridge.Minute)
 		Expect(d.changes()).To(Equal(before))
 	})
 
-	// An instance hangs for a minute and wakes up. Its own silence must not
-	// make it bury others, late answers must not confuse anyone, and it must
-	// learn of the instance that died meanwhile and whom nobody speaks of any
-	// more.
+	// An instance hangs for a minute and resumes. The answers that it missed
+	// must not make it declare others dead, late responses must not disturb any
+	// view, and it must learn that an instance died meanwhile, about which no
+	// updates are sent any more.
 	for _, size := range sizes {
-		It(fmt.Sprintf("take back an instance that was paused, %d instances", size), func() {
+		It(fmt.Sprintf("add an instance back after a pause, %d instances", size), func() {
 			d := started(size, wasabitest.Seed, tenPercent)
 			d.nodes[0].paused = true
 			d.run(10 * wasabiridge.Second)
@@ -172,14 +176,15 @@
 			d.resume(0)
 			d.run(30 * wasabiridge.Second)
 			Expect(d.others(func(n *node) bool { return len(n.alive) == size-1 && !n.alive[d.entries[1].ID] })).To(BeEmpty())
-			// Everyone takes one back; the paused one also learns of one death.
-			Expect(d.changes()-before).To(BeNumerically("<=", 2*size), "lists flapped")
+			// Every instance adds one back; the paused one also receives one
+			// death.
+			Expect(d.changes()-before).To(BeNumerically("<=", 2*size), "views flapped")
 		})
 	}
 
 	// The platform lists an instance that is long dead, and an instance that
-	// just started knows nothing but the list.
-	It("never hand out a listed instance that nobody heard of", func() {
+	// has just started knows only the list.
+	It("never return a listed instance as alive that sent no heartbeat", func() {
 		d := newDriver(9, wasabitest.Seed, tenPercent)
 		d.nodes[8].down = true
 		for range 600 {
@@ -197,8 +202,8 @@
 	})
 
 	// One path between two instances is broken for an hour, everything else
-	// works. Neither may be buried for it.
-	It("keep an instance that some do not reach", func() {
+	// works. Neither may be declared dead because of it.
+	It("keep an instance that one other cannot reach", func() {
 		d := started(9, wasabitest.Seed, 0)
 		before := d.changes()
 		d.cut = func(from, to int) bool { return from+to == 1 }
--- a/internal/wasabimember/options.go
+++ b/internal/wasabimember/options.go
@@ -2,73 +2,80 @@
 
 import "github.com/wasabiridge/wasabiridge"
 
-// Times and bounds of the exchange. docs/design/member.md says where they come
-// from.
+// Intervals and bounds of the protocol. docs/design/member.md gives the reasons
+// behind them.
 const (
-	// Rings is how many instances watch each instance.
+	// Rings is the number of hash rings, and so of the instances that watch
+	// each instance.
 	Rings = 3
-	// beatInterval is the time between two heartbeats that an instance sends
-	// by itself. With three rings each successor is asked once a second.
-	beatInterval = wasabiridge.Second / Rings
-	// youngInterval is the same for an instance that just started, so that it
-	// soon knows all members.
-	youngInterval = beatInterval / 4
-	// retryInterval is the time between two attempts at a silent successor.
+	// heartbeatInterval is the time between two scheduled heartbeats of an
+	// instance. With three rings each successor gets one a second.
+	heartbeatInterval = wasabiridge.Second / Rings
+	// joiningInterval replaces heartbeatInterval while an instance has just
+	// started, so that it soon knows all members.
+	joiningInterval = heartbeatInterval / 4
+	// retryInterval is the time between two attempts to reach a successor that
+	// does not answer.
 	retryInterval = 200 * wasabiridge.Millis(1)
-	// suspectAfter and deadAfter are how long a successor is asked in vain
-	// before its other watchers are asked, and before it is given up.
+	// suspectAfter is how long a successor is probed without an answer before
+	// its other watchers are asked to probe it; deadAfter is how long after
+	// that it is declared dead.
 	suspectAfter = 600 * wasabiridge.Millis(1)
 	deadAfter    = 800 * wasabiridge.Millis(1)
-	// pauseGap is the time between two ticks that shows that this process
-	// itself stood still.
+	// pauseGap is the time between two ticks from which on this process is
+	// assumed to have been paused.
 	pauseGap = wasabiridge.Second
 
-	// newsLife is how long news is handed on, and how old news of a death may
-	// be to be believed without a check.
-	newsLife = 6 * wasabiridge.Second
-	// newsSends bounds how often one instance hands on one piece of news.
-	newsSends = 15
-	// newsPerMessage, syncPerMessage and backendsPerMessage bound a heartbeat.
-	newsPerMessage     = 48
+	// updateLifetime is for how long an update is sent on, and up to which age
+	// a reported death is applied without verification.
+	updateLifetime = 6 * wasabiridge.Second
+	// maxUpdateSends bounds how often one instance sends one update.
+	maxUpdateSends = 15
+	// updatesPerMessage, syncPerMessage and backendsPerMessage bound the
+	// entries of one heartbeat.
+	updatesPerMessage  = 48
 	syncPerMessage     = 12
 	backendsPerMessage = 8
-	// floodGap is the shortest time between two rounds of news to all
-	// successors. What comes in between goes together.
-	floodGap = 50 * wasabiridge.Millis(1)
-	// floodBurst and floodRate are the allowance of heartbeats, at once and
-	// for each second, that carry news out of turn.
-	floodBurst = 90
-	floodRate  = 1
-	// syncBurst and syncRate are the allowance of members that are sent
-	// because digests differ.
+	// broadcastGap is the shortest time between two rounds of updates to all
+	// successors. Updates that arrive in between are sent together.
+	broadcastGap = 50 * wasabiridge.Millis(1)
+	// broadcastBurst and broadcastRate (per second) are the token bucket for
+	// heartbeats that are sent outside the schedule to spread updates.
+	broadcastBurst = 90
+	broadcastRate  = 1
+	// syncBurst and syncRate (per second) are the token bucket for members that
+	// are sent because digests differ.
 	syncBurst = 1000
 	syncRate  = 8
 
-	// youth is how long an instance, or a member, counts as new.
-	youth = 10 * wasabiridge.Second
-	// settled is how long members must not have changed before a difference
-	// of digests counts.
-	settled = wasabiridge.Second
-	// reachInterval is the time between two heartbeats to listed instances
-	// that do not count as alive, so that parts that were cut from each other
-	// find together.
-	reachInterval = 10 * wasabiridge.Second
-	// verifyInterval is the time between two checks of old news of deaths.
+	// joinPeriod is for how long after its start an instance, or a member, is
+	// treated as new.
+	joinPeriod = 10 * wasabiridge.Second
+	// settleTime is for how long the members must not have changed before
+	// differing digests cause members to be sent.
+	settleTime = wasabiridge.Second
+	// contactInterval is the average time between two heartbeats to listed
+	// instances that are not alive in the local view, so that the sides of a
+	// network partition reconnect.
+	contactInterval = 10 * wasabiridge.Second
+	// verifyInterval is the time between two probes that verify deaths that
+	// were reported late; at most maxVerify of them wait.
 	verifyInterval = wasabiridge.Second / 2
 	maxVerify      = 512
-	// restFirst and restMost bound how long a member that others vouched for
-	// is not watched from here.
-	restFirst = 2 * wasabiridge.Second
-	restMost  = wasabiridge.Minute
-	// forgetAfter is how long members are kept that are dead and not listed.
+	// minBackoff and maxBackoff bound for how long this instance does not probe
+	// a successor that it could not reach but that others confirmed as alive.
+	minBackoff = 2 * wasabiridge.Second
+	maxBackoff = wasabiridge.Minute
+	// forgetAfter is how long dead members that are not listed are kept.
 	forgetAfter = 10 * wasabiridge.Minute
-	// backendLife and backendRest are how long the name of a leaving backend
-	// server is handed on, and how long it is then not taken up again.
-	backendLife = 5 * wasabiridge.Second
-	backendRest = 15 * wasabiridge.Second
+	// backendUpdateLifetime is how long the name of a leaving backend server is
+	// sent on, and backendRetention how long after its arrival it is ignored
+	// when it is received again.
+	backendUpdateLifetime = 5 * wasabiridge.Second
+	backendRetention      = 15 * wasabiridge.Second
 )
 
-// Options set up a Machine.
+// Options configures a Machine.
 type Options struct {
 	Self        wasabiridge.InstanceEntry
 	Incarnation wasabiridge.Incarnation
--- a/internal/wasabimember/partition_test.go
+++ b/internal/wasabimember/partition_test.go
@@ -12,32 +12,34 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabitest"
 )
 
-// partitions cut the instances into groups. Group 0 gets a newer configuration
-// than group 1 meanwhile.
+// partitions split the instances into groups. During the partition, group 0
+// gets a newer configuration than group 1.
 var partitions = map[string]struct {
 	count int
-	// lasts is an hour, but for the largest case, whose hour takes too long
-	// under the race detector. Nothing of the machine is slower than the
-	// largest rest of a minute but forgetting after ten minutes.
+	// lasts is an hour, except for the largest case, in which an hour takes too
+	// long under the race detector. The slowest timers of the machine are the
+	// largest probe backoff of a minute and the removal of dead members after
+	// ten minutes.
 	lasts wasabiridge.Millis
 	group func(i int) int
 }{
-	"zones of 9":                    {9, wasabiridge.Hour, func(i int) int { return i % 2 }},
-	"a zone of one instance":        {9, wasabiridge.Hour, func(i int) int { return min(i, 1) }},
-	"the zones of 90":               {90, wasabiridge.Hour, func(i int) int { return i % 9 / 4 }},
-	"a region of 370, 4 regions":    {370, 2 * wasabiridge.Minute, func(i int) int { return i % 4 / 3 }},
-	"every instance for itself, 9":  {9, wasabiridge.Hour, func(i int) int { return i }},
-	"four regions cut from another": {90, 12 * wasabiridge.Minute, func(i int) int { return i % 4 }},
+	"zones of 9":                       {9, wasabiridge.Hour, func(i int) int { return i % 2 }},
+	"a zone of one instance":           {9, wasabiridge.Hour, func(i int) int { return min(i, 1) }},
+	"the zones of 90":                  {90, wasabiridge.Hour, func(i int) int { return i % 9 / 4 }},
+	"a region of 370, 4 regions":       {370, 2 * wasabiridge.Minute, func(i int) int { return i % 4 / 3 }},
+	"every instance for itself, 9":     {9, wasabiridge.Hour, func(i int) int { return i }},
+	"four regions cut from each other": {90, 12 * wasabiridge.Minute, func(i int) int { return i % 4 }},
 }
 
-var _ = Describe("Parts that are cut from each other", func() {
-	// A network failure cuts zones or regions for an hour. Each side goes on
-	// with its own members, operators change the configuration on one side,
-	// and when the paths are back, all must be as before with the newest
-	// configuration. Callers' lists may change once in each direction only:
-	// a side that believed the other's old news would bury its own members.
+var _ = Describe("Sides of a network partition", func() {
+	// A network failure partitions availability zones or regions for an hour.
+	// Each side goes on with its own members, and operators change the
+	// configuration on one side. When the paths work again, all views must be
+	// as before, with the newest configuration. Callers' lists may change once
+	// in each direction only: a side that applied the other's old updates would
+	// declare its own members dead.
 	for _, name := range slices.Sorted(maps.Keys(partitions)) {
-		It("serve, find together and do not flap: "+name, func() {
+		It("keep serving, reconnect and do not flap: "+name, func() {
 			p := partitions[name]
 			d := started(p.count, wasabitest.Seed, tenPercent)
 			d.post(0, wasabimember.ConfigInForce{Version: 3}, 0)
@@ -57,7 +59,7 @@
 			d.run(p.lasts)
 			d.cut = func(int, int) bool { return false }
 			took := d.runUntil(d.now+5*wasabiridge.Minute, func() bool { return d.sees(p.count) })
-			GinkgoWriter.Printf("%s: together after %d ms\n", name, took)
+			GinkgoWriter.Printf("%s: reconnected after %d ms\n", name, took)
 			Expect(d.sees(p.count)).To(BeTrue())
 			d.run(wasabiridge.Minute)
 			for i, n := range d.nodes {
@@ -68,8 +70,8 @@
 						other++
 					}
 				}
-				// One burial and one return for each on the other side, and
-				// one for this instance's own word against its burial.
+				// One death and one return for each instance on the other side,
+				// and one refutation of each instance's own death.
 				Expect(n.changes-before[i]).To(BeNumerically("<=", 2*other+p.count), "%s flapped", n.id)
 			}
 		})
--- a/internal/wasabimember/probe.go
+++ b/internal/wasabimember/probe.go
@@ -6,15 +6,16 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// probe is a question to a member that has not answered yet.
+// probe tracks heartbeats to a member that has not answered yet.
 type probe struct {
 	entry       *entry
 	first, last wasabiridge.Millis
-	// suspected is when the other watchers were asked. Zero means not yet.
+	// suspected is when the other watchers were asked to probe the member. Zero
+	// means not yet.
 	suspected wasabiridge.Millis
 }
 
-// successors returns whom this instance watches.
+// successors returns the members that this instance watches.
 func (m *Machine) successors() []*entry {
 	if m.watchedAt != m.table.changes {
 		m.watched = m.table.neighbours(m.self, false)
@@ -24,36 +25,36 @@
 }
 
 func (m *Machine) tick(now wasabiridge.Millis) {
-	m.forgivePause(now)
+	m.clearAfterPause(now)
 	m.lastTick = now
 	for _, p := range slices.Clone(m.probes) {
-		m.check(now, p)
+		m.advanceProbe(now, p)
 	}
-	if now >= m.nextBeat {
-		interval := beatInterval
-		if now-m.started < youth {
-			interval = youngInterval
+	if now >= m.nextHeartbeat {
+		interval := heartbeatInterval
+		if now-m.started < joinPeriod {
+			interval = joiningInterval
 		}
-		m.nextBeat = now + interval - interval/8 + m.jitter(interval/4)
-		m.beat(now)
+		m.nextHeartbeat = now + interval - interval/8 + m.jitter(interval/4)
+		m.sendHeartbeat(now)
 	}
-	if now >= m.nextReach {
-		m.nextReach = now + reachInterval/2 + m.jitter(reachInterval)
-		m.reach(now)
+	if now >= m.nextContact {
+		m.nextContact = now + contactInterval/2 + m.jitter(contactInterval)
+		m.contactListed(now)
 	}
-	if now >= m.nextCheck && len(m.verify) > 0 {
-		m.nextCheck = now + verifyInterval
+	if now >= m.nextVerify && len(m.verify) > 0 {
+		m.nextVerify = now + verifyInterval
 		e := m.verify[0]
 		m.verify = m.verify[1:]
 		e.verify = false
-		m.ask(now, e, e.doubted)
+		m.probeMember(now, e, e.reportedDeath)
 	}
 }
 
-// forgivePause drops all suspicion after this process stood still: the silence
-// was its own. Without it, an instance that wakes up would bury all members
-// that it watches.
-func (m *Machine) forgivePause(now wasabiridge.Millis) {
+// clearAfterPause drops all suspicion after this process was paused: the
+// answers may be missing because of the pause. Without it, an instance that
+// resumes would declare all members dead that it watches.
+func (m *Machine) clearAfterPause(now wasabiridge.Millis) {
 	if now-m.lastTick < pauseGap {
 		return
 	}
@@ -63,26 +64,28 @@
 	m.probes = nil
 }
 
-// beat sends the heartbeat whose turn it is. An instance that knows nobody
-// alive turns to the list.
-func (m *Machine) beat(now wasabiridge.Millis) {
+// sendHeartbeat sends the scheduled heartbeat to the next successor in
+// rotation. An instance that knows no living member contacts a listed instance
+// instead.
+func (m *Machine) sendHeartbeat(now wasabiridge.Millis) {
 	successors := m.successors()
 	if len(successors) == 0 {
-		m.reach(now)
+		m.contactListed(now)
 		return
 	}
-	m.turn++
-	e := successors[m.turn%len(successors)]
-	if now >= e.restUntil {
-		m.ask(now, e)
+	m.rotation++
+	e := successors[m.rotation%len(successors)]
+	if now >= e.backoffUntil {
+		m.probeMember(now, e)
 	}
-	if now-m.started < youth {
-		m.reach(now)
+	if now-m.started < joinPeriod {
+		m.contactListed(now)
 	}
 }
 
-// reach sends a heartbeat to a listed instance that does not count as alive.
-func (m *Machine) reach(now wasabiridge.Millis) {
+// contactListed sends a heartbeat to a random listed instance that is not alive
+// in the local view.
+func (m *Machine) contactListed(now wasabiridge.Millis) {
 	var candidates []*entry
 	for _, e := range m.table.ordered {
 		if e.listed && e.state != alive {
@@ -103,7 +106,7 @@
 	}
 	for range min(count, len(candidates)) {
 		i := m.random.IntN(len(candidates))
-		if !m.flood.spend(now) {
+		if !m.broadcastBudget.spend(now) {
 			return
 		}
 		m.send(now, candidates[i])
@@ -111,15 +114,17 @@
 	}
 }
 
-// send sends a heartbeat with some words more.
+// send sends a heartbeat with additional reports.
 func (m *Machine) send(now wasabiridge.Millis, to *entry, more ...wasabiridge.Member) {
 	h := m.compose(now, to)
 	h.Others = append(h.Others, more...)
 	m.emit(Exchange{To: to.member.ID, Address: to.member.PeerAddress, Heartbeat: h})
 }
 
-// ask sends a heartbeat and follows whether it is answered.
-func (m *Machine) ask(now wasabiridge.Millis, e *entry, more ...wasabiridge.Member) {
+// probeMember sends a heartbeat and tracks whether it is answered. It does
+// nothing when the member is not alive in the local view or is being probed
+// already.
+func (m *Machine) probeMember(now wasabiridge.Millis, e *entry, more ...wasabiridge.Member) {
 	if e.state != alive || m.probeOf(e) != nil {
 		return
 	}
@@ -136,25 +141,26 @@
 	return nil
 }
 
-// answered ends the probe of a member.
-func (m *Machine) answered(e *entry) {
+// endProbe ends the probe of a member.
+func (m *Machine) endProbe(e *entry) {
 	m.probes = slices.DeleteFunc(m.probes, func(p *probe) bool { return p.entry == e })
 }
 
-// check goes on with a probe: it asks again, asks others, or gives up.
-func (m *Machine) check(now wasabiridge.Millis, p *probe) {
+// advanceProbe moves a probe on: it sends another heartbeat, asks the other
+// watchers, or declares the member dead.
+func (m *Machine) advanceProbe(now wasabiridge.Millis, p *probe) {
 	switch {
 	case p.suspected != 0 && now-p.suspected >= deadAfter:
-		said := p.entry.member
-		said.Age = 0
-		m.bury(now, p.entry, said)
+		report := p.entry.member
+		report.Age = 0
+		m.markDead(now, p.entry, report)
 		return
 	case p.suspected == 0 && now-p.first >= suspectAfter:
 		p.suspected = now
 		m.table.suspect(p.entry, true)
-		m.askOthers(now, p.entry)
+		m.requestIndirectProbes(now, p.entry)
 		for _, e := range m.successors() {
-			m.ask(now, e)
+			m.probeMember(now, e)
 		}
 	}
 	if now-p.last >= retryInterval {
@@ -163,65 +169,66 @@
 	}
 }
 
-// askOthers asks the other watchers of a silent member whether they reach it.
-// Without them, one broken path between two instances would bury a member that
-// everyone else reaches.
-func (m *Machine) askOthers(now wasabiridge.Millis, e *entry) {
-	question := brief(m.describe(now, e))
-	question.Suspect = true
-	question.Age = 0
+// requestIndirectProbes asks the other watchers of a silent member whether they
+// reach it. Without it, one broken path between two instances would make a
+// member dead that all others reach.
+func (m *Machine) requestIndirectProbes(now wasabiridge.Millis, e *entry) {
+	request := withoutAddresses(m.describe(now, e))
+	request.Suspect = true
+	request.Age = 0
 	for _, watcher := range m.table.neighbours(e, true) {
 		if watcher == m.self {
 			continue
 		}
-		m.send(now, watcher, question)
+		m.send(now, watcher, request)
 	}
 }
 
-// asked takes the question of another watcher.
-func (m *Machine) asked(now wasabiridge.Millis, from wasabiridge.InstanceID, said wasabiridge.Member) {
-	e := m.table.get(said.ID)
-	if e == nil || e.state != alive || e.member.Incarnation != said.Incarnation {
+// indirectProbe probes a member on behalf of another watcher.
+func (m *Machine) indirectProbe(now wasabiridge.Millis, from wasabiridge.InstanceID, report wasabiridge.Member) {
+	e := m.table.get(report.ID)
+	if e == nil || e.state != alive || e.member.Incarnation != report.Incarnation {
 		return
 	}
-	if !slices.Contains(e.askers, from) {
-		e.askers = append(e.askers, from)
+	if !slices.Contains(e.probeRequesters, from) {
+		e.probeRequesters = append(e.probeRequesters, from)
 	}
-	m.ask(now, e)
+	m.probeMember(now, e)
 }
 
-// vouch tells those who asked that the member just spoke.
-func (m *Machine) vouch(now wasabiridge.Millis, e *entry) {
-	for _, id := range e.askers {
-		asker := m.table.get(id)
-		if asker == nil || asker.state != alive {
+// confirmToRequesters notifies the watchers that requested a probe that the
+// member has just answered.
+func (m *Machine) confirmToRequesters(now wasabiridge.Millis, e *entry) {
+	for _, id := range e.probeRequesters {
+		requester := m.table.get(id)
+		if requester == nil || requester.state != alive {
 			continue
 		}
-		word := brief(m.describe(now, e))
-		word.Vouched = true
-		m.send(now, asker, word)
+		confirmation := withoutAddresses(m.describe(now, e))
+		confirmation.Vouched = true
+		m.send(now, requester, confirmation)
 	}
-	e.askers = nil
+	e.probeRequesters = nil
 }
 
-// vouchedFor ends the suspicion of a member that others reach. It is left to
-// them for a while, longer each time, so that a path that stays broken does
-// not bring up the same question every second.
-func (m *Machine) vouchedFor(now wasabiridge.Millis, e *entry) {
+// confirmedByOther ends the suspicion of a member that another instance
+// reaches. This instance stops probing it for a while, longer each time, so
+// that a path that stays broken does not cause indirect probes every second.
+func (m *Machine) confirmedByOther(now wasabiridge.Millis, e *entry) {
 	if m.probeOf(e) == nil {
 		return
 	}
-	m.answered(e)
+	m.endProbe(e)
 	m.table.suspect(e, false)
-	e.rest = min(max(2*e.rest, restFirst), restMost)
-	e.restUntil = now + e.rest
+	e.backoff = min(max(2*e.backoff, minBackoff), maxBackoff)
+	e.backoffUntil = now + e.backoff
 }
 
-// doubt puts a member on the list of those to ask, because someone says that
-// it died a while ago. The question carries the news, so that a member that
-// lives outdoes it.
-func (m *Machine) doubt(e *entry, said wasabiridge.Member) {
-	e.doubted = brief(said)
+// verifyDeath queues a member for a probe because another instance reports a
+// death that happened a while ago. The probe carries that report, so that a
+// living member can refute it.
+func (m *Machine) verifyDeath(e *entry, report wasabiridge.Member) {
+	e.reportedDeath = withoutAddresses(report)
 	if e.verify || len(m.verify) >= maxVerify {
 		return
 	}
@@ -229,15 +236,15 @@
 	m.verify = append(m.verify, e)
 }
 
-// spread hands news to all successors at once.
-func (m *Machine) spread(now wasabiridge.Millis) {
-	if !m.floodDue || now-m.flooded < floodGap {
+// broadcast sends pending updates to all successors at once.
+func (m *Machine) broadcast(now wasabiridge.Millis) {
+	if !m.broadcastDue || now-m.lastBroadcast < broadcastGap {
 		return
 	}
-	m.floodDue = false
-	m.flooded = now
+	m.broadcastDue = false
+	m.lastBroadcast = now
 	for _, e := range m.successors() {
-		if !m.flood.spend(now) {
+		if !m.broadcastBudget.spend(now) {
 			return
 		}
 		m.send(now, e)
--- a/internal/wasabimember/summary.go
+++ b/internal/wasabimember/summary.go
@@ -7,18 +7,22 @@
 )
 
 const (
-	// summaryInterval is the time over which changes are gathered into one line.
+	// summaryInterval is the time over which changes are collected into one
+	// line.
 	summaryInterval = wasabiridge.Second
-	// summaryNames bounds the names in a line, of each state. The rest is counted.
+	// summaryNames bounds the names per state in a line. Further members are
+	// only counted.
 	summaryNames = 12
 )
 
-// Summary gathers changes of members for the log.
+// Summary collects membership changes for the log.
 //
-// The failure it guards against: hundreds of instances start at once, or a part of
-// them is cut off and comes back. Each of them would write a line for each of the
-// others, the square of their number within a second, and other lines are lost.
-// With it, an instance writes one line a second at most, of bounded length.
+// It guards against log floods: when hundreds of instances start at once, or a
+// group of them is partitioned and reconnects, one line for each change would
+// make each instance write as many lines as there are other instances, the
+// square of their number in total within a second, and other log lines would be
+// lost. With Summary, an instance writes at most one line of bounded length a
+// second.
 //
 // The zero value is empty. It is not safe for concurrent use.
 type Summary struct {
@@ -26,13 +30,13 @@
 	states map[string]*stateChanges
 }
 
-// stateChanges are the members that came into one state.
+// stateChanges counts the members that entered one state.
 type stateChanges struct {
 	count int
 	names []string
 }
 
-// Add takes a change.
+// Add records a change.
 func (s *Summary) Add(now wasabiridge.Millis, m wasabiridge.Member) {
 	if s.states == nil {
 		s.states, s.since = map[string]*stateChanges{}, now
@@ -49,8 +53,8 @@
 	}
 }
 
-// Write writes what was gathered once the interval is over. Members is how many
-// other instances are known.
+// Write logs the collected changes once summaryInterval is over. members is the
+// number of other instances in the membership view.
 func (s *Summary) Write(now wasabiridge.Millis, log zerolog.Logger, members int) {
 	if s.states == nil || now-s.since < summaryInterval {
 		return
@@ -65,7 +69,7 @@
 	s.states = nil
 }
 
-// States of a member, as the log and the time line show them.
+// States of a member in the log and the timeline.
 const (
 	stateAlive   = "alive"
 	stateLeaving = "leaving"
--- a/internal/wasabimember/summary_test.go
+++ b/internal/wasabimember/summary_test.go
@@ -12,15 +12,16 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabimember"
 )
 
-// lineBytes bounds a line: 36 names of up to 40 bytes, and the rest.
+// lineBytes bounds a line: 36 names of up to 40 bytes, and the other fields.
 const lineBytes = 2048
 
-var _ = Describe("Lines about other instances", func() {
-	// 374 instances start at once, all lose power, and start again; a third is cut
-	// off for a while after that. Each instance sees some 1,400 changes within
-	// 20 s. On-call engineers found nothing else in the logs, and lines about
-	// requests were lost: one line a change is the square of the instances.
-	It("are few and short, however many instances come and go", func() {
+var _ = Describe("Log lines about membership changes", func() {
+	// 374 instances start at once, all lose power, and start again; then a
+	// third of them is partitioned for a while. Each instance sees some 1,400
+	// changes within 20 s. With one line per change, the number of lines grows
+	// with the square of the instances: on-call engineers found nothing else in
+	// the logs, and lines about requests were lost.
+	It("are few and short however many instances start and stop", func() {
 		const instances = 374
 		var out bytes.Buffer
 		log := zerolog.New(&out)
@@ -50,7 +51,7 @@
 		}
 	})
 
-	It("name and count who changed to what", func() {
+	It("name and count the members per new state", func() {
 		var out bytes.Buffer
 		var s wasabimember.Summary
 		s.Write(begin, zerolog.New(&out), 0)
--- a/internal/wasabimember/table.go
+++ b/internal/wasabimember/table.go
@@ -12,36 +12,38 @@
 type state uint8
 
 const (
-	// unproven members are listed by the platform; nobody heard of them yet.
-	unproven state = iota
+	// unverified members are known from the platform's list only; no heartbeat
+	// or report about them has arrived yet.
+	unverified state = iota
 	alive
 	dead
 )
 
-// entry is what is known of one instance.
+// entry is the local state of one instance.
 type entry struct {
 	member wasabiridge.Member
 	state  state
 	listed bool
-	// hashes are the places of the instance on the rings.
+	// hashes are the positions of the instance on the rings.
 	hashes [Rings]uint64
-	// mark goes into the digest while the instance is alive.
-	mark uint64
-	// since is when the state last changed, joined when this life was first
-	// heard of, both by the local clock.
+	// digestPart is XORed into the table's digest while the instance is alive.
+	digestPart uint64
+	// since is when the state last changed, joined when the current incarnation
+	// was first reported, both by the local clock.
 	since  wasabiridge.Millis
 	joined wasabiridge.Millis
-	// digest is the last that the instance sent. Zero means none.
+	// digest is the last digest that the instance sent. Zero means none.
 	digest uint64
-	// rest is how long the instance is not watched from here, until then.
-	rest      wasabiridge.Millis
-	restUntil wasabiridge.Millis
-	// askers wait for a word on whether the instance is alive.
-	askers []wasabiridge.InstanceID
-	// verify marks an entry that waits for a check, and doubted is the news of
-	// its death that has to be checked.
-	verify  bool
-	doubted wasabiridge.Member
+	// backoff is the length of the current pause in probing this instance, and
+	// backoffUntil when that pause ends.
+	backoff      wasabiridge.Millis
+	backoffUntil wasabiridge.Millis
+	// probeRequesters are the instances to notify when this one answers.
+	probeRequesters []wasabiridge.InstanceID
+	// verify is set while a probe has to verify a reported death, and
+	// reportedDeath is that report.
+	verify        bool
+	reportedDeath wasabiridge.Member
 }
 
 func newEntry(m wasabiridge.Member) *entry {
@@ -49,12 +51,13 @@
 	for i := range e.hashes {
 		e.hashes[i] = xxhash.Sum64String(string(m.ID) + "/" + string(rune('0'+i)))
 	}
-	e.remark()
+	e.updateDigestPart()
 	return e
 }
 
-// remark works out the mark again after a change of life or of departure.
-func (e *entry) remark() {
+// updateDigestPart recomputes digestPart after a change of the incarnation or
+// of the leaving flag.
+func (e *entry) updateDigestPart() {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(string(e.member.ID))
@@ -67,13 +70,14 @@
 		b[i] = byte(v >> (8 * i))
 	}
 	_, _ = d.Write(b[:])
-	e.mark = d.Sum64()
+	e.digestPart = d.Sum64()
 }
 
-// outdone reports whether the other knowledge of the same instance is newer.
-func (e *entry) outdone(m wasabiridge.Member) bool {
-	if e.state == unproven || m.Incarnation != e.member.Incarnation {
-		return e.state == unproven || m.Incarnation > e.member.Incarnation
+// supersededBy reports whether m is newer than the entry's state. Both describe
+// the same instance.
+func (e *entry) supersededBy(m wasabiridge.Member) bool {
+	if e.state == unverified || m.Incarnation != e.member.Incarnation {
+		return e.state == unverified || m.Incarnation > e.member.Incarnation
 	}
 	if m.Sequence != e.member.Sequence {
 		return m.Sequence > e.member.Sequence
@@ -81,13 +85,13 @@
 	return m.Dead && e.state != dead
 }
 
-// table holds all entries, ordered by name, so that no order of a map reaches
-// a decision.
+// table holds all entries, ordered by name, so that no decision depends on the
+// iteration order of a map.
 type table struct {
 	ordered []*entry
 	byID    map[wasabiridge.InstanceID]*entry
 	digest  uint64
-	// changes rises whenever neighbours may have changed.
+	// changes increases whenever the neighbours of an entry may have changed.
 	changes uint64
 }
 
@@ -106,21 +110,21 @@
 	delete(t.byID, e.member.ID)
 }
 
-// set changes an entry and keeps the digest right.
+// set applies a change to an entry and updates the digest.
 func (t *table) set(e *entry, to state, change func()) {
 	if e.state == alive {
-		t.digest ^= e.mark
+		t.digest ^= e.digestPart
 	}
 	t.changes++
 	change()
 	e.state = to
-	e.remark()
+	e.updateDigestPart()
 	if e.state == alive {
-		t.digest ^= e.mark
+		t.digest ^= e.digestPart
 	}
 }
 
-// suspect marks an entry, or takes the mark away.
+// suspect sets or clears the suspicion of an entry.
 func (t *table) suspect(e *entry, suspected bool) {
 	if e.member.Suspect == suspected {
 		return
@@ -129,10 +133,10 @@
 	t.changes++
 }
 
-// next returns the living entry that follows another one on a ring, or comes
-// before it. It passes over suspected ones, so that a watcher whose successors
-// all went silent at once goes on along the ring without waiting for the end
-// of each suspicion. It returns nil when there is none.
+// next returns the living entry that follows from on a ring, or precedes it
+// when back is set. It skips suspected entries, so that a watcher whose
+// successors all stop answering at once moves on along the ring without waiting
+// for the end of each suspicion. It returns nil when there is no such entry.
 func (t *table) next(from *entry, ring int, back bool) *entry {
 	var best *entry
 	var least uint64
@@ -140,7 +144,7 @@
 		if e == from || e.state != alive || e.member.Suspect {
 			continue
 		}
-		// Unsigned wrap-around makes the distance along the ring.
+		// Unsigned wrap-around yields the distance along the ring.
 		distance := e.hashes[ring] - from.hashes[ring]
 		if back {
 			distance = -distance
@@ -152,8 +156,8 @@
 	return best
 }
 
-// neighbours returns the living successors or predecessors of an entry, each
-// once, in the order of the rings.
+// neighbours returns the living successors of an entry, or its predecessors
+// when back is set, each once, in the order of the rings.
 func (t *table) neighbours(of *entry, back bool) []*entry {
 	var out []*entry
 	for ring := range Rings {
