--- a/internal/wasabipeer/bench_test.go
+++ b/internal/wasabipeer/bench_test.go
@@ -19,13 +19,13 @@
 const (
 	// segmentHeader is the size of the IPv4 and TCP headers with timestamps.
 	segmentHeader = 20 + 32
-	// segmentSize is the most that one segment carries on an Ethernet path.
+	// segmentSize is the maximum payload of a TCP segment on Ethernet.
 	segmentSize = 1448
 )
 
-// wire counts what its connections write. Every write is counted as its own
-// segments, each of them acknowledged by a segment without data, which is the
-// dearest that TCP does.
+// wire counts what its connections write. Every write counts as segments of its
+// own, each acknowledged by a segment without data, which is the most expensive
+// way TCP can send it.
 type wire struct{ bytes, segments atomic.Int64 }
 
 type countedConn struct {
@@ -41,7 +41,7 @@
 
 func (w *wire) total() int64 { return w.bytes.Load() + 2*segmentHeader*w.segments.Load() }
 
-// steady is a heartbeat as it is sent when nothing happens.
+// steady is a heartbeat as it is sent while the membership does not change.
 var steady = wasabiridge.Heartbeat{
 	From: wasabiridge.Member{
 		InstanceEntry: wasabiridge.InstanceEntry{ID: "region-3-369"},
@@ -59,8 +59,8 @@
 	return u.Utime.Nano() + u.Stime.Nano()
 }
 
-// BenchmarkExchange measures one steady exchange of heartbeats: its time, and
-// the bytes of both directions on the wire.
+// BenchmarkExchange measures one exchange of heartbeats over an open
+// connection: its time, and the bytes of both directions on the wire.
 func BenchmarkExchange(b *testing.B) {
 	RegisterTestingT(b)
 	secure := certificate()
@@ -101,8 +101,8 @@
 	}
 }
 
-// BenchmarkConnections measures the memory of one connection, both its ends
-// together, after a heartbeat went over it.
+// BenchmarkConnections measures the memory of one connection, for both its ends
+// together, after one exchange of heartbeats.
 func BenchmarkConnections(b *testing.B) {
 	RegisterTestingT(b)
 	const count = 200
--- a/internal/wasabipeer/bus.go
+++ b/internal/wasabipeer/bus.go
@@ -13,14 +13,14 @@
 // Bounds of the event bus between instances.
 const (
 	maxEnvelopes = 256
-	// subscriberRing holds messages that a subscriber did not take yet. When
-	// it is full the publishing instance waits until its deadline, and then
-	// learns that the message was not taken.
-	subscriberRing = 64
+	// subscriberBuffer is the number of messages that wait for a subscriber.
+	// When the buffer is full, the publishing instance waits until its deadline
+	// and then gets an error.
+	subscriberBuffer = 64
 )
 
-// Publisher sends messages of the event bus to other instances. It is safe
-// for concurrent use.
+// Publisher sends messages of the event bus to other instances. It is safe for
+// concurrent use.
 type Publisher struct {
 	client    *Client
 	addresses func() []string
@@ -29,13 +29,14 @@
 var _ message.Publisher = (*Publisher)(nil)
 
 // NewPublisher returns a publisher that sends to the addresses that the
-// function names at each call. The function must be safe for concurrent use.
+// function returns at each call. The function must be safe for concurrent use.
 func NewPublisher(c *Client, addresses func() []string) *Publisher {
 	return &Publisher{client: c, addresses: addresses}
 }
 
-// Publish sends the messages to every address and waits until their
-// subscribers took them. It goes on after a failure and reports the first.
+// Publish sends the messages to every address and waits until the subscribers
+// there have acknowledged them. After a failure it continues with the other
+// addresses and returns the first error.
 func (p *Publisher) Publish(topic string, messages ...*message.Message) error {
 	request := &pb.PublishRequest{Topic: topic}
 	ctx := context.Background()
@@ -61,14 +62,14 @@
 	out   chan *message.Message
 }
 
-// Subscriber hands out what other instances publish to this one. It is safe
-// for concurrent use.
+// Subscriber receives what other instances publish to this one. It is safe for
+// concurrent use.
 type Subscriber struct {
 	// sending is held for reading while a message goes to a subscription, so
-	// that no channel is closed under a sender.
+	// that no channel is closed during a send.
 	sending sync.RWMutex
-	// closing releases senders that wait at a full ring before the lock is
-	// taken for good.
+	// closing unblocks senders that wait at a full buffer before the lock is
+	// taken for closing.
 	closing   chan struct{}
 	closeOnce sync.Once
 	closed    bool
@@ -88,7 +89,7 @@
 	if s.closed {
 		return nil, wasabiridge.ErrUnavailable.New("peer: the subscriber is closed")
 	}
-	sub := &subscription{topic: topic, ctx: ctx, out: make(chan *message.Message, subscriberRing)}
+	sub := &subscription{topic: topic, ctx: ctx, out: make(chan *message.Message, subscriberBuffer)}
 	s.subs = append(s.subs, sub)
 	context.AfterFunc(ctx, func() { s.remove(sub) })
 	return sub.out, nil
@@ -119,11 +120,11 @@
 	return nil
 }
 
-// deliver hands the messages to every subscription of the topic and waits for
-// their acknowledgement. A topic without subscriptions takes everything.
+// deliver sends the messages to every subscription of the topic and waits for
+// their acknowledgement. A topic without subscriptions accepts every message.
 func (s *Subscriber) deliver(ctx context.Context, in *pb.PublishRequest) error {
 	if in.GetTopic() == "" || len(in.GetEnvelopes()) > maxEnvelopes {
-		return wasabiridge.ErrInvalid.New("peer: %d messages for topic %q", len(in.GetEnvelopes()), in.GetTopic())
+		return wasabiridge.ErrInvalid.New("peer: refused %d messages for topic %q: no topic or too many messages", len(in.GetEnvelopes()), in.GetTopic())
 	}
 	for _, e := range in.Envelopes {
 		for _, sent := range s.send(ctx, in.Topic, e) {
@@ -135,9 +136,9 @@
 	return nil
 }
 
-// send puts one message into the ring of every subscription of the topic.
-// Subscriptions whose ring stays full are left with a message that nobody
-// acknowledges, and so the publisher learns of it.
+// send puts one message into the buffer of every subscription of the topic.
+// When a buffer stays full, the message is still returned as sent: nobody
+// acknowledges it, so await reports the failure to the publisher.
 func (s *Subscriber) send(ctx context.Context, topic string, e *pb.Envelope) []*message.Message {
 	s.sending.RLock()
 	defer s.sending.RUnlock()
@@ -167,12 +168,12 @@
 	case <-m.Acked():
 		return nil
 	case <-m.Nacked():
-		return wasabiridge.ErrConflict.New("peer: a subscriber refused the message")
+		return wasabiridge.ErrConflict.New("peer: a subscriber rejected the message")
 	case <-m.Context().Done():
 		return nil
 	case <-s.closing:
-		return wasabiridge.ErrOutcomeUnknown.New("peer: the subscriber closed")
+		return wasabiridge.ErrOutcomeUnknown.New("peer: the subscriber was closed before it acknowledged the message")
 	case <-ctx.Done():
-		return wasabiridge.ErrOutcomeUnknown.Wrap(ctx.Err(), "peer: no subscriber took the message in time")
+		return wasabiridge.ErrOutcomeUnknown.Wrap(ctx.Err(), "peer: a subscriber did not acknowledge the message in time")
 	}
 }
--- a/internal/wasabipeer/bus_test.go
+++ b/internal/wasabipeer/bus_test.go
@@ -46,7 +46,7 @@
 		Expect(other).NotTo(Receive())
 	})
 
-	It("tells the publisher of a refusal", func() {
+	It("reports a rejected message to the publisher", func() {
 		server, p := setup()
 		in, err := server.Bus().Subscribe(context.Background(), "load")
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/wasabipeer/catalog.go
+++ b/internal/wasabipeer/catalog.go
@@ -9,20 +9,23 @@
 	pb "github.com/wasabiridge/wasabiridge/internal/wasabipeer/wasabipeerpb"
 )
 
-// maxNews bounds each list of one message of news, maxTokens the length that
-// one part of a prompt may claim.
+// maxUpdateEntries bounds each list of one state update, and the requests in
+// flight that one instance may report for a backend server. maxTokens bounds
+// the reported length of one prompt segment.
 const (
-	maxNews   = 4096
-	maxTokens = 1 << 24
-	// maxInsideTokens bounds the tokens that one instance may have inside a backend
-	// server, maxPriority the rank of a request.
+	maxUpdateEntries = 4096
+	maxTokens        = 1 << 24
+	// maxInsideTokens bounds the tokens in flight that one instance may report
+	// for a backend server, and maxPriority the absolute value of a request's
+	// priority.
 	maxInsideTokens = 1 << 30
 	maxPriority     = 1 << 20
 )
 
 var _ wasabiridge.CatalogPeers = (*Client)(nil)
 
-// AskCatalog asks another instance for what it knows of the platform.
+// AskCatalog queries the catalog of another instance. It reports
+// wasabiridge.ErrUnavailable when no catalog is kept there.
 func (c *Client) AskCatalog(ctx context.Context, address string, q wasabiridge.CatalogQuery) (wasabiridge.CatalogAnswer, error) {
 	var out *pb.CatalogAnswer
 	err := c.invoke(ctx, invocation{address: address, timeout: exchangeTimeout,
@@ -44,7 +47,7 @@
 	return answer, nil
 }
 
-// TellNews hands news to another instance.
+// TellNews sends a state update to another instance.
 func (c *Client) TellNews(ctx context.Context, address string, n wasabiridge.News) error {
 	return c.invoke(ctx, invocation{address: address, timeout: exchangeTimeout,
 		run: func(ctx context.Context, stub pb.PeerClient, opts ...grpc.CallOption) error {
@@ -53,11 +56,11 @@
 		}})
 }
 
-// AskCatalog answers what is known here.
+// AskCatalog answers a query with the catalog of this instance.
 func (s *service) AskCatalog(ctx context.Context, in *pb.CatalogQuery) (*pb.CatalogAnswer, error) {
 	h, ok := s.handler.(wasabiridge.CatalogHandler)
 	if !ok {
-		return nil, toStatus(ctx, wasabiridge.ErrUnavailable.New("peer: no catalog is kept here"))
+		return nil, toStatus(ctx, wasabiridge.ErrUnavailable.New("peer: this instance keeps no catalog"))
 	}
 	answer, err := h.HandleAskCatalog(ctx, wasabiridge.CatalogQuery{ConfigDigest: in.ConfigDigest, BackendDigest: in.BackendDigest})
 	if err != nil {
@@ -72,11 +75,11 @@
 	return out, nil
 }
 
-// TellNews takes the news of another instance.
+// TellNews receives a state update of another instance.
 func (s *service) TellNews(ctx context.Context, in *pb.News) (*pb.TellNewsResponse, error) {
 	h, ok := s.handler.(wasabiridge.CatalogHandler)
 	if !ok {
-		return nil, toStatus(ctx, wasabiridge.ErrUnavailable.New("peer: no catalog is kept here"))
+		return nil, toStatus(ctx, wasabiridge.ErrUnavailable.New("peer: this instance keeps no catalog"))
 	}
 	n, err := decodeNews(in)
 	if err != nil {
@@ -94,7 +97,8 @@
 	}
 }
 
-// decodePart takes a part without an age as one of which nothing is known.
+// decodePart treats a catalog part without an age, or with an age of a day or
+// more, as unknown.
 func decodePart(p *pb.CatalogPart) wasabiridge.CatalogPart {
 	out := wasabiridge.CatalogPart{Revision: p.GetRevision(), Digest: p.GetDigest(), Age: -1, Content: p.GetContent()}
 	if p.GetKnown() && p.GetAgeMs() < uint64(wasabiridge.Day) {
@@ -132,8 +136,8 @@
 }
 
 func decodeNews(in *pb.News) (wasabiridge.News, error) {
-	if len(in.Rests) > maxNews || len(in.Loads) > maxNews || len(in.Parts) > maxNews || len(in.Crashes) > maxNews || len(in.Uses) > maxNews {
-		return wasabiridge.News{}, wasabiridge.ErrInvalid.New("peer: news exceed their bounds")
+	if len(in.Rests) > maxUpdateEntries || len(in.Loads) > maxUpdateEntries || len(in.Parts) > maxUpdateEntries || len(in.Crashes) > maxUpdateEntries || len(in.Uses) > maxUpdateEntries {
+		return wasabiridge.News{}, wasabiridge.ErrInvalid.New("peer: a list of the state update has too many entries")
 	}
 	n := wasabiridge.News{From: wasabiridge.InstanceID(in.From), Changed: in.Changed}
 	for _, r := range in.Rests {
@@ -146,7 +150,7 @@
 	}
 	for _, l := range in.Loads {
 		n.Loads = append(n.Loads, wasabiridge.LoadNews{
-			Backend: wasabiridge.BackendServerID(l.Backend), Inside: int(min(l.Inside, maxNews)),
+			Backend: wasabiridge.BackendServerID(l.Backend), Inside: int(min(l.Inside, maxUpdateEntries)),
 			Work: wasabiridge.Millis(min(uint64(l.WorkMs), uint64(wasabiridge.Minute))), Tokens: int(min(l.Tokens, maxInsideTokens)),
 			Limit: decodeLimit(l.Limit),
 		})
--- a/internal/wasabipeer/client.go
+++ b/internal/wasabipeer/client.go
@@ -17,30 +17,30 @@
 	pb "github.com/wasabiridge/wasabiridge/internal/wasabipeer/wasabipeerpb"
 )
 
-// maxConns bounds the connections that a client keeps. Beyond it, the one
-// that was used longest ago is closed.
+// maxConns bounds the connections that a client keeps. Beyond it, the least
+// recently used connection is closed.
 const maxConns = 64
 
-// maxSilent is how many calls in a row may run into their deadline before the
-// connection is given up. When a path is cut, TCP repeats lost data at longer
-// and longer intervals, up to minutes, and goes on waiting after the path is
-// back. A new connection finds the path at once.
-const maxSilent = 4
+// maxTimeouts is how many consecutive calls may exceed their deadline before
+// the connection is closed. During a network partition, TCP retransmits lost
+// data at longer and longer intervals, up to minutes, and keeps waiting after
+// the path works again. A new connection uses the path at once.
+const maxTimeouts = 4
 
-// connectBackoff keeps attempts to reach a dead peer rare, and a peer that
-// came back is reached within seconds.
+// connectBackoff makes connection attempts to a dead peer rare, but still
+// reaches a peer that is back within seconds.
 var connectBackoff = grpc.ConnectParams{
 	Backoff:           backoff.Config{BaseDelay: 200 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: 5 * time.Second},
 	MinConnectTimeout: time.Second,
 }
 
-type pooled struct {
+type pooledConn struct {
 	conn *grpc.ClientConn
 	used time.Time
-	// calls counts calls that run right now.
+	// calls counts the calls in flight.
 	calls int
-	// silent counts calls in a row that ran into their deadline.
-	silent int
+	// timeouts counts consecutive calls that exceeded their deadline.
+	timeouts int
 }
 
 // Client calls other instances. It keeps one connection for each address that
@@ -49,14 +49,15 @@
 	options []grpc.DialOption
 
 	mu     sync.Mutex
-	conns  map[string]*pooled
+	conns  map[string]*pooledConn
 	closed bool
 }
 
 var _ wasabiridge.PeerClient = (*Client)(nil)
 
 // NewClient returns a client. It reports wasabiridge.ErrInvalid when the
-// options name neither TLS nor a key.
+// options contain neither TLS nor a key, or TLS without a certificate or
+// without certificate authorities.
 func NewClient(o Options) (*Client, error) {
 	if err := o.check(); err != nil {
 		return nil, err
@@ -82,7 +83,7 @@
 	if len(o.Key) > 0 {
 		options = append(options, grpc.WithPerRPCCredentials(&tokens{key: o.Key, clock: o.clock()}))
 	}
-	return &Client{options: options, conns: make(map[string]*pooled)}, nil
+	return &Client{options: options, conns: make(map[string]*pooledConn)}, nil
 }
 
 // Close ends all connections. Calls after it fail.
@@ -93,14 +94,14 @@
 	var first error
 	for address, p := range c.conns {
 		if err := p.conn.Close(); err != nil && first == nil {
-			first = wasabiridge.ErrUnavailable.Wrap(err, "peer: close %s", address)
+			first = wasabiridge.ErrUnavailable.Wrap(err, "peer: close connection to %s", address)
 		}
 		delete(c.conns, address)
 	}
 	return first
 }
 
-func (c *Client) acquire(address string) (*pooled, error) {
+func (c *Client) acquire(address string) (*pooledConn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -116,7 +117,7 @@
 		if conn, err = grpc.NewClient("passthrough:///"+address, c.options...); err != nil {
 			return nil, wasabiridge.ErrInvalid.Wrap(err, "peer: address %q", address)
 		}
-		p = &pooled{conn: conn}
+		p = &pooledConn{conn: conn}
 		c.conns[address] = p
 	}
 	p.used = time.Now()
@@ -124,28 +125,28 @@
 	return p, nil
 }
 
-// release ends a call. It gives the connection up when too many calls in a row
-// were not answered.
-func (c *Client) release(address string, p *pooled, err error) {
+// release ends a call. It closes the connection when too many consecutive calls
+// exceeded their deadline.
+func (c *Client) release(address string, p *pooledConn, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p.calls--
 	if status.Code(err) != codes.DeadlineExceeded {
-		p.silent = 0
+		p.timeouts = 0
 		return
 	}
-	p.silent++
-	if p.silent < maxSilent || c.conns[address] != p {
+	p.timeouts++
+	if p.timeouts < maxTimeouts || c.conns[address] != p {
 		return
 	}
 	delete(c.conns, address)
-	// Calls that still run on it fail now instead of at their deadline. The
-	// error of closing says nothing more.
+	// Calls that are still in flight on it fail now instead of at their
+	// deadline. An error from Close adds no information.
 	_ = p.conn.Close()
 }
 
-// evict makes room for one more connection. Connections with running calls
-// stay, so the bound may be exceeded by the number of running calls.
+// evict makes room for one more connection. Connections with calls in flight
+// stay, so the bound may be exceeded by their number.
 func (c *Client) evict() error {
 	if len(c.conns) < maxConns {
 		return nil
@@ -165,7 +166,7 @@
 	conn := c.conns[oldest].conn
 	delete(c.conns, oldest)
 	if err := conn.Close(); err != nil {
-		return wasabiridge.ErrUnavailable.Wrap(err, "peer: close %s", oldest)
+		return wasabiridge.ErrUnavailable.Wrap(err, "peer: close connection to %s", oldest)
 	}
 	return nil
 }
@@ -174,13 +175,13 @@
 type invocation struct {
 	address string
 	timeout time.Duration
-	// effect says that the call may change something at the other side.
+	// effect is set when the call may change something at the other instance.
 	effect bool
 	run    func(ctx context.Context, stub pb.PeerClient, opts ...grpc.CallOption) error
 }
 
 func (c *Client) invoke(ctx context.Context, in invocation) error {
-	var p *pooled
+	var p *pooledConn
 	var err error
 	if p, err = c.acquire(in.address); err != nil {
 		return err
@@ -199,7 +200,7 @@
 	return nil
 }
 
-// Exchange sends a heartbeat and returns the other's.
+// Exchange sends a heartbeat and returns the heartbeat of the other instance.
 func (c *Client) Exchange(ctx context.Context, address string, h wasabiridge.Heartbeat) (wasabiridge.Heartbeat, error) {
 	var out *pb.Heartbeat
 	err := c.invoke(ctx, invocation{address: address, timeout: exchangeTimeout,
@@ -229,7 +230,7 @@
 	return decodeDocument(out), nil
 }
 
-// QueryTimeline reads the other instance's time line.
+// QueryTimeline reads the timeline of the other instance.
 func (c *Client) QueryTimeline(ctx context.Context, address string, q wasabiridge.TimelineQuery) (wasabiridge.TimelinePage, error) {
 	var out *pb.TimelinePage
 	err := c.invoke(ctx, invocation{address: address, timeout: readTimeout,
@@ -244,7 +245,7 @@
 	return decodeTimelinePage(out), nil
 }
 
-// Claim asks the other instance, which issued the ticket, for a claim.
+// Claim requests a claim from the other instance, which issued the ticket.
 func (c *Client) Claim(ctx context.Context, address string, q wasabiridge.ClaimQuery) (wasabiridge.ClaimOutcome, error) {
 	var out *pb.ClaimOutcome
 	err := c.invoke(ctx, invocation{address: address, timeout: claimTimeout, effect: true,
@@ -258,12 +259,12 @@
 	}
 	var outcome wasabiridge.ClaimOutcome
 	if outcome, err = decodeOutcome(out); err != nil {
-		return outcome, wasabiridge.ErrOutcomeUnknown.Wrap(err, "peer: unreadable answer")
+		return outcome, wasabiridge.ErrOutcomeUnknown.Wrap(err, "peer: the response to a claim could not be decoded")
 	}
 	return outcome, nil
 }
 
-// FinishClaim tells the other instance how a claimed request ended.
+// FinishClaim notifies the other instance how a claimed request ended.
 func (c *Client) FinishClaim(ctx context.Context, address string, r wasabiridge.ClaimResult) error {
 	return c.invoke(ctx, invocation{address: address, timeout: claimTimeout, effect: true,
 		run: func(ctx context.Context, stub pb.PeerClient, opts ...grpc.CallOption) error {
--- a/internal/wasabipeer/codec.go
+++ b/internal/wasabipeer/codec.go
@@ -5,13 +5,13 @@
 	pb "github.com/wasabiridge/wasabiridge/internal/wasabipeer/wasabipeerpb"
 )
 
-// Bounds of what a heartbeat may hold. A sender keeps far below them.
+// Bounds of a heartbeat. Senders stay far below them.
 const (
 	maxOthers   = 256
 	maxBackends = 256
 	maxNameLen  = 256
-	// maxCapacity bounds the capacity of an instance, which goes over the wire
-	// in thousandths.
+	// maxCapacity bounds the capacity of an instance, which is encoded in
+	// thousandths.
 	maxCapacity = 1e6
 	milli       = 1000
 )
@@ -39,11 +39,11 @@
 func decodeMember(m *pb.Member) (wasabiridge.Member, error) {
 	var out wasabiridge.Member
 	if m.GetId() == "" {
-		return out, wasabiridge.ErrInvalid.New("peer: a member has no id")
+		return out, wasabiridge.ErrInvalid.New("peer: heartbeat contains a member without an ID")
 	}
 	for _, s := range []string{m.Id, m.PeerAddress, m.CallerUrl, m.Zone, m.Region} {
 		if len(s) > maxNameLen {
-			return out, wasabiridge.ErrInvalid.New("peer: a member has a text of %d bytes", len(s))
+			return out, wasabiridge.ErrInvalid.New("peer: heartbeat contains a member with a field of %d bytes", len(s))
 		}
 	}
 	if m.AgeMs > uint64(wasabiridge.Day) {
@@ -66,7 +66,7 @@
 	return out, nil
 }
 
-// EncodeHeartbeat turns a heartbeat into its message.
+// EncodeHeartbeat converts a heartbeat to its protobuf message.
 func EncodeHeartbeat(h wasabiridge.Heartbeat) *pb.Heartbeat {
 	out := &pb.Heartbeat{
 		From:     encodeMember(h.From),
@@ -82,13 +82,14 @@
 	return out
 }
 
-// DecodeHeartbeat checks a message and turns it into a heartbeat. It reports
-// wasabiridge.ErrInvalid when a bound is exceeded or a name is missing.
+// DecodeHeartbeat validates a protobuf message and converts it to a heartbeat.
+// It reports wasabiridge.ErrInvalid when a bound is exceeded or a name is
+// missing.
 func DecodeHeartbeat(h *pb.Heartbeat) (wasabiridge.Heartbeat, error) {
 	var out wasabiridge.Heartbeat
 	var err error
 	if len(h.GetOthers()) > maxOthers || len(h.GetLeavingBackends()) > maxBackends {
-		return out, wasabiridge.ErrInvalid.New("peer: a heartbeat has too many entries")
+		return out, wasabiridge.ErrInvalid.New("peer: heartbeat has too many members or backend servers")
 	}
 	if out.From, err = decodeMember(h.GetFrom()); err != nil {
 		return wasabiridge.Heartbeat{}, err
@@ -102,7 +103,7 @@
 	}
 	for _, b := range h.LeavingBackends {
 		if b == "" || len(b) > maxNameLen {
-			return wasabiridge.Heartbeat{}, wasabiridge.ErrInvalid.New("peer: a backend server has a name of %d bytes", len(b))
+			return wasabiridge.Heartbeat{}, wasabiridge.ErrInvalid.New("peer: heartbeat contains a backend server name of %d bytes", len(b))
 		}
 		out.LeavingBackends = append(out.LeavingBackends, wasabiridge.BackendServerID(b))
 	}
--- a/internal/wasabipeer/codec_claim.go
+++ b/internal/wasabipeer/codec_claim.go
@@ -18,7 +18,7 @@
 
 func decodeClaimQuery(q *pb.ClaimQuery) (wasabiridge.ClaimQuery, error) {
 	if q.GetKey() == "" || q.GetHolder() == "" || q.GetRequest() == "" {
-		return wasabiridge.ClaimQuery{}, wasabiridge.ErrInvalid.New("peer: a claim lacks its key, request or holder")
+		return wasabiridge.ClaimQuery{}, wasabiridge.ErrInvalid.New("peer: claim without a key, request or holder")
 	}
 	return wasabiridge.ClaimQuery{
 		Account:     wasabiridge.ClientAccountID(q.Account),
@@ -60,8 +60,8 @@
 	return out, nil
 }
 
-// decodeOutcome never reads a damaged or newer message as a granted claim: a
-// claim granted by mistake runs a request twice.
+// decodeOutcome never decodes a damaged message, or one of a newer version, as
+// a granted claim: a claim that is granted by mistake lets a request run twice.
 func decodeOutcome(o *pb.ClaimOutcome) (wasabiridge.ClaimOutcome, error) {
 	out := wasabiridge.ClaimOutcome{State: wasabiridge.ClaimUnknown}
 	switch o.GetState() {
@@ -71,7 +71,7 @@
 		out.State = wasabiridge.ClaimRunning
 	case pb.ClaimState_CLAIM_STATE_ANSWERED:
 		if o.Answer == nil {
-			return out, wasabiridge.ErrInvalid.New("peer: an answered claim has no answer")
+			return out, wasabiridge.ErrInvalid.New("peer: claim in state answered has no answer")
 		}
 		out.State = wasabiridge.ClaimAnswered
 		out.Answer = decodeAnswer(o.Answer)
@@ -99,7 +99,7 @@
 	return out
 }
 
-// decodeResult reads everything that is not plainly "not run" or "ran" as
+// decodeResult decodes every disposition other than "not run" and "ran" as
 // "maybe run", so that a claim is never released by mistake.
 func decodeResult(r *pb.ClaimResult) (wasabiridge.ClaimResult, error) {
 	out := wasabiridge.ClaimResult{Disposition: wasabiridge.MaybeRun, Answer: decodeAnswer(r.GetAnswer())}
--- a/internal/wasabipeer/codec_crash.go
+++ b/internal/wasabipeer/codec_crash.go
@@ -6,7 +6,8 @@
 )
 
 const (
-	// maxEnds bounds the ends of one mark, maxEpoch how often a mark may have been cleared.
+	// maxEnds bounds the server crashes in one record, and maxEpoch how often a
+	// record may have been cleared.
 	maxEnds  = 64
 	maxEpoch = 1 << 24
 )
@@ -22,19 +23,20 @@
 	return out
 }
 
-// decodeCrash takes what an instance says of a request. An epoch beyond all
-// reason would outlast what all others know, so it is turned down.
+// decodeCrash validates the record of a request during which servers crashed. A
+// record with a higher epoch supersedes all others, so an implausibly high
+// epoch is rejected: no instance could ever clear it.
 func decodeCrash(in *pb.CrashNews) (wasabiridge.CrashNews, error) {
 	out := wasabiridge.CrashNews{
 		Fingerprint: wasabiridge.Fingerprint(in.GetFingerprint()), Account: wasabiridge.ClientAccountID(in.GetAccount()),
 		Model: wasabiridge.ModelID(in.GetModel()), Epoch: in.GetEpoch(),
 	}
 	if out.Fingerprint == 0 || len(in.GetEnds()) > maxEnds || out.Epoch > maxEpoch {
-		return out, wasabiridge.ErrInvalid.New("peer: news of ended servers exceed their bounds")
+		return out, wasabiridge.ErrInvalid.New("peer: crash record without a fingerprint or beyond its bounds")
 	}
 	for _, e := range in.GetEnds() {
 		if e.GetBackend() == "" {
-			return out, wasabiridge.ErrInvalid.New("peer: an end names no server")
+			return out, wasabiridge.ErrInvalid.New("peer: crash record names no backend server")
 		}
 		out.Ends = append(out.Ends, wasabiridge.ServerEnd{
 			Backend: wasabiridge.BackendServerID(e.GetBackend()), Incarnation: wasabiridge.Incarnation(e.GetIncarnation()),
--- a/internal/wasabipeer/codec_limit.go
+++ b/internal/wasabipeer/codec_limit.go
@@ -7,7 +7,7 @@
 	pb "github.com/wasabiridge/wasabiridge/internal/wasabipeer/wasabipeerpb"
 )
 
-// encodeLimit returns nil when there is no news.
+// encodeLimit returns nil when the update contains no limit.
 func encodeLimit(l wasabiridge.LimitNews) *pb.LimitNews {
 	if !l.Known {
 		return nil
@@ -15,7 +15,8 @@
 	return &pb.LimitNews{Limited: l.Limited, Rate: l.Rate, AgeMs: uint32(min(max(l.Age, 0), wasabiridge.Minute))}
 }
 
-// decodeLimit takes a rate that is none as no news.
+// decodeLimit treats a missing limit, or one whose rate is negative, infinite
+// or NaN, as unknown.
 func decodeLimit(in *pb.LimitNews) wasabiridge.LimitNews {
 	rate := in.GetRate()
 	if in == nil || rate < 0 || math.IsNaN(rate) || math.IsInf(rate, 0) {
--- a/internal/wasabipeer/codec_use.go
+++ b/internal/wasabipeer/codec_use.go
@@ -5,14 +5,16 @@
 	pb "github.com/wasabiridge/wasabiridge/internal/wasabipeer/wasabipeerpb"
 )
 
-// maxSpent bounds what an instance may say that it has let run.
+// maxSpent bounds the usage and the level that an instance may report for a
+// client account.
 const maxSpent = 1 << 52
 
-// partScale is in which units a part of a limit is told.
-const partScale = 1000
+// shareScale is the factor by which a share of a limit is multiplied on the
+// wire, where shares are integers.
+const shareScale = 1000
 
 func encodeUses(out *pb.News, n wasabiridge.News) {
-	out.Incarnation, out.Sequence, out.PartMilli = uint64(n.Life), n.Sequence, uint32(partScale*min(max(n.Part, 0), 1))
+	out.Incarnation, out.Sequence, out.PartMilli = uint64(n.Life), n.Sequence, uint32(shareScale*min(max(n.Part, 0), 1))
 	out.Whole, out.Change, out.View = n.Whole, n.Change, n.View
 	for _, u := range n.Uses {
 		out.Uses = append(out.Uses, &pb.UseNews{Account: string(u.Account), Spent: u.Spent, Level: u.Level, LevelKnown: u.LevelKnown})
@@ -21,7 +23,7 @@
 
 func decodeUses(n *wasabiridge.News, in *pb.News) {
 	n.Life, n.Sequence = wasabiridge.Incarnation(in.GetIncarnation()), in.GetSequence()
-	n.Part = float64(min(in.GetPartMilli(), partScale)) / partScale
+	n.Part = float64(min(in.GetPartMilli(), shareScale)) / shareScale
 	n.Whole, n.Change, n.View = in.GetWhole(), in.GetChange(), in.GetView()
 	for _, u := range in.GetUses() {
 		n.Uses = append(n.Uses, wasabiridge.UseNews{
--- a/internal/wasabipeer/crash_test.go
+++ b/internal/wasabipeer/crash_test.go
@@ -14,25 +14,25 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabitest"
 )
 
-// newsHandler keeps the last news.
-type newsHandler struct {
+// updateHandler records the last state update that it received.
+type updateHandler struct {
 	handler
 	got wasabiridge.News
 }
 
-func (h *newsHandler) HandleAskCatalog(context.Context, wasabiridge.CatalogQuery) (wasabiridge.CatalogAnswer, error) {
+func (h *updateHandler) HandleAskCatalog(context.Context, wasabiridge.CatalogQuery) (wasabiridge.CatalogAnswer, error) {
 	return wasabiridge.CatalogAnswer{}, h.err
 }
 
-func (h *newsHandler) HandleTellNews(_ context.Context, n wasabiridge.News) error {
+func (h *updateHandler) HandleTellNews(_ context.Context, n wasabiridge.News) error {
 	h.got = n
 	return h.err
 }
 
-// Guards against totals that arrive as others than were told.
-var _ = Describe("News of what ran for accounts", func() {
-	It("goes over whole", func() {
-		h := &newsHandler{}
+// Guards against fields of a usage update that change or get lost on the wire.
+var _ = Describe("Usage updates of client accounts", func() {
+	It("arrive complete", func() {
+		h := &updateHandler{}
 		o := wasabipeer.Options{Clock: wasabiclock.System(), Key: key}
 		server := serve(h, o)
 		want := wasabiridge.News{
@@ -44,33 +44,33 @@
 	})
 })
 
-// An instance says what no instance in its senses would. Taken, it would outlast all that
-// the others know, or fill their memory.
-var _ = Describe("News of servers that ended under requests", func() {
+// A faulty instance sends implausible crash records. Accepted, they would
+// supersede the records of all other instances for ever, or fill their memory.
+var _ = Describe("Crash records of requests", func() {
 	end := wasabiridge.ServerEnd{Backend: "e1", Incarnation: 7, Ran: 120, Weights: 3, Age: 40}
 	many := make([]wasabiridge.ServerEnd, 65)
 	for i := range many {
 		many[i] = wasabiridge.ServerEnd{Backend: wasabiridge.BackendServerID(fmt.Sprint("e", i))}
 	}
 	cases := map[string]struct {
-		crash wasabiridge.CrashNews
-		taken bool
+		crash    wasabiridge.CrashNews
+		accepted bool
 	}{
-		"goes over whole":         {wasabiridge.CrashNews{Fingerprint: 9, Account: "a", Model: "m", Epoch: 2, Ends: []wasabiridge.ServerEnd{end}}, true},
-		"without ends clears":     {wasabiridge.CrashNews{Fingerprint: 9, Account: "a", Epoch: 3}, true},
-		"names a request":         {wasabiridge.CrashNews{Account: "a", Ends: []wasabiridge.ServerEnd{end}}, false},
-		"names a server":          {wasabiridge.CrashNews{Fingerprint: 9, Ends: []wasabiridge.ServerEnd{{Ran: 1}}}, false},
-		"has a bounded epoch":     {wasabiridge.CrashNews{Fingerprint: 9, Epoch: 1 << 30}, false},
-		"has few ends":            {wasabiridge.CrashNews{Fingerprint: 9, Ends: many}, false},
-		"is none of a far future": {wasabiridge.CrashNews{Fingerprint: 9, Ends: []wasabiridge.ServerEnd{{Backend: "e1", Age: 1 << 40}}}, true},
+		"arrive complete":       {wasabiridge.CrashNews{Fingerprint: 9, Account: "a", Model: "m", Epoch: 2, Ends: []wasabiridge.ServerEnd{end}}, true},
+		"without crashes clear": {wasabiridge.CrashNews{Fingerprint: 9, Account: "a", Epoch: 3}, true},
+		"must name a request":   {wasabiridge.CrashNews{Account: "a", Ends: []wasabiridge.ServerEnd{end}}, false},
+		"must name a server":    {wasabiridge.CrashNews{Fingerprint: 9, Ends: []wasabiridge.ServerEnd{{Ran: 1}}}, false},
+		"have a bounded epoch":  {wasabiridge.CrashNews{Fingerprint: 9, Epoch: 1 << 30}, false},
+		"have few crashes":      {wasabiridge.CrashNews{Fingerprint: 9, Ends: many}, false},
+		"have a bounded age":    {wasabiridge.CrashNews{Fingerprint: 9, Ends: []wasabiridge.ServerEnd{{Backend: "e1", Age: 1 << 40}}}, true},
 	}
 	for _, name := range wasabitest.Names(cases) {
 		It(name, func() {
-			h := &newsHandler{}
+			h := &updateHandler{}
 			o := wasabipeer.Options{Clock: wasabiclock.System(), Key: key}
 			server := serve(h, o)
 			err := connect(o).TellNews(context.Background(), server.Address(), wasabiridge.News{From: "i", Crashes: []wasabiridge.CrashNews{cases[name].crash}})
-			if !cases[name].taken {
+			if !cases[name].accepted {
 				Expect(errorx.IsOfType(err, wasabiridge.ErrInvalid)).To(BeTrue(), "%v", err)
 				Expect(h.got.Crashes).To(BeEmpty())
 				return
--- a/internal/wasabipeer/doc.go
+++ b/internal/wasabipeer/doc.go
@@ -4,19 +4,19 @@
 //
 // # Authentication
 //
-// With Options.TLS both sides show certificates. Without it, peers share a
-// key: every call carries a token that is derived from the key and the
-// current ten minutes. The token proves that the caller knows the key; it
-// neither hides nor seals the messages, so networks that others can read or
-// change need TLS. One of both is required.
+// With Options.TLS both sides present certificates. Without it, instances share
+// a key: every call carries a token that is derived from the key and the
+// current ten-minute window. The token proves that the caller knows the key. It
+// neither encrypts nor authenticates the messages, so TLS is needed on networks
+// where others can read or change traffic. TLS or a key is required.
 //
 // # Outcomes
 //
-// Reads that fail report wasabiridge.ErrUnavailable. A claim or its end may
-// have taken effect although no answer came. Such a call reports
-// wasabiridge.ErrUnavailable only when no byte of it left this instance or
-// when the other instance itself said so, and wasabiridge.ErrOutcomeUnknown
-// in every other case.
+// Reads that fail report wasabiridge.ErrUnavailable. Claim and FinishClaim may
+// have taken effect although no response arrived. Such a call reports
+// wasabiridge.ErrUnavailable only when no byte of it left this instance or when
+// the other instance itself reported that error, and
+// wasabiridge.ErrOutcomeUnknown in every other case without a response.
 //
 // # Usage
 //
--- a/internal/wasabipeer/errors.go
+++ b/internal/wasabipeer/errors.go
@@ -14,8 +14,8 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// errorField names the error type in the trailer of a failed call. Only
-// errors that the other instance itself reported carry it.
+// errorField is the trailer key that carries the error type of a failed call.
+// Only errors that the other instance itself reported have it.
 const errorField = "wasabi-error"
 
 type errorKind struct {
@@ -33,8 +33,8 @@
 	{"fenced", wasabiridge.ErrFenced, codes.FailedPrecondition},
 }
 
-// toStatus turns an error of a handler into a gRPC status and names its type
-// in the trailer.
+// toStatus converts an error of a handler to a gRPC status and sets its type in
+// the trailer.
 func toStatus(ctx context.Context, err error) error {
 	for _, k := range errorKinds {
 		if !errorx.IsOfType(err, k.typ) {
@@ -48,7 +48,8 @@
 	return status.Error(codes.Internal, err.Error())
 }
 
-// call follows one call, so that its failure can be told apart.
+// call records the trailer of one call and whether its headers were sent, so
+// that its failure can be classified.
 type call struct {
 	trailer metadata.MD
 	sent    atomic.Bool
@@ -60,7 +61,7 @@
 	return context.WithValue(ctx, callKey{}, c)
 }
 
-// fromStatus turns the failure of a call into an error of this project.
+// fromStatus converts the failure of a call to an error of package wasabiridge.
 // effect says that the call may change something at the other instance.
 func (c *call) fromStatus(err error, effect bool) error {
 	if names := c.trailer.Get(errorField); len(names) == 1 {
@@ -71,19 +72,19 @@
 		}
 	}
 	if effect && c.sent.Load() {
-		return wasabiridge.ErrOutcomeUnknown.Wrap(err, "peer: no answer")
+		return wasabiridge.ErrOutcomeUnknown.Wrap(err, "peer: no valid response after the call was sent")
 	}
 	return wasabiridge.ErrUnavailable.Wrap(err, "peer: call failed")
 }
 
-// sentMarker is told by grpc-go when the headers of a call go out. Before
-// that, nothing can have taken effect.
+// sentMarker is a stats handler that grpc-go notifies when the headers of a
+// call are written. Before that, the call cannot have taken effect.
 type sentMarker struct{}
 
-// TagRPC leaves the call's context as it is.
+// TagRPC returns the context of the call unchanged.
 func (sentMarker) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
 
-// HandleRPC marks a call whose headers were written.
+// HandleRPC marks a call when its headers have been written.
 func (sentMarker) HandleRPC(ctx context.Context, s stats.RPCStats) {
 	if _, ok := s.(*stats.OutHeader); !ok {
 		return
@@ -93,8 +94,8 @@
 	}
 }
 
-// TagConn leaves the connection's context as it is.
+// TagConn returns the context of the connection unchanged.
 func (sentMarker) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
 
-// HandleConn ignores the events of connections.
+// HandleConn ignores connection events.
 func (sentMarker) HandleConn(context.Context, stats.ConnStats) {}
--- a/internal/wasabipeer/fuzz_test.go
+++ b/internal/wasabipeer/fuzz_test.go
@@ -11,7 +11,8 @@
 )
 
 // FuzzHeartbeat feeds arbitrary bytes to the decoder of heartbeats. What it
-// accepts must be within the bounds and must survive a second trip unchanged.
+// accepts must be within the bounds and must not change when it is encoded and
+// decoded again.
 func FuzzHeartbeat(f *testing.F) {
 	seed, err := proto.Marshal(wasabipeer.EncodeHeartbeat(sample))
 	if err != nil {
@@ -34,7 +35,7 @@
 		}
 		again, err := wasabipeer.DecodeHeartbeat(wasabipeer.EncodeHeartbeat(h))
 		if err != nil || !reflect.DeepEqual(again, h) {
-			t.Fatalf("second trip: %v\n%v\n%v", err, h, again)
+			t.Fatalf("heartbeat changed when it was encoded and decoded again: %v\n%v\n%v", err, h, again)
 		}
 	})
 }
--- a/internal/wasabipeer/limit_test.go
+++ b/internal/wasabipeer/limit_test.go
@@ -13,24 +13,24 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabitest"
 )
 
-// Guards against limits of servers that arrive as others than were told, and against
-// rates that are none.
-var _ = Describe("News of the limit of a server", func() {
-	cases := map[string]struct{ told, want wasabiridge.LimitNews }{
-		"goes over whole":       {wasabiridge.LimitNews{Known: true, Limited: true, Rate: 5.9, Age: 40}, wasabiridge.LimitNews{Known: true, Limited: true, Rate: 5.9, Age: 40}},
-		"tells of an end":       {wasabiridge.LimitNews{Known: true, Age: 3}, wasabiridge.LimitNews{Known: true, Age: 3}},
-		"may be left out":       {},
-		"is none without rate":  {told: wasabiridge.LimitNews{Known: true, Limited: true, Rate: math.NaN()}},
-		"is none below nothing": {told: wasabiridge.LimitNews{Known: true, Limited: true, Rate: -1}},
-		"is none without end":   {told: wasabiridge.LimitNews{Known: true, Limited: true, Rate: math.Inf(1)}},
+// Guards against server limits that change on the wire, and against rates that
+// are no valid number.
+var _ = Describe("The limit of a backend server in an update", func() {
+	cases := map[string]struct{ sent, want wasabiridge.LimitNews }{
+		"arrives complete":       {wasabiridge.LimitNews{Known: true, Limited: true, Rate: 5.9, Age: 40}, wasabiridge.LimitNews{Known: true, Limited: true, Rate: 5.9, Age: 40}},
+		"may have ended":         {wasabiridge.LimitNews{Known: true, Age: 3}, wasabiridge.LimitNews{Known: true, Age: 3}},
+		"may be left out":        {},
+		"is unknown if NaN":      {sent: wasabiridge.LimitNews{Known: true, Limited: true, Rate: math.NaN()}},
+		"is unknown if negative": {sent: wasabiridge.LimitNews{Known: true, Limited: true, Rate: -1}},
+		"is unknown if infinite": {sent: wasabiridge.LimitNews{Known: true, Limited: true, Rate: math.Inf(1)}},
 	}
 	for _, name := range wasabitest.Names(cases) {
 		It(name, func() {
-			h := &newsHandler{}
+			h := &updateHandler{}
 			o := wasabipeer.Options{Clock: wasabiclock.System(), Key: key}
 			server := serve(h, o)
-			news := wasabiridge.News{From: "i", Loads: []wasabiridge.LoadNews{{Backend: "e1", Inside: 2, Tokens: 9, Limit: cases[name].told}}}
-			Expect(connect(o).TellNews(context.Background(), server.Address(), news)).To(Succeed())
+			update := wasabiridge.News{From: "i", Loads: []wasabiridge.LoadNews{{Backend: "e1", Inside: 2, Tokens: 9, Limit: cases[name].sent}}}
+			Expect(connect(o).TellNews(context.Background(), server.Address(), update)).To(Succeed())
 			Expect(h.got.Loads).To(Equal([]wasabiridge.LoadNews{{Backend: "e1", Inside: 2, Tokens: 9, Limit: cases[name].want}}))
 		})
 	}
--- a/internal/wasabipeer/options.go
+++ b/internal/wasabipeer/options.go
@@ -11,46 +11,49 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabiclock"
 )
 
-// Limits of messages and deadlines.
+// Message sizes and time-outs.
 const (
 	// MaxHeartbeatBytes bounds an encoded heartbeat.
 	MaxHeartbeatBytes = 64 << 10
-	// MaxRequestBytes bounds every other request, such as a kept answer.
+	// MaxRequestBytes bounds every other request, such as one with the stored
+	// answer of a claim.
 	MaxRequestBytes = 4 << 20
-	// MaxResponseBytes bounds a response, such as a whole configuration.
+	// MaxResponseBytes bounds a response, such as one with a complete
+	// configuration.
 	MaxResponseBytes = 32 << 20
 
 	exchangeTimeout = time.Second
 	claimTimeout    = 5 * time.Second
 	readTimeout     = 10 * time.Second
-	// serveTimeout bounds the work for a caller that set no deadline.
+	// serveTimeout bounds the handling of a call, also when the caller set no
+	// deadline.
 	serveTimeout = 30 * time.Second
-	// idleTimeout closes connections to peers that are not called any more,
-	// such as those that were asked for a configuration once.
+	// idleTimeout closes connections to peers that are no longer called, such
+	// as those that were queried for a configuration once.
 	idleTimeout = 30 * time.Second
-	// maxConcurrentCalls bounds the calls of one peer that run at once.
+	// maxConcurrentCalls bounds the concurrent calls on one connection.
 	maxConcurrentCalls = 256
-	// socketBufferBytes keeps the memory of a connection small: heartbeats
-	// are a few hundred bytes.
+	// socketBufferBytes keeps the memory of a connection small. Heartbeats have
+	// a few hundred bytes.
 	socketBufferBytes = 4 << 10
-	// windowBytes is a fixed flow control window. A fixed window turns off
+	// windowBytes is the fixed flow control window. A fixed window turns off
 	// the bandwidth estimator of grpc-go, whose pings would cost more bytes
 	// than the heartbeats.
 	windowBytes = 1 << 20
 )
 
-// Options configures both the client and the server side. Either TLS or Key
-// must be set.
+// Options configures both clients and servers. Either TLS or Key must be set.
 type Options struct {
-	// TLS holds the certificates of both sides. A server asks every client
-	// for a certificate and checks it against ClientCAs.
+	// TLS holds the certificates of both sides. It needs a certificate and
+	// RootCAs. A server requires a certificate from every client and verifies
+	// it against ClientCAs, or RootCAs when ClientCAs is nil.
 	TLS *tls.Config
 	// Key is the secret that all instances share. With TLS it may be empty.
 	Key []byte
-	// Clock is the source of time for tokens. Nil means the system's clock.
+	// Clock is the time source for tokens. Nil means the system clock.
 	Clock wasabiridge.Clock
-	// WrapConn sees every connection, for instance to count its bytes. Nil
-	// leaves connections as they are.
+	// WrapConn wraps every connection, for instance to count its bytes. Nil
+	// leaves connections unchanged.
 	WrapConn func(net.Conn) net.Conn
 }
 
@@ -59,12 +62,12 @@
 		return wasabiridge.ErrInvalid.New("peer: neither TLS nor a shared key is set")
 	}
 	if o.TLS != nil && len(o.TLS.Certificates) == 0 && o.TLS.GetCertificate == nil {
-		return wasabiridge.ErrInvalid.New("peer: TLS has no certificate")
+		return wasabiridge.ErrInvalid.New("peer: TLS settings contain no certificate")
 	}
-	// Without authorities of its own, Go takes those of the system, and any
-	// certificate of a public authority would pass for a peer's.
+	// When RootCAs is nil, Go uses the system's certificate authorities, and
+	// any certificate from a public authority would be accepted as a peer's.
 	if o.TLS != nil && o.TLS.RootCAs == nil {
-		return wasabiridge.ErrInvalid.New("peer: TLS names no authority")
+		return wasabiridge.ErrInvalid.New("peer: TLS settings contain no certificate authorities (RootCAs)")
 	}
 	return nil
 }
--- a/internal/wasabipeer/peer_test.go
+++ b/internal/wasabipeer/peer_test.go
@@ -43,7 +43,7 @@
 var _ = Describe("The peer service", func() {
 	ctx := context.Background()
 
-	It("carries every message whole", func() {
+	It("carries every field of every message", func() {
 		h := &handler{
 			heartbeat: sample,
 			document:  wasabiridge.ConfigDocument{Version: 8, Text: []byte("{}"), Author: "ana", At: 99},
@@ -72,7 +72,7 @@
 		Expect(h.gotResult).To(Equal(r))
 	})
 
-	It("carries every claim state and disposition as itself", func() {
+	It("carries every claim state and disposition unchanged", func() {
 		h := &handler{}
 		o := wasabipeer.Options{Key: key}
 		address, client := serve(h, o).Address(), connect(o)
@@ -100,7 +100,7 @@
 		})
 	}
 
-	It("says that nothing took effect when no byte could be sent", func() {
+	It("reports that nothing took effect when no byte could be sent", func() {
 		server := serve(&handler{}, wasabipeer.Options{Key: key})
 		Expect(server.Close(ctx)).To(Succeed())
 		_, err := connect(wasabipeer.Options{Key: key}).Claim(ctx, server.Address(), query)
@@ -108,16 +108,16 @@
 	})
 
 	// A caller books a visit with a ticket. The instance that issued it grants
-	// the claim, but stalls before its answer leaves. Were this reported as
-	// "nothing took effect", the caller would be told "not run" and book
-	// again under a claim that is already given away.
-	It("does not call a claim without an answer unavailable", func() {
+	// the claim, but stalls before its response leaves. If this were reported
+	// as "nothing took effect", the caller would be told "not run" and book
+	// again, although the claim is already granted.
+	It("does not report a claim without a response as unavailable", func() {
 		h := &handler{block: make(chan struct{}), heartbeat: sample}
 		defer close(h.block)
 		o := wasabipeer.Options{Key: key}
 		address, client := serve(h, o).Address(), connect(o)
-		// The connection stands, so that the time runs out after the call
-		// has left, also on a loaded machine.
+		// The connection is established before, so that the deadline expires
+		// after the call was sent, also on a loaded machine.
 		_, err := client.Exchange(ctx, address, sample)
 		Expect(err).NotTo(HaveOccurred())
 		short, cancel := context.WithTimeout(ctx, time.Second)
@@ -127,10 +127,10 @@
 		Expect(out.State).To(Equal(wasabiridge.ClaimUnknown))
 	})
 
-	// Two zones lose each other for an hour. When the path is back, calls to
-	// the other side fail for two more minutes, because the old connection
-	// still waits for the next repetition of what was lost.
-	It("dials anew when a connection stays silent", func() {
+	// Two availability zones are partitioned for an hour. When the path works
+	// again, calls to the other side fail for two more minutes, because the old
+	// connection still waits for the next TCP retransmission.
+	It("opens a new connection when calls on the old one keep timing out", func() {
 		o := wasabipeer.Options{Key: key}
 		address := serve(&handler{heartbeat: sample}, o).Address()
 		var dials atomic.Int32
@@ -154,7 +154,7 @@
 	})
 
 	trusted := certificate()
-	stranger := certificate()
+	untrusted := certificate()
 	clients := map[string]struct {
 		server, client wasabipeer.Options
 		ok             bool
@@ -162,8 +162,8 @@
 		"same key":             {wasabipeer.Options{Key: key}, wasabipeer.Options{Key: key}, true},
 		"other key":            {wasabipeer.Options{Key: key}, wasabipeer.Options{Key: []byte("x")}, false},
 		"trusted certificate":  {wasabipeer.Options{TLS: trusted}, wasabipeer.Options{TLS: trusted}, true},
-		"strange certificate":  {wasabipeer.Options{TLS: trusted}, wasabipeer.Options{TLS: stranger}, false},
-		"no client cert":       {wasabipeer.Options{TLS: trusted}, wasabipeer.Options{TLS: serverless(trusted)}, false},
+		"unknown certificate":  {wasabipeer.Options{TLS: trusted}, wasabipeer.Options{TLS: untrusted}, false},
+		"no client cert":       {wasabipeer.Options{TLS: trusted}, wasabipeer.Options{TLS: withoutClientCert(trusted)}, false},
 		"plain text to TLS":    {wasabipeer.Options{TLS: trusted, Key: key}, wasabipeer.Options{Key: key}, false},
 		"TLS without key":      {wasabipeer.Options{TLS: trusted, Key: key}, wasabipeer.Options{TLS: trusted}, false},
 		"clock 8 minutes off":  {wasabipeer.Options{Key: key, Clock: at(0)}, wasabipeer.Options{Key: key, Clock: at(8)}, true},
@@ -197,25 +197,25 @@
 		})
 	}
 
-	tooMuch := map[string]wasabiridge.Heartbeat{
+	outOfBounds := map[string]wasabiridge.Heartbeat{
 		"no sender":          {},
 		"too many members":   {From: sample.From, Others: make([]wasabiridge.Member, 300)},
 		"a name too long":    {From: wasabiridge.Member{InstanceEntry: wasabiridge.InstanceEntry{ID: wasabiridge.InstanceID(strings.Repeat("x", 300))}}},
 		"nameless backend":   {From: sample.From, LeavingBackends: []wasabiridge.BackendServerID{""}},
 		"a message too long": {From: sample.From, LeavingBackends: []wasabiridge.BackendServerID{wasabiridge.BackendServerID(strings.Repeat("x", 70<<10))}},
 	}
-	for _, name := range slices.Sorted(maps.Keys(tooMuch)) {
+	for _, name := range slices.Sorted(maps.Keys(outOfBounds)) {
 		It("refuses a heartbeat beyond its bounds: "+name, func() {
 			h := &handler{heartbeat: sample}
 			o := wasabipeer.Options{Key: key}
-			_, err := connect(o).Exchange(ctx, serve(h, o).Address(), tooMuch[name])
+			_, err := connect(o).Exchange(ctx, serve(h, o).Address(), outOfBounds[name])
 			Expect(err).To(HaveOccurred())
 			Expect(h.gotHeartbeat).To(BeZero())
 		})
 	}
 })
 
-// silentConn swallows everything from the first call on.
+// silentConn discards all writes from the first call on.
 type silentConn struct {
 	net.Conn
 	cut atomic.Bool
@@ -229,7 +229,7 @@
 	return len(b), nil
 }
 
-func serverless(c *tls.Config) *tls.Config {
+func withoutClientCert(c *tls.Config) *tls.Config {
 	return &tls.Config{RootCAs: c.RootCAs, GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return nil, nil }}
 }
 
--- a/internal/wasabipeer/server.go
+++ b/internal/wasabipeer/server.go
@@ -18,23 +18,23 @@
 	pb "github.com/wasabiridge/wasabiridge/internal/wasabipeer/wasabipeerpb"
 )
 
-// Server takes the calls of other instances. Create it with Listen.
+// Server serves the calls of other instances. Create it with Listen.
 type Server struct {
 	grpc     *grpc.Server
 	listener net.Listener
 	bus      *Subscriber
-	// done is closed when serving ended; err is set before.
+	// done is closed when serving has ended; err is set before that.
 	done chan struct{}
 	err  error
 }
 
-type countedListener struct {
+type wrappingListener struct {
 	net.Listener
 	wrap func(net.Conn) net.Conn
 }
 
-// Accept waits for the next connection.
-func (l countedListener) Accept() (net.Conn, error) {
+// Accept waits for the next connection and wraps it.
+func (l wrappingListener) Accept() (net.Conn, error) {
 	var conn net.Conn
 	var err error
 	if conn, err = l.Listener.Accept(); err != nil {
@@ -43,7 +43,7 @@
 	return l.wrap(conn), nil
 }
 
-// Listen serves the handler on an address, given as IP:port. Port 0 takes a
+// Listen serves the handler on an address in the form IP:port. Port 0 selects a
 // free port.
 func Listen(address string, h wasabiridge.PeerHandler, o Options) (*Server, error) {
 	if err := o.check(); err != nil {
@@ -55,12 +55,12 @@
 		return nil, wasabiridge.ErrUnavailable.Wrap(err, "peer: listen on %s", address)
 	}
 	bus := newSubscriber()
-	guard := &gate{}
+	interceptor := &callInterceptor{}
 	if len(o.Key) > 0 {
-		guard.tokens = &tokens{key: o.Key, clock: o.clock()}
+		interceptor.tokens = &tokens{key: o.Key, clock: o.clock()}
 	}
 	options := []grpc.ServerOption{
-		grpc.UnaryInterceptor(guard.intercept),
+		grpc.UnaryInterceptor(interceptor.intercept),
 		grpc.MaxRecvMsgSize(MaxRequestBytes),
 		grpc.MaxSendMsgSize(MaxResponseBytes),
 		grpc.MaxConcurrentStreams(maxConcurrentCalls),
@@ -71,11 +71,11 @@
 		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: 2 * idleTimeout, Time: time.Minute, Timeout: 10 * time.Second}),
 	}
 	if o.TLS != nil {
-		options = append(options, grpc.Creds(credentials.NewTLS(mutual(o.TLS))))
+		options = append(options, grpc.Creds(credentials.NewTLS(requireClientCert(o.TLS))))
 	}
 	s := &Server{
 		grpc:     grpc.NewServer(options...),
-		listener: countedListener{Listener: listener, wrap: o.wrap},
+		listener: wrappingListener{Listener: listener, wrap: o.wrap},
 		bus:      bus,
 		done:     make(chan struct{}),
 	}
@@ -84,9 +84,9 @@
 	return s, nil
 }
 
-// mutual returns a copy of the settings that refuses clients without a valid
-// certificate, whatever the settings said.
-func mutual(c *tls.Config) *tls.Config {
+// requireClientCert returns a copy of the TLS settings that rejects clients
+// without a valid certificate, whatever ClientAuth was.
+func requireClientCert(c *tls.Config) *tls.Config {
 	out := c.Clone()
 	out.ClientAuth = tls.RequireAndVerifyClientCert
 	if out.ClientCAs == nil {
@@ -95,14 +95,14 @@
 	return out
 }
 
-// Address returns the address that the server listens on, as IP:port.
+// Address returns the address that the server listens on, in the form IP:port.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
 // Bus returns the subscriber that receives what other instances publish.
 func (s *Server) Bus() *Subscriber { return s.bus }
 
-// Close lets running calls end until the context does, then cuts them. It may
-// be called more than once.
+// Close waits for calls in flight until the context ends, then aborts them. It
+// may be called more than once.
 func (s *Server) Close(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, s.grpc.Stop)
 	defer stop()
@@ -116,20 +116,21 @@
 
 func (s *Server) serve() {
 	defer close(s.done)
-	// A server that is closed before it began to serve says so; that is no
-	// failure.
+	// A server that is closed before it starts to serve returns
+	// ErrServerStopped, which is no failure.
 	if err := s.grpc.Serve(s.listener); err != nil && !errors.Is(err, grpc.ErrServerStopped) {
 		s.err = wasabiridge.ErrUnavailable.Wrap(err, "peer: serve")
 	}
 }
 
-// gate admits calls: it checks the shared key and bounds the time of a call.
-type gate struct {
+// callInterceptor authenticates calls, bounds the size of heartbeats and bounds
+// the time of each call.
+type callInterceptor struct {
 	// tokens is nil when TLS alone authenticates peers.
 	tokens *tokens
 }
 
-func (g *gate) intercept(ctx context.Context, req any, _ *grpc.UnaryServerInfo, next grpc.UnaryHandler) (any, error) {
+func (g *callInterceptor) intercept(ctx context.Context, req any, _ *grpc.UnaryServerInfo, next grpc.UnaryHandler) (any, error) {
 	if g.tokens != nil {
 		if err := g.tokens.check(ctx); err != nil {
 			return nil, err
@@ -149,7 +150,7 @@
 	bus     *Subscriber
 }
 
-// Exchange answers a heartbeat.
+// Exchange responds to a heartbeat.
 func (s *service) Exchange(ctx context.Context, in *pb.Heartbeat) (*pb.Heartbeat, error) {
 	var h wasabiridge.Heartbeat
 	var err error
@@ -162,7 +163,7 @@
 	return EncodeHeartbeat(h), nil
 }
 
-// FetchConfig returns the configuration in force here.
+// FetchConfig returns the configuration in force at this instance.
 func (s *service) FetchConfig(ctx context.Context, _ *pb.FetchConfigRequest) (*pb.ConfigDocument, error) {
 	var d wasabiridge.ConfigDocument
 	var err error
@@ -172,7 +173,7 @@
 	return encodeDocument(d), nil
 }
 
-// QueryTimeline reads this instance's time line.
+// QueryTimeline reads the timeline of this instance.
 func (s *service) QueryTimeline(ctx context.Context, in *pb.TimelineQuery) (*pb.TimelinePage, error) {
 	var p wasabiridge.TimelinePage
 	var err error
@@ -182,7 +183,7 @@
 	return encodeTimelinePage(p), nil
 }
 
-// Claim decides on a claim for a ticket that was issued here.
+// Claim decides on a claim for a ticket that this instance issued.
 func (s *service) Claim(ctx context.Context, in *pb.ClaimQuery) (*pb.ClaimOutcome, error) {
 	var q wasabiridge.ClaimQuery
 	var o wasabiridge.ClaimOutcome
@@ -200,7 +201,7 @@
 	return out, nil
 }
 
-// FinishClaim takes the end of a claimed request.
+// FinishClaim records the end of a claimed request.
 func (s *service) FinishClaim(ctx context.Context, in *pb.ClaimResult) (*pb.FinishClaimResponse, error) {
 	var r wasabiridge.ClaimResult
 	var err error
@@ -213,7 +214,8 @@
 	return &pb.FinishClaimResponse{}, nil
 }
 
-// Publish hands messages of the event bus to the subscribers here.
+// Publish delivers messages of the event bus to the subscribers of this
+// instance.
 func (s *service) Publish(ctx context.Context, in *pb.PublishRequest) (*pb.PublishResponse, error) {
 	if err := s.bus.deliver(ctx, in); err != nil {
 		return nil, toStatus(ctx, err)
--- a/internal/wasabipeer/suite_test.go
+++ b/internal/wasabipeer/suite_test.go
@@ -24,8 +24,8 @@
 	wasabitest.Run(t, "peer")
 }
 
-// handler is a PeerHandler that keeps what it was given and answers with what
-// it was told to.
+// handler is a PeerHandler that records its inputs and returns preset
+// responses.
 type handler struct {
 	heartbeat wasabiridge.Heartbeat
 	document  wasabiridge.ConfigDocument
@@ -57,8 +57,9 @@
 func (h *handler) HandleClaim(_ context.Context, q wasabiridge.ClaimQuery) (wasabiridge.ClaimOutcome, error) {
 	h.gotClaim = q
 	if h.block != nil {
-		// It stalls until it is let go. The caller's deadline reaches the server too,
-		// and an answer at that moment could come just before the caller gives up.
+		// The handler blocks until the test ends. The caller's deadline reaches
+		// the server too, and a response at that moment could arrive just
+		// before the caller times out.
 		<-h.block
 	}
 	return h.outcome, h.err
@@ -91,7 +92,8 @@
 	return client
 }
 
-// certificate makes a certificate that is its own authority.
+// certificate returns TLS settings with a self-signed certificate that is its
+// own authority.
 func certificate() *tls.Config {
 	GinkgoHelper()
 	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
--- a/internal/wasabipeer/token.go
+++ b/internal/wasabipeer/token.go
@@ -18,13 +18,13 @@
 
 const (
 	tokenField = "wt"
-	// tokenLife is how long one token is used. The same token over many
-	// calls takes one byte of header compression.
-	tokenLife  = 10 * wasabiridge.Minute
-	tokenBytes = 18
+	// tokenLifetime is how long one token is used. A token that repeats over
+	// many calls takes one byte with header compression.
+	tokenLifetime = 10 * wasabiridge.Minute
+	tokenBytes    = 18
 )
 
-// tokens derives the tokens of a shared key and keeps the current one. It is
+// tokens derives tokens from a shared key and caches the current one. It is
 // safe for concurrent use.
 type tokens struct {
 	key   []byte
@@ -45,7 +45,7 @@
 }
 
 func (t *tokens) current() (int64, string) {
-	window := int64(t.clock.Now() / tokenLife)
+	window := int64(t.clock.Now() / tokenLifetime)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.token == "" || t.window != window {
@@ -54,22 +54,22 @@
 	return window, t.token
 }
 
-// GetRequestMetadata adds the token to a call.
+// GetRequestMetadata returns the token as metadata of a call.
 func (t *tokens) GetRequestMetadata(context.Context, ...string) (map[string]string, error) {
 	_, token := t.current()
 	return map[string]string{tokenField: token}, nil
 }
 
-// RequireTransportSecurity reports false: a shared key works without TLS.
+// RequireTransportSecurity returns false: a shared key works without TLS.
 func (t *tokens) RequireTransportSecurity() bool { return false }
 
-// check refuses calls without a token of this or a neighbouring window. The
-// neighbours make up for clocks that differ by up to ten minutes.
+// check rejects calls without a token of the current window or one of its
+// neighbours. The neighbours allow for clocks that differ by up to ten minutes.
 func (t *tokens) check(ctx context.Context) error {
 	md, _ := metadata.FromIncomingContext(ctx)
 	given := md.Get(tokenField)
 	if len(given) != 1 {
-		return status.Error(codes.Unauthenticated, "peer: no token")
+		return status.Error(codes.Unauthenticated, "peer: call without a token")
 	}
 	window, token := t.current()
 	if equal(given[0], token) || equal(given[0], t.at(window-1)) || equal(given[0], t.at(window+1)) {
