--- a/internal/wasabiinstances/http.go
+++ b/internal/wasabiinstances/http.go
@@ -12,8 +12,8 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Labels of a target group that describe an instance. Meta labels are what
-// Prometheus reserves for service discovery.
+// Labels of a target group that describe an instance. Prometheus reserves meta
+// labels for service discovery.
 const (
 	labelID        = "__meta_instance_id"
 	labelCallerURL = "__meta_caller_url"
@@ -23,7 +23,7 @@
 	leavingTrue    = "true"
 )
 
-// Limits of an answer.
+// Limits of a list.
 const (
 	maxBody    = 4 << 20
 	maxEntries = 10_000
@@ -35,18 +35,18 @@
 	Labels  map[string]string `json:"labels"`
 }
 
-// ClientOptions set up the adapter.
+// ClientOptions configures a Client.
 type ClientOptions struct {
-	// URL answers the list by GET.
+	// URL is the address that returns the list on GET.
 	URL string
-	// Timeout bounds each call. Zero means 2 s.
+	// Timeout bounds each call. Zero means DefaultTimeout.
 	Timeout wasabiridge.Millis
 }
 
-// DefaultTimeout bounds a read of the list.
+// DefaultTimeout is the default time-out of a read of the list.
 const DefaultTimeout = 2 * wasabiridge.Second
 
-// Client is a wasabiridge.InstanceList behind Prometheus HTTP service
+// Client is a wasabiridge.InstanceList that reads Prometheus HTTP service
 // discovery. It is safe for concurrent use.
 type Client struct {
 	options ClientOptions
@@ -55,7 +55,7 @@
 
 var _ wasabiridge.InstanceList = (*Client)(nil)
 
-// NewClient returns an adapter. It does not connect yet.
+// NewClient returns a client. It does not connect yet.
 func NewClient(o ClientOptions) *Client {
 	if o.Timeout == 0 {
 		o.Timeout = DefaultTimeout
@@ -63,7 +63,7 @@
 	return &Client{options: o, http: &http.Client{Timeout: o.Timeout.Duration()}}
 }
 
-// Instances returns the list as the platform knows it, in the order of names.
+// Instances returns the platform's list, ordered by name.
 func (c *Client) Instances(ctx context.Context) ([]wasabiridge.InstanceEntry, error) {
 	var (
 		request  *http.Request
@@ -71,39 +71,40 @@
 		err      error
 	)
 	if request, err = http.NewRequestWithContext(ctx, http.MethodGet, c.options.URL, nil); err != nil {
-		return nil, wasabiridge.ErrInvalid.Wrap(err, "address of the instance list")
+		return nil, wasabiridge.ErrInvalid.Wrap(err, "invalid URL of the instance list")
 	}
 	if response, err = c.http.Do(request); err != nil {
-		return nil, wasabiridge.ErrUnavailable.Wrap(err, "read of the instance list")
+		return nil, wasabiridge.ErrUnavailable.Wrap(err, "read the instance list")
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return nil, wasabiridge.ErrUnavailable.New("instance list answered with status %d", response.StatusCode)
+		return nil, wasabiridge.ErrUnavailable.New("read the instance list: status %d", response.StatusCode)
 	}
 	var data []byte
 	if data, err = io.ReadAll(io.LimitReader(response.Body, maxBody)); err != nil {
-		return nil, wasabiridge.ErrUnavailable.Wrap(err, "instance list was cut")
+		return nil, wasabiridge.ErrUnavailable.Wrap(err, "response with the instance list was truncated")
 	}
 	return Decode(data)
 }
 
-// Decode reads an answer of Prometheus HTTP service discovery. A group that
-// names no instance or not exactly one target is reported as invalid, because
-// a list with holes would look like dead instances.
+// Decode decodes a response of Prometheus HTTP service discovery. It reports
+// wasabiridge.ErrInvalid for the whole list when a group has no instance ID, an
+// ID that is not unique, or not exactly one target: if such groups were
+// skipped, their instances would look dead.
 func Decode(data []byte) ([]wasabiridge.InstanceEntry, error) {
 	var groups []targetGroup
 	if err := json.Unmarshal(data, &groups); err != nil {
-		return nil, wasabiridge.ErrInvalid.Wrap(err, "instance list")
+		return nil, wasabiridge.ErrInvalid.Wrap(err, "decode the instance list")
 	}
 	if len(groups) > maxEntries {
-		return nil, wasabiridge.ErrInvalid.New("instance list has %d entries", len(groups))
+		return nil, wasabiridge.ErrInvalid.New("instance list has too many entries: %d", len(groups))
 	}
 	entries := make([]wasabiridge.InstanceEntry, 0, len(groups))
 	seen := map[string]bool{}
 	for i, g := range groups {
 		id := g.Labels[labelID]
 		if id == "" || seen[id] || len(g.Targets) != 1 || g.Targets[0] == "" {
-			return nil, wasabiridge.ErrInvalid.New("instance list: entry %d, %q with %d targets", i, id, len(g.Targets))
+			return nil, wasabiridge.ErrInvalid.New("instance list: entry %d must have a unique instance ID and one target, got ID %q and %d targets", i, id, len(g.Targets))
 		}
 		seen[id] = true
 		entries = append(entries, entryOf(g))
@@ -123,7 +124,7 @@
 	}
 }
 
-// Encode writes entries as an answer of Prometheus HTTP service discovery.
+// Encode encodes entries as a response of Prometheus HTTP service discovery.
 func Encode(entries []wasabiridge.InstanceEntry) ([]byte, error) {
 	groups := make([]targetGroup, len(entries))
 	for i, e := range entries {
@@ -140,13 +141,13 @@
 	return json.Marshal(groups)
 }
 
-// Handler serves the list by GET on "/". PUT on "/" adds or replaces the
-// instances of a body of the same form, and DELETE on "/{id}" takes one away,
-// in place of the platform that starts and ends instances.
+// Handler serves the list on GET "/". It also takes the place of the platform
+// that starts and stops instances: PUT "/" adds or replaces the instances in a
+// body of the same format, and DELETE "/{id}" removes one.
 func Handler(m *Memory) http.Handler {
 	r := chi.NewRouter()
 	r.Get("/", func(w http.ResponseWriter, r *http.Request) { serveList(w, r, m) })
-	r.Put("/", func(w http.ResponseWriter, r *http.Request) { takeInstances(w, r, m) })
+	r.Put("/", func(w http.ResponseWriter, r *http.Request) { putInstances(w, r, m) })
 	r.Delete("/{id}", func(w http.ResponseWriter, r *http.Request) {
 		m.Remove(wasabiridge.InstanceID(chi.URLParam(r, "id")))
 	})
@@ -168,7 +169,7 @@
 	w.Write(data)
 }
 
-func takeInstances(w http.ResponseWriter, r *http.Request, m *Memory) {
+func putInstances(w http.ResponseWriter, r *http.Request, m *Memory) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
--- a/internal/wasabiinstances/instances_test.go
+++ b/internal/wasabiinstances/instances_test.go
@@ -41,13 +41,13 @@
 	})
 
 	answers := map[string]string{
-		"an entry without a name":    `[{"targets":["127.0.0.1:1"],"labels":{}}]`,
-		"an entry with two targets":  `[{"targets":["127.0.0.1:1","127.0.0.1:2"],"labels":{"__meta_instance_id":"a"}}]`,
-		"an instance that is twice":  `[{"targets":["127.0.0.1:1"],"labels":{"__meta_instance_id":"a"}},{"targets":["127.0.0.1:2"],"labels":{"__meta_instance_id":"a"}}]`,
-		"something else than a list": `{"targets":[]}`,
-		"a cut answer":               `[{"targets":["127.0.0.1:1"]`,
+		"an entry without an ID":    `[{"targets":["127.0.0.1:1"],"labels":{}}]`,
+		"an entry with two targets": `[{"targets":["127.0.0.1:1","127.0.0.1:2"],"labels":{"__meta_instance_id":"a"}}]`,
+		"a repeated instance":       `[{"targets":["127.0.0.1:1"],"labels":{"__meta_instance_id":"a"}},{"targets":["127.0.0.1:2"],"labels":{"__meta_instance_id":"a"}}]`,
+		"a value that is no list":   `{"targets":[]}`,
+		"a truncated list":          `[{"targets":["127.0.0.1:1"]`,
 	}
-	for _, name := range []string{"a cut answer", "an entry with two targets", "an entry without a name", "an instance that is twice", "something else than a list"} {
+	for _, name := range []string{"a truncated list", "an entry with two targets", "an entry without an ID", "a repeated instance", "a value that is no list"} {
 		It("refuses "+name, func() {
 			_, err := wasabiinstances.Decode([]byte(answers[name]))
 			Expect(err).To(HaveOccurred())
@@ -55,8 +55,8 @@
 	}
 })
 
-// FuzzDecode looks for answers that panic, or that change when they are
-// written and read once more.
+// FuzzDecode checks that no input makes Decode panic, and that entries do not
+// change when they are encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`[{"targets":["127.0.0.1:1"],"labels":{"__meta_instance_id":"a","__meta_leaving":"true"}}]`))
 	f.Fuzz(func(t *testing.T, data []byte) {
