--- a/internal/wasabilease/bench_test.go
+++ b/internal/wasabilease/bench_test.go
@@ -11,8 +11,9 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabitest"
 )
 
-// BenchmarkLease reports what one lease costs the table in all, over an hour of
-// virtual time. Of the instances either three candidates or all contend.
+// BenchmarkLease reports the reads and writes of the table that one lease
+// causes in total, over an hour of virtual time. Either three candidates
+// contend or all instances do.
 func BenchmarkLease(b *testing.B) {
 	timings := map[string]struct {
 		timing     wasabilease.Timing
--- a/internal/wasabilease/candidate.go
+++ b/internal/wasabilease/candidate.go
@@ -6,11 +6,11 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// IsCandidate reports whether an instance is among the first n of the members
-// in the order of a hash of the lease's name. Few candidates per lease keep the
-// reads of the table small, whatever the number of instances. Members that
-// disagree about each other only make more or fewer candidates; the lease
-// itself does not depend on it.
+// IsCandidate reports whether self is among the first n instances, members or
+// itself, when they are ordered by a hash of the lease's name and their own.
+// With few candidates per lease, the reads of the table stay few, whatever the
+// number of instances. Members with different membership views only cause more
+// or fewer candidates; the lease itself does not depend on it.
 func IsCandidate(lease string, self wasabiridge.InstanceID, members []wasabiridge.InstanceID, n int) bool {
 	own, before := rank(lease, self), 0
 	for _, m := range members {
--- a/internal/wasabilease/candidate_test.go
+++ b/internal/wasabilease/candidate_test.go
@@ -10,7 +10,7 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabilease"
 )
 
-var _ = It("A lease has few candidates, and another when one is gone", func() {
+var _ = It("A lease has few candidates, and a new one when one is removed", func() {
 	var members []wasabiridge.InstanceID
 	for i := range 370 {
 		members = append(members, wasabiridge.InstanceID(fmt.Sprint(i)))
--- a/internal/wasabilease/doc.go
+++ b/internal/wasabilease/doc.go
@@ -1,19 +1,19 @@
-// Package wasabilease lets one instance at a time do what only one may do,
-// such as give orders to model engines.
+// Package wasabilease implements leases, so that one instance at a time does
+// what only one may do, such as sending commands to model engines.
 //
-// A lease is one row of the platform's table. It names its holder and a
-// fencing number that rises with every new holder. No clocks are compared:
-// the holder counts its time from before it sends a write, and a contender
+// A lease is one row of the platform's table. The row names the holder and a
+// fencing number that rises with every new holder. No clocks are compared: the
+// holder counts the lease term from before it sends a write, and a contender
 // takes a lease over only after it has seen the row unchanged for longer than
-// that time by its own clock. So the belief of the old holder has ended before
-// a new holder begins, as long as both clocks run at nearly the same rate.
+// that term by its own clock. So the old holder's term has ended before a new
+// holder's begins, as long as both clocks run at nearly the same rate.
 //
-// # What a lease does not give
+// # What a lease does not guarantee
 //
-// A process can be stopped between its look at the lease and its send, and a
-// message can be late. Receivers that remember fencing numbers refuse such
+// A process can be paused between its check of the lease and its send, and a
+// message can be delayed. Receivers that remember fencing numbers reject such
 // messages. For receivers that do not, package wasabiorder narrows the gap;
-// docs/design/lease.md says what is left.
+// docs/design/lease.md describes the remaining risk.
 //
 // # Usage
 //
--- a/internal/wasabilease/events.go
+++ b/internal/wasabilease/events.go
@@ -2,22 +2,22 @@
 
 import "github.com/wasabiridge/wasabiridge"
 
-// Event is something that a Machine is told.
+// Event is an input of a Machine.
 type Event interface{ isEvent() }
 
-// Contended says whether this instance wants the lease.
+// Contended reports whether this instance wants the lease.
 type Contended struct{ Wanted bool }
 
-// RowRead answers a ReadRow.
+// RowRead is the result of a ReadRow.
 type RowRead struct {
 	Row wasabiridge.Row
 	Err error
 }
 
-// Committed answers a CommitRow.
+// Committed is the result of a CommitRow.
 type Committed struct{ Err error }
 
-// Ticked says that time has passed.
+// Ticked reports that time has passed.
 type Ticked struct{}
 
 func (Contended) isEvent() {}
@@ -25,17 +25,17 @@
 func (Committed) isEvent() {}
 func (Ticked) isEvent()    {}
 
-// Effect is something that a Machine wants done.
+// Effect is an action that a Machine requests from its driver.
 type Effect interface{ isEffect() }
 
-// ReadRow asks to read the row of the lease.
+// ReadRow requests a read of the lease's row.
 type ReadRow struct{ Key string }
 
-// CommitRow asks to carry out a transaction, once.
+// CommitRow requests that a transaction be sent once, without retries.
 type CommitRow struct{ Transaction wasabiridge.Transaction }
 
-// Granted says that the grant changed. The zero Grant means that the lease is
-// not held any more.
+// Granted reports that the grant changed. The zero Grant means that the lease
+// is no longer held.
 type Granted struct{ Grant Grant }
 
 func (ReadRow) isEffect()   {}
--- a/internal/wasabilease/export_test.go
+++ b/internal/wasabilease/export_test.go
@@ -1,6 +1,6 @@
 package wasabilease
 
-// The decoder of lease rows, for tests.
+// The codec of lease rows, for tests.
 type Record = record
 
 var (
--- a/internal/wasabilease/fuzz_test.go
+++ b/internal/wasabilease/fuzz_test.go
@@ -6,8 +6,8 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabilease"
 )
 
-// FuzzRecord looks for a row that decodes without a fencing number, or not to
-// what was written.
+// FuzzRecord checks that every row that can be decoded has a fencing number and
+// does not change when it is encoded and decoded again.
 func FuzzRecord(f *testing.F) {
 	f.Add(wasabilease.EncodeRecord(wasabilease.Record{Holder: "a", Incarnation: 1, Fencing: 3}))
 	f.Add([]byte(`{}`))
@@ -18,7 +18,7 @@
 		}
 		again, err := wasabilease.DecodeRecord(wasabilease.EncodeRecord(r))
 		if err != nil || r.Fencing == 0 || again != r {
-			t.Fatalf("%q does not survive: %+v %v", value, again, err)
+			t.Fatalf("%q changed when it was decoded and encoded again: %+v %v", value, again, err)
 		}
 	})
 }
--- a/internal/wasabilease/lease.go
+++ b/internal/wasabilease/lease.go
@@ -8,21 +8,21 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Options set up a Lease.
+// Options configures a Lease.
 type Options struct {
-	// Name of the lease, such as "rollout/answers".
+	// Name is the name of the lease, such as "rollout/answers".
 	Name string
 	Self wasabiridge.InstanceID
-	// Incarnation must differ between all lives of the instance.
+	// Incarnation must differ between all incarnations of the instance.
 	Incarnation wasabiridge.Incarnation
 	Table       wasabiridge.Table
 	Clock       wasabiridge.Clock
-	// Recorder takes time line events. Nil records nothing.
+	// Recorder receives timeline events. Nil means that none are recorded.
 	Recorder wasabiridge.Recorder
 	Timing   Timing
 }
 
-// Lease contends for one lease of the platform's table. It is safe for
+// Lease contends for one lease in the platform's table. It is safe for
 // concurrent use.
 type Lease struct {
 	options Options
@@ -30,7 +30,7 @@
 	grant   atomic.Pointer[Grant]
 }
 
-// New returns a lease that is not Contended for.
+// New returns a lease for which this instance does not contend yet.
 func New(o Options) *Lease {
 	o.Timing = o.Timing.withDefaults()
 	l := &Lease{options: o}
@@ -38,21 +38,22 @@
 	return l
 }
 
-// Contend says whether this instance wants the lease. A holder that no longer
-// wants it must have no order on its way: the next holder may begin at once.
+// Contend sets whether this instance wants the lease. A holder must not release
+// the lease while a command of its own is in flight: the next holder may start
+// at once.
 func (l *Lease) Contend(wanted bool) {
 	l.wanted.Store(wanted)
 }
 
-// Grant returns the current grant. Callers compare it with the clock; it may
-// have ended.
+// Grant returns the current grant. It may have ended, so callers compare it
+// with the clock.
 func (l *Lease) Grant() Grant {
 	return *l.grant.Load()
 }
 
-// Run keeps the lease until the context ends. One goroutine calls the table
-// and decides in turn; a call that hangs cannot prolong a belief, because a
-// Grant carries its end.
+// Run contends for the lease and renews it until the context ends. One
+// goroutine calls the table and handles the results in sequence. A call that
+// hangs cannot prolong a grant, because every Grant has a fixed end.
 func (l *Lease) Run(ctx context.Context) {
 	o := l.options
 	m := NewMachine(o.Name, o.Self, o.Incarnation, o.Timing)
@@ -68,22 +69,22 @@
 	}
 }
 
-// handle feeds an event to the machine, carries out the effects, and goes on
-// with their results.
+// handle passes an event to the machine, performs the effects, and handles
+// their results in turn.
 func (l *Lease) handle(ctx context.Context, m *Machine, e Event) {
 	queue := []Event{e}
 	for len(queue) > 0 {
 		effects := append([]Effect(nil), m.Handle(l.options.Clock.Now(), queue[0])...)
 		queue = queue[1:]
 		for _, effect := range effects {
-			if result := l.carryOut(ctx, effect); result != nil {
+			if result := l.perform(ctx, effect); result != nil {
 				queue = append(queue, result)
 			}
 		}
 	}
 }
 
-func (l *Lease) carryOut(ctx context.Context, e Effect) Event {
+func (l *Lease) perform(ctx context.Context, e Effect) Event {
 	ctx, cancel := context.WithTimeout(ctx, (l.options.Timing.Renew / 2).Duration())
 	defer cancel()
 	switch e := e.(type) {
--- a/internal/wasabilease/lease_test.go
+++ b/internal/wasabilease/lease_test.go
@@ -22,7 +22,7 @@
 	drift = wasabiridge.Second
 )
 
-// contender is one instance of a lease, driven step by step.
+// contender is one instance that contends for a lease, driven step by step.
 type contender struct {
 	machine *wasabilease.Machine
 	table   *wasabitable.Memory
@@ -52,11 +52,11 @@
 	}
 }
 
-// holds reports whether the instance believes that it holds the lease, without
-// letting it look again.
+// holds reports whether the instance's grant lasts by its own clock, without a
+// new read of the row.
 func (c *contender) holds() bool { return c.grant.Covers(c.clock.Now(), 0) }
 
-// leaseTest is two contenders before one table.
+// leaseTest is two contenders with one table.
 type leaseTest struct {
 	clock *wasabiclock.Virtual
 	table *wasabitable.Memory
@@ -73,12 +73,13 @@
 	return t
 }
 
-func (t *leaseTest) contender(id wasabiridge.InstanceID, life wasabiridge.Incarnation, clock wasabiridge.Clock) *contender {
-	machine := wasabilease.NewMachine("orders", id, life, wasabilease.Timing{})
+func (t *leaseTest) contender(id wasabiridge.InstanceID, incarnation wasabiridge.Incarnation, clock wasabiridge.Clock) *contender {
+	machine := wasabilease.NewMachine("orders", id, incarnation, wasabilease.Timing{})
 	return &contender{machine: machine, table: t.table, clock: clock}
 }
 
-// run lets time pass for some of the contenders. Two never hold at once.
+// run advances the time while the given contenders run. Two must never hold the
+// lease at once.
 func (t *leaseTest) run(span wasabiridge.Millis, running ...*contender) {
 	GinkgoHelper()
 	for end := t.clock.Now() + span; t.clock.Now() < end; t.clock.Advance(100) {
@@ -95,9 +96,9 @@
 		Expect(t.a.grant.Fencing).To(BeEquivalentTo(1))
 		Expect(t.b.grant.Fencing).To(BeZero())
 	},
-	// The holder is paused for a minute. The other takes over with a higher
-	// number once the lease is over, and the first knows on waking up that
-	// its lease is over, before it looks at the table.
+	// The holder is paused for a minute. The other instance takes over with a
+	// higher number once the lease has ended, and the first detects when it
+	// resumes that its lease has ended, before it reads the table.
 	"a holder that is paused past its lease": func(t *leaseTest) {
 		t.run(wasabiridge.Second, t.a, t.b)
 		t.run(wasabiridge.Minute, t.b)
@@ -107,9 +108,10 @@
 		t.run(wasabiridge.Minute, t.a, t.b)
 		Expect(t.b.holds()).To(BeTrue())
 	},
-	// The holder's process is killed and started again on the same machine. The lease
-	// names it, and nobody else can have that name: it goes on at once, under a new
-	// number. Without that nobody gives orders until the lease has ended.
+	// The holder's process is killed and restarted on the same machine. The row
+	// names it, and no other process can have that name: it takes over at once,
+	// under a new number. Otherwise no instance could send commands until the
+	// lease has ended.
 	"a holder that is restarted and may reclaim": func(t *leaseTest) {
 		t.run(wasabiridge.Second, t.a, t.b)
 		again := t.contender("a", 2, t.clock)
@@ -127,8 +129,8 @@
 		again.feed(wasabilease.Contended{Wanted: true})
 		Expect(again.holds()).To(BeFalse())
 	},
-	// A machine that came in place of another has its name and another address.
-	"one that may reclaim and finds another holder": func(t *leaseTest) {
+	// A replacement machine has the name of the old one but another address.
+	"an instance that may reclaim and finds another holder": func(t *leaseTest) {
 		t.run(wasabiridge.Second, t.a, t.b)
 		other := t.contender("c", 1, t.clock)
 		other.machine = wasabilease.NewMachine("orders", "a@elsewhere", 2, wasabilease.Timing{Reclaim: true})
@@ -136,15 +138,15 @@
 		Expect(other.holds()).To(BeFalse())
 		t.run(wasabiridge.Second, t.a, t.b)
 	},
-	"a holder that gives the lease back": func(t *leaseTest) {
+	"a holder that releases the lease": func(t *leaseTest) {
 		t.run(wasabiridge.Second, t.a, t.b)
 		t.a.feed(wasabilease.Contended{Wanted: false})
 		t.run(6*wasabiridge.Second, t.a, t.b)
 		Expect(t.b.grant.Fencing).To(BeEquivalentTo(2))
 	},
-	// The answer to the first write is lost. The row names the instance, so
-	// it holds the lease, but only from before it sent that write.
-	"a grant whose answer was lost": func(t *leaseTest) {
+	// The response to the first write is lost. The row names the instance, so
+	// it holds the lease, but its term counts from before it sent that write.
+	"a grant whose response was lost": func(t *leaseTest) {
 		t.table = wasabitable.NewMemory(wasabitable.MemoryOptions{Clock: t.clock})
 		t.table.Faults().Script(wasabifault.Write, wasabifault.Fate{Kind: wasabifault.LostAnswer})
 		c := t.contender("c", 1, t.clock)
@@ -154,8 +156,8 @@
 		t.run(wasabiridge.Second, c)
 		Expect(c.grant).To(Equal(wasabilease.Grant{Lease: "orders", Fencing: 1, Until: sent + ttl}))
 	},
-	// The holder's renewal takes effect long after it was sent. The lease
-	// must not last from then, because nobody else counts so.
+	// The holder's renewal takes effect long after it was sent. The grant must
+	// not be extended from that point, because contenders do not count from it.
 	"a renewal that takes effect late": func(t *leaseTest) {
 		t.run(wasabiridge.Second, t.a)
 		until := t.a.grant.Until
@@ -173,8 +175,8 @@
 		t.run(ttl+drift+5*wasabiridge.Second, t.a, t.b)
 		Expect(t.a.holds() || t.b.holds()).To(BeTrue())
 	},
-	// An instance restarts under its own name. Its former life may have
-	// orders under way, so it takes a higher number.
+	// An instance restarts under its own name. Commands of its former
+	// incarnation may be in flight, so it takes a higher number.
 	"an instance that restarts under its name": func(t *leaseTest) {
 		t.run(wasabiridge.Second, t.a)
 		again := t.contender("a", 2, t.clock)
@@ -183,8 +185,9 @@
 		t.run(ttl+drift+5*wasabiridge.Second, again)
 		Expect(again.grant.Fencing).To(BeEquivalentTo(2))
 	},
-	// The clock of a contender jumps an hour ahead. Without the count of
-	// readings it would take over at once, beside a living holder.
+	// The clock of a contender jumps an hour ahead. If one read could count for
+	// the whole jump, the contender would take over at once while the holder is
+	// alive.
 	"a contender whose clock jumps ahead": func(t *leaseTest) {
 		t.run(wasabiridge.Second, t.a, t.b)
 		ahead := wasabiclock.NewVirtual(t.clock.Now() + wasabiridge.Hour)
@@ -192,7 +195,7 @@
 		t.b.feed(wasabilease.Ticked{})
 		Expect(t.b.grant.Fencing).To(BeZero())
 	},
-	"a row that cannot be read is left alone": func(t *leaseTest) {
+	"a row that cannot be decoded is not changed": func(t *leaseTest) {
 		t.run(wasabiridge.Second, t.a)
 		row, err := t.table.Get(context.Background(), "lease/orders")
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/wasabilease/machine.go
+++ b/internal/wasabilease/machine.go
@@ -6,8 +6,8 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Grant is the right to act as the holder of a lease until a point in time of
-// the holder's own clock. The zero Grant allows nothing. It is an immutable
+// Grant is the right to act as the holder of a lease until a point in time by
+// the holder's own clock. The zero Grant permits nothing. It is an immutable
 // value.
 type Grant struct {
 	Lease   string
@@ -15,28 +15,30 @@
 	Until   wasabiridge.Millis
 }
 
-// Covers reports whether the lease lasts for the whole span from now.
+// Covers reports whether the grant lasts for the whole span from now.
 func (g Grant) Covers(now, span wasabiridge.Millis) bool {
 	return g.Fencing != 0 && now+span <= g.Until
 }
 
-// Timing sets the pace of a lease. All contenders of a lease must use the
+// Timing sets the intervals of a lease. All contenders for a lease must use the
 // same. A zero field takes its default.
 type Timing struct {
-	// TTL is how long a holder believes after the start of a write that took
-	// effect, 15 s by default.
+	// TTL is the lease term, counted from before the holder sent a write that
+	// took effect. The default is 15 s.
 	TTL wasabiridge.Millis
-	// Drift is how much longer than TTL a contender waits, for clocks that
-	// do not run at the same rate, 1 s by default.
+	// Drift is how much longer than TTL a contender waits, to allow for clocks
+	// that run at different rates. The default is 1 s.
 	Drift wasabiridge.Millis
-	// Renew is how long after a renewal the next begins, a third of TTL by
-	// default.
+	// Renew is the time from one renewal to the next. The default is a third of
+	// TTL.
 	Renew wasabiridge.Millis
-	// Poll is how often a contender reads the row, a third of TTL by default.
+	// Poll is the interval at which a contender reads the row. The default is a
+	// third of TTL.
 	Poll wasabiridge.Millis
-	// Reclaim says that earlier lives of this instance are over for certain while
-	// it runs, and that no other process has its name. It then takes a lease that
-	// an earlier life held at once, under a new fencing number.
+	// Reclaim asserts that all earlier incarnations of this instance have ended
+	// for certain, and that no other process has its name. The instance then
+	// takes a lease of an earlier incarnation over at once, under a new fencing
+	// number.
 	Reclaim bool
 }
 
@@ -57,23 +59,23 @@
 }
 
 // Machine decides when one instance holds one lease. It is deterministic and
-// not safe for concurrent use. At most one read or write is on its way.
+// not safe for concurrent use. At most one read or write is in flight.
 type Machine struct {
-	name   string
-	self   wasabiridge.InstanceID
-	life   wasabiridge.Incarnation
-	timing Timing
+	name        string
+	self        wasabiridge.InstanceID
+	incarnation wasabiridge.Incarnation
+	timing      Timing
 
 	wanted bool
 	busy   bool
 	grant  Grant
 	// nextAt is when the row is read next.
 	nextAt wasabiridge.Millis
-	// seen is the revision of another holder's row, seenAt when it was last
-	// seen, and quiet how long it has not changed.
-	seen   uint64
-	seenAt wasabiridge.Millis
-	quiet  wasabiridge.Millis
+	// seen is the last revision that was read of another holder's row, seenAt
+	// when it was last read, and unchanged how long it has stayed the same.
+	seen      uint64
+	seenAt    wasabiridge.Millis
+	unchanged wasabiridge.Millis
 	// sent is the last write, until its outcome is known.
 	sent   sentWrite
 	writes uint64
@@ -81,7 +83,7 @@
 	effects []Effect
 }
 
-// sentWrite is a write that may have made this instance the holder.
+// sentWrite is a write after which this instance may be the holder.
 type sentWrite struct {
 	id      wasabiridge.WriteID
 	fencing wasabiridge.FencingNumber
@@ -89,7 +91,7 @@
 	kind    writeKind
 }
 
-// writeKind says what a write of the row is for.
+// writeKind is the purpose of a write of the row.
 type writeKind uint8
 
 const (
@@ -99,12 +101,12 @@
 )
 
 // NewMachine returns a machine that does not want the lease.
-func NewMachine(name string, self wasabiridge.InstanceID, life wasabiridge.Incarnation, t Timing) *Machine {
-	return &Machine{name: name, self: self, life: life, timing: t.withDefaults()}
+func NewMachine(name string, self wasabiridge.InstanceID, incarnation wasabiridge.Incarnation, t Timing) *Machine {
+	return &Machine{name: name, self: self, incarnation: incarnation, timing: t.withDefaults()}
 }
 
-// Handle takes one event and returns what has to be done. The returned slice
-// is valid until the next call.
+// Handle applies one event and returns the requested effects. The returned
+// slice is valid until the next call.
 func (m *Machine) Handle(now wasabiridge.Millis, e Event) []Effect {
 	m.effects = m.effects[:0]
 	if m.grant.Fencing != 0 && !m.grant.Covers(now, 0) {
@@ -131,7 +133,7 @@
 	}
 	m.wanted, m.nextAt = wanted, now
 	if !wanted && m.grant.Fencing != 0 && !m.busy {
-		// The row is read for its revision and then freed.
+		// The row is read for its revision and then released.
 		m.startRead()
 	}
 	if !wanted {
@@ -163,29 +165,29 @@
 	if rr.Row.Revision != 0 {
 		var err error
 		if r, err = decodeRecord(rr.Row.Value); err != nil {
-			// A row that cannot be read is left to an operator. Taking it
-			// over could hand out a fencing number twice.
+			// A row that cannot be decoded is left to an operator. Taking it
+			// over could assign a fencing number twice.
 			m.drop()
 			return
 		}
 	}
-	m.recognise(now, rr.Row, r)
+	m.matchLostWrite(now, rr.Row, r)
 	m.act(now, rr.Row.Revision, r)
 }
 
-// recognise looks for a write of this instance whose answer was lost. The time
-// of the holder counts from before that write was sent, however late it took
-// effect.
-func (m *Machine) recognise(now wasabiridge.Millis, row wasabiridge.Row, r record) {
+// matchLostWrite looks for a write of this instance whose response was lost.
+// The holder's term counts from before that write was sent, however late it
+// took effect.
+func (m *Machine) matchLostWrite(now wasabiridge.Millis, row wasabiridge.Row, r record) {
 	if m.sent.id != "" && row.LastWrite == m.sent.id {
 		m.hold(now, m.sent)
 	}
 	m.sent = sentWrite{}
 }
 
-// hold begins or prolongs the belief after a write that took effect. A renewal
-// that is heard of when the belief is over does not revive it: every belief
-// has a fencing number of its own.
+// hold starts or extends the grant after a write that took effect. A renewal
+// whose result arrives after the grant ended does not restore it: every
+// uninterrupted term has its own fencing number.
 func (m *Machine) hold(now wasabiridge.Millis, w sentWrite) {
 	g := Grant{Lease: m.name, Fencing: w.fencing, Until: w.at + m.timing.TTL}
 	if !m.wanted || w.kind == release || !g.Covers(now, 0) {
@@ -199,9 +201,9 @@
 	m.effects = append(m.effects, Granted{Grant: g})
 }
 
-// act decides what follows from the row.
+// act decides on the next step after a read of the row.
 func (m *Machine) act(now wasabiridge.Millis, revision uint64, r record) {
-	own := r.Holder == m.self && r.Incarnation == m.life
+	own := r.Holder == m.self && r.Incarnation == m.incarnation
 	switch {
 	case own && !m.wanted:
 		m.write(now, revision, record{Fencing: r.Fencing}, release)
@@ -217,7 +219,7 @@
 	}
 }
 
-// renew writes the row again when a third of the time is over.
+// renew writes the row again once the renewal interval is over.
 func (m *Machine) renew(now wasabiridge.Millis, revision uint64, r record) {
 	due := m.grant.Until - m.timing.TTL + m.timing.Renew
 	if now < due {
@@ -227,34 +229,35 @@
 	m.write(now, revision, r, renewal)
 }
 
-// watch waits out another holder. A row that changed starts the wait again: the
-// holder sent that write at most now, so it believes for TTL from now at most.
+// watch waits until another holder's term has certainly ended. A changed row
+// restarts the wait: the holder sent that write no later than now, so its term
+// ends no later than TTL from now.
 //
-// A contender whose clock jumps ahead would take over at once, while the
-// holder still gives orders. One reading therefore counts for little more than
-// the pause between two, and a takeover needs several.
+// A contender whose clock jumps ahead would otherwise take over at once, while
+// the holder still sends commands. Each read therefore counts for at most one
+// and a half polling intervals, so a takeover needs several reads.
 func (m *Machine) watch(now wasabiridge.Millis, revision uint64, r record) {
 	if revision != m.seen {
-		m.seen, m.quiet = revision, 0
+		m.seen, m.unchanged = revision, 0
 	} else {
-		m.quiet += min(now-m.seenAt, m.timing.Poll*3/2)
+		m.unchanged += min(now-m.seenAt, m.timing.Poll*3/2)
 	}
 	m.seenAt = now
-	rest := m.timing.TTL + m.timing.Drift - m.quiet
-	if rest > 0 {
-		m.nextAt = now + min(m.timing.Poll, rest)
+	remaining := m.timing.TTL + m.timing.Drift - m.unchanged
+	if remaining > 0 {
+		m.nextAt = now + min(m.timing.Poll, remaining)
 		return
 	}
 	m.take(now, revision, r)
 }
 
 func (m *Machine) take(now wasabiridge.Millis, revision uint64, r record) {
-	m.write(now, revision, record{Holder: m.self, Incarnation: m.life, Fencing: r.Fencing + 1}, takeover)
+	m.write(now, revision, record{Holder: m.self, Incarnation: m.incarnation, Fencing: r.Fencing + 1}, takeover)
 }
 
 func (m *Machine) write(now wasabiridge.Millis, revision uint64, r record, kind writeKind) {
 	m.writes++
-	id := wasabiridge.WriteID(string(m.self) + "/" + strconv.FormatUint(uint64(m.life), 36) +
+	id := wasabiridge.WriteID(string(m.self) + "/" + strconv.FormatUint(uint64(m.incarnation), 36) +
 		"/lease/" + m.name + "/" + strconv.FormatUint(m.writes, 36))
 	m.busy = true
 	m.sent = sentWrite{id: id, fencing: r.Fencing, at: now, kind: kind}
@@ -267,9 +270,9 @@
 func (m *Machine) commitEnded(now wasabiridge.Millis, err error) {
 	m.busy = false
 	if err != nil {
-		// After a conflict or a lost answer the row tells what happened. A
-		// write that takes effect later than that read is found at the next
-		// one and does not extend the belief.
+		// After a conflict or a lost response, the next read of the row shows
+		// the outcome. A write that takes effect only after that read is found
+		// by a later read and does not extend the grant.
 		m.nextAt = now + m.timing.Renew/8
 		return
 	}
@@ -277,7 +280,7 @@
 	m.sent = sentWrite{}
 	m.hold(now, sent)
 	if !m.wanted && sent.kind != release {
-		// The lease is not wanted any more, and the row names this instance.
+		// The lease is no longer wanted, but the row names this instance.
 		m.startRead()
 	}
 }
--- a/internal/wasabilease/record.go
+++ b/internal/wasabilease/record.go
@@ -5,11 +5,11 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabirecord"
 )
 
-// rowPrefix starts the keys of all lease rows.
+// rowPrefix is the prefix of the keys of all lease rows.
 const rowPrefix = "lease/"
 
 // record is the value of a lease row. A row without a holder is free. Rows are
-// never deleted, because fencing numbers must not start again.
+// never deleted, because fencing numbers must not start over.
 type record struct {
 	Holder      wasabiridge.InstanceID    `json:"holder"`
 	Incarnation wasabiridge.Incarnation   `json:"incarnation"`
@@ -20,16 +20,16 @@
 
 func encodeRecord(r record) []byte { return wasabirecord.Encode(r) }
 
-// decodeRecord reads the value of a lease row. It reports ErrInvalid for a
-// value that names no fencing number, because taking such a row over would
-// start the numbers again.
+// decodeRecord decodes the value of a lease row. It reports ErrInvalid for a
+// value without a fencing number, because a takeover of such a row would start
+// the numbers over.
 func decodeRecord(value []byte) (record, error) {
 	var r record
 	if err := wasabirecord.Decode("lease", value, &r); err != nil {
 		return record{}, err
 	}
 	if r.Fencing == 0 {
-		return record{}, wasabiridge.ErrInvalid.New("lease: row without fencing number")
+		return record{}, wasabiridge.ErrInvalid.New("lease: row has no fencing number")
 	}
 	return r, nil
 }
