--- a/internal/wasabilife/life.go
+++ b/internal/wasabilife/life.go
@@ -1,12 +1,13 @@
-// Package wasabilife tells the lives of a backend server apart that starts again
-// under its name, from what several sources say of it with different delays.
+// Package wasabilife detects when a backend server restarts under its name,
+// from reports of several sources that arrive with different delays.
 //
 // # Order
 //
-// A life bears the time of its start. A later one is a new life. An earlier one is
-// mostly news of a life that is over, which came late; but the server's clock may
-// have been set back between the starts. So an earlier one counts as new when it is
-// all that is said for longer than any source lags.
+// An incarnation is identified by the time of its start. A later start is a new
+// incarnation. An earlier one is usually a late report of an incarnation that
+// has ended; but the server's clock may have been set back between two starts.
+// So an earlier one is accepted as new when it is the only one reported for
+// longer than any source lags.
 //
 // # Usage
 //
@@ -21,59 +22,62 @@
 
 import "github.com/wasabiridge/wasabiridge"
 
-// Doubt is for how long only an earlier life must be named until it counts as new:
-// servers check in every second or so, and instances hear of that within another.
+// Doubt is how long an earlier incarnation must be the only one reported until
+// it is accepted as new: servers send a heartbeat every second or so, and
+// instances receive the report within another second.
 const Doubt = 4 * wasabiridge.Second
 
-// Verdict tells what something that was said is about.
+// Verdict classifies a report by the incarnation that it refers to.
 type Verdict uint8
 
-// Verdicts.
+// Verdicts of Life.Take.
 const (
-	// Same is the life that is known, or one that does not say.
+	// Same means the known incarnation, or a report that names none.
 	Same Verdict = iota
-	// New is a life that has begun since.
+	// New means that the server has restarted.
 	New
-	// Over is a life that has ended, as far as is known.
+	// Over means an incarnation that has ended, as far as is known.
 	Over
 )
 
-// Life is what is known of a server's life. The zero value knows none. It is not safe
-// for concurrent use.
+// Life tracks the incarnation of one backend server. The zero value knows none.
+// It is not safe for concurrent use.
 type Life struct {
 	known wasabiridge.Incarnation
-	// doubted is an earlier life that is named, since when nothing else was.
-	doubted wasabiridge.Incarnation
+	// earlier is an incarnation that started before the known one, and since
+	// when it has been the only one reported. Zero means none.
+	earlier wasabiridge.Incarnation
 	since   wasabiridge.Millis
 }
 
-// Known returns the present life. Zero means that none was named.
+// Known returns the current incarnation. Zero means that none was reported yet.
 func (l *Life) Known() wasabiridge.Incarnation { return l.known }
 
-// Take takes in which life something was said. The first life that is named is the
-// one that all was said in before.
-func (l *Life) Take(now wasabiridge.Millis, said wasabiridge.Incarnation) Verdict {
+// Take records the incarnation that a report refers to; zero means that the
+// report names none. The first incarnation that is reported is taken to be the
+// one that all earlier reports meant.
+func (l *Life) Take(now wasabiridge.Millis, reported wasabiridge.Incarnation) Verdict {
 	switch {
-	case said == 0:
+	case reported == 0:
 		return Same
-	case said == l.known || l.known == 0:
-		l.known, l.doubted = said, 0
+	case reported == l.known || l.known == 0:
+		l.known, l.earlier = reported, 0
 		return Same
-	case said > l.known:
-		l.known, l.doubted = said, 0
+	case reported > l.known:
+		l.known, l.earlier = reported, 0
 		return New
-	case said != l.doubted:
-		l.doubted, l.since = said, now
+	case reported != l.earlier:
+		l.earlier, l.since = reported, now
 		return Over
 	case now-l.since < Doubt:
 		return Over
 	}
-	l.known, l.doubted = said, 0
+	l.known, l.earlier = reported, 0
 	return New
 }
 
-// Due returns an earlier life that nothing has spoken against for long enough. It
-// reports false when there is none.
+// Due returns an earlier incarnation that has been the only one reported for
+// long enough to be accepted as new. It reports false when there is none.
 func (l *Life) Due(now wasabiridge.Millis) (wasabiridge.Incarnation, bool) {
-	return l.doubted, l.doubted != 0 && now-l.since >= Doubt
+	return l.earlier, l.earlier != 0 && now-l.since >= Doubt
 }
--- a/internal/wasabilife/life_test.go
+++ b/internal/wasabilife/life_test.go
@@ -16,63 +16,64 @@
 
 func TestLife(t *testing.T) { wasabitest.Run(t, "life") }
 
-// said is what a source says at some time.
-type said struct {
-	at   wasabiridge.Millis
-	life wasabiridge.Incarnation
-	want wasabilife.Verdict
+// report is what a source reports at some time.
+type report struct {
+	at          wasabiridge.Millis
+	incarnation wasabiridge.Incarnation
+	want        wasabilife.Verdict
 }
 
-// An engine starts again under its name. Its entry in the list, what it says when it
-// is asked and what other instances tell come in any order, some of it late.
-var _ = Describe("The life of a server", func() {
+// An engine restarts under its name. Its entry in the list, its own responses
+// and the updates of other instances arrive in any order, some of them late.
+var _ = Describe("The incarnation of a server", func() {
 	const s, n, o = wasabilife.Same, wasabilife.New, wasabilife.Over
-	cases := map[string][]said{
-		"entry before report":                  {{0, 10, s}, {100, 20, n}, {200, 20, s}},
-		"report before entry":                  {{0, 10, s}, {100, 20, n}, {150, 10, o}, {1200, 20, s}},
-		"old entry that arrives late":          {{0, 10, s}, {100, 20, n}, {3000, 10, o}, {3100, 20, s}, {7200, 10, o}},
-		"twice within a heartbeat":             {{0, 10, s}, {100, 20, n}, {200, 30, n}, {300, 20, o}, {400, 10, o}, {500, 30, s}},
-		"one that does not say":                {{0, 0, s}, {100, 10, s}, {200, 0, s}, {300, 20, n}},
-		"first heard of late, by an old entry": {{0, 20, s}, {100, 10, o}, {300, 20, s}},
-		"clock of the replica set back":        {{0, 20, s}, {100, 10, o}, {2000, 10, o}, {4100, 10, n}, {4200, 10, s}, {4300, 20, n}},
-		"two old ones by turns":                {{0, 30, s}, {100, 10, o}, {4000, 20, o}, {4200, 10, o}, {8100, 20, o}},
+	cases := map[string][]report{
+		"entry before report":              {{0, 10, s}, {100, 20, n}, {200, 20, s}},
+		"report before entry":              {{0, 10, s}, {100, 20, n}, {150, 10, o}, {1200, 20, s}},
+		"old entry that arrives late":      {{0, 10, s}, {100, 20, n}, {3000, 10, o}, {3100, 20, s}, {7200, 10, o}},
+		"twice within a heartbeat":         {{0, 10, s}, {100, 20, n}, {200, 30, n}, {300, 20, o}, {400, 10, o}, {500, 30, s}},
+		"report without an incarnation":    {{0, 0, s}, {100, 10, s}, {200, 0, s}, {300, 20, n}},
+		"first report before an old entry": {{0, 20, s}, {100, 10, o}, {300, 20, s}},
+		"clock of the replica set back":    {{0, 20, s}, {100, 10, o}, {2000, 10, o}, {4100, 10, n}, {4200, 10, s}, {4300, 20, n}},
+		"two old ones in alternation":      {{0, 30, s}, {100, 10, o}, {4000, 20, o}, {4200, 10, o}, {8100, 20, o}},
 	}
 	for _, name := range slices.Sorted(maps.Keys(cases)) {
 		It(name, func() {
 			var l wasabilife.Life
 			for _, x := range cases[name] {
-				Expect(l.Take(x.at, x.life)).To(Equal(x.want), "at %d: %d", x.at, x.life)
+				Expect(l.Take(x.at, x.incarnation)).To(Equal(x.want), "at %d: %d", x.at, x.incarnation)
 			}
 		})
 	}
 })
 
-// TestNewestLifeWins draws what sources say of lives whose starts rise, each late by up
-// to two seconds. A life that is over never counts after a newer one was heard of, and
-// the newest counts in the end.
+// TestNewestLifeWins draws reports about incarnations with increasing start
+// times, each up to two seconds late. An incarnation that has ended must never
+// be current after a newer one was reported, and the newest must be current in
+// the end.
 func TestNewestLifeWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l wasabilife.Life
-		begun := wasabiridge.Incarnation(1)
+		current := wasabiridge.Incarnation(1)
 		starts := map[wasabiridge.Incarnation]wasabiridge.Millis{1: 0}
 		newest := wasabiridge.Incarnation(0)
 		now := wasabiridge.Millis(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += wasabiridge.Millis(rapid.IntRange(0, 900).Draw(t, "wait"))
 			if rapid.IntRange(0, 4).Draw(t, "restart") == 0 {
-				begun++
-				starts[begun] = now
+				current++
+				starts[current] = now
 			}
-			// What was true up to two seconds ago.
+			// The report shows the state of up to two seconds ago.
 			then := now - wasabiridge.Millis(rapid.IntRange(0, 2000).Draw(t, "late"))
-			life := begun
-			for life > 1 && starts[life] > then {
-				life--
+			incarnation := current
+			for incarnation > 1 && starts[incarnation] > then {
+				incarnation--
 			}
-			newest = max(newest, life)
-			l.Take(now, life)
+			newest = max(newest, incarnation)
+			l.Take(now, incarnation)
 			if l.Known() != newest {
-				t.Fatalf("at %d life %d counts, %d was heard of", now, l.Known(), newest)
+				t.Fatalf("at %d incarnation %d is current, but %d was reported", now, l.Known(), newest)
 			}
 		}
 	})
