--- a/internal/wasabitable/client.go
+++ b/internal/wasabitable/client.go
@@ -18,30 +18,31 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// ClientOptions set up the adapter.
+// ClientOptions configures a Client.
 type ClientOptions struct {
-	// URL is the endpoint of a service that speaks the DynamoDB API.
+	// URL is the endpoint of a service that implements the DynamoDB API.
 	URL string
-	// Table is the name of the table. Its keys are the strings "pk" and "sk".
+	// Table is the name of the table. Its partition key "pk" and its sort key
+	// "sk" are strings.
 	Table string
-	// Region, AccessKey and SecretKey sign the calls. They come from the
-	// settings; nothing else is searched for them.
+	// Region, AccessKey and SecretKey sign the calls. No other source of
+	// credentials, such as the environment, is consulted.
 	Region    string
 	AccessKey string
 	SecretKey string
-	// Timeout bounds each call. Zero means 2 s.
+	// Timeout bounds each call. Zero means DefaultTimeout.
 	Timeout wasabiridge.Millis
 	Clock   wasabiridge.Clock
-	// Transport carries the calls. Nil means the default of net/http.
+	// Transport sends the calls. Nil means the default transport of net/http.
 	Transport http.RoundTripper
 }
 
-// DefaultTimeout bounds a call to the platform.
+// DefaultTimeout is the default time-out of a call.
 const DefaultTimeout = 2 * wasabiridge.Second
 
-// Client is a wasabiridge.Table behind the DynamoDB API. It is safe for
-// concurrent use. The retries of the library are off: it would send a write
-// again after a lost answer, which only a Writer may do.
+// Client is a wasabiridge.Table that calls the DynamoDB API. It is safe for
+// concurrent use. The retries of the AWS library are off: it would repeat a
+// write after a lost response, which only a Writer may do.
 type Client struct {
 	api     *dynamodb.Client
 	options ClientOptions
@@ -49,7 +50,7 @@
 
 var _ wasabiridge.Table = (*Client)(nil)
 
-// NewClient returns an adapter. It does not connect yet.
+// NewClient returns a client. It does not connect yet.
 func NewClient(o ClientOptions) *Client {
 	if o.Timeout == 0 {
 		o.Timeout = DefaultTimeout
@@ -68,7 +69,8 @@
 	return context.WithTimeout(ctx, c.options.Timeout.Duration())
 }
 
-// Get reads a row, up to date with all writes that were answered.
+// Get reads a row with strong consistency: it sees all writes that were
+// acknowledged.
 func (c *Client) Get(ctx context.Context, key string) (wasabiridge.Row, error) {
 	ctx, cancel := c.bound(ctx)
 	defer cancel()
@@ -81,7 +83,7 @@
 		Key:            itemKey(key),
 		ConsistentRead: aws.Bool(true),
 	}); err != nil {
-		return wasabiridge.Row{}, wasabiridge.ErrUnavailable.Wrap(err, "read of %q", key)
+		return wasabiridge.Row{}, wasabiridge.ErrUnavailable.Wrap(err, "read row %q", key)
 	}
 	if len(out.Item) == 0 {
 		return wasabiridge.Row{Key: key}, nil
@@ -89,7 +91,7 @@
 	return itemRow(out.Item)
 }
 
-// List reads rows of one partition: the prefix must hold a slash.
+// List reads rows of one partition, so the prefix must contain a slash.
 func (c *Client) List(ctx context.Context, prefix, after string, limit int) ([]wasabiridge.Row, error) {
 	if err := checkListPrefix(prefix); err != nil {
 		return nil, err
@@ -114,7 +116,7 @@
 	return c.pages(ctx, input, limit)
 }
 
-// pages follows the pages of a query until the limit is reached.
+// pages reads the pages of a query until the limit is reached.
 func (c *Client) pages(ctx context.Context, input *dynamodb.QueryInput, limit int) ([]wasabiridge.Row, error) {
 	var rows []wasabiridge.Row
 	for len(rows) < limit {
@@ -124,7 +126,7 @@
 			err error
 		)
 		if out, err = c.api.Query(ctx, input); err != nil {
-			return nil, wasabiridge.ErrUnavailable.Wrap(err, "list of partition %q", input.ExpressionAttributeValues[parameterPart])
+			return nil, wasabiridge.ErrUnavailable.Wrap(err, "list rows of partition %q", input.ExpressionAttributeValues[parameterPart])
 		}
 		for _, item := range out.Items {
 			var row wasabiridge.Row
@@ -141,7 +143,7 @@
 	return rows, nil
 }
 
-// Commit carries out a transaction.
+// Commit executes a transaction.
 func (c *Client) Commit(ctx context.Context, tx wasabiridge.Transaction) error {
 	if err := CheckTransaction(tx); err != nil {
 		return err
@@ -180,21 +182,24 @@
 	}}
 }
 
-// revisionNoiseBits are random bits below the milliseconds of a revision.
+// revisionNoiseBits is the number of random bits below the milliseconds in a
+// revision.
 const revisionNoiseBits = 20
 
-// nextRevision returns a revision above the last one. The service counts no
-// revisions. A row that is deleted and made again must not show an old
-// revision, or a late write meant for the earlier row would meet its
-// condition. Time and random bits make that one in a million for two writes
-// within one millisecond, and impossible otherwise.
+// nextRevision returns a revision above the last one, because the service
+// itself does not count revisions. A row that is deleted and created again must
+// not get an old revision, or a late write for the earlier row would satisfy
+// its condition. With the time and random bits, the chance of that is one in a
+// million for two writes within one millisecond, and zero otherwise.
 func (c *Client) nextRevision(last uint64) uint64 {
 	stamp := uint64(c.options.Clock.Now())<<revisionNoiseBits | uint64(rand.Uint32()>>(32-revisionNoiseBits))
 	return max(last+1, stamp)
 }
 
-// commitError sorts the errors of a write. Only answers of the service that
-// rule out an effect, and connections that were never made, count as such.
+// commitError classifies the error of a write. It reports that nothing took
+// effect only for responses of the service that rule out an effect, and for
+// connections that were never established. All other errors are
+// ErrOutcomeUnknown.
 func commitError(id wasabiridge.WriteID, err error) error {
 	var canceled *types.TransactionCanceledException
 	if errors.As(err, &canceled) {
@@ -202,29 +207,30 @@
 	}
 	var dial *net.OpError
 	if errors.As(err, &dial) && dial.Op == "dial" {
-		return wasabiridge.ErrUnavailable.Wrap(err, "write %q found no connection", id)
+		return wasabiridge.ErrUnavailable.Wrap(err, "write %q: could not connect", id)
 	}
 	var api smithy.APIError
 	if errors.As(err, &api) {
 		switch api.ErrorCode() {
 		case codeThrottled, codeLimitExceeded, codeThroughput, codeConflictEnd:
-			return wasabiridge.ErrUnavailable.Wrap(err, "write %q turned away", id)
+			return wasabiridge.ErrUnavailable.Wrap(err, "write %q was rejected by the service", id)
 		case codeValidation:
-			return wasabiridge.ErrInvalid.Wrap(err, "write %q", id)
+			return wasabiridge.ErrInvalid.Wrap(err, "write %q is invalid", id)
 		}
 	}
-	return wasabiridge.ErrOutcomeUnknown.Wrap(err, "no answer to write %q", id)
+	return wasabiridge.ErrOutcomeUnknown.Wrap(err, "no usable response to write %q", id)
 }
 
-// canceledError tells a failed condition from a transaction that only met
-// another one in flight. Neither took effect.
+// canceledError distinguishes a failed condition from other reasons for a
+// cancellation, such as a conflict with another transaction in flight. In
+// neither case did the transaction take effect.
 func canceledError(id wasabiridge.WriteID, canceled *types.TransactionCanceledException) error {
 	for _, reason := range canceled.CancellationReasons {
 		if aws.ToString(reason.Code) == codeConditionFailed {
-			return wasabiridge.ErrConflict.Wrap(canceled, "write %q", id)
+			return wasabiridge.ErrConflict.Wrap(canceled, "write %q: a condition failed", id)
 		}
 	}
-	return wasabiridge.ErrUnavailable.Wrap(canceled, "write %q cancelled", id)
+	return wasabiridge.ErrUnavailable.Wrap(canceled, "write %q was cancelled, but no condition failed", id)
 }
 
 func stringValue(s string) types.AttributeValue { return &types.AttributeValueMemberS{Value: s} }
@@ -246,11 +252,11 @@
 	revision, okRevision := item[attributeRevision].(*types.AttributeValueMemberN)
 	write, okWrite := item[attributeWrite].(*types.AttributeValueMemberS)
 	if !okKey || !okValue || !okRevision || !okWrite {
-		return wasabiridge.Row{}, wasabiridge.ErrInvalid.New("item lacks an attribute of a row")
+		return wasabiridge.Row{}, wasabiridge.ErrInvalid.New("item lacks an attribute of a row or has one of the wrong type")
 	}
 	number, err := strconv.ParseUint(revision.Value, 10, 64)
 	if err != nil || number == 0 {
-		return wasabiridge.Row{}, wasabiridge.ErrInvalid.New("item %q has revision %q", key.Value, revision.Value)
+		return wasabiridge.Row{}, wasabiridge.ErrInvalid.New("item %q has invalid revision %q", key.Value, revision.Value)
 	}
 	return wasabiridge.Row{
 		Key:       key.Value,
--- a/internal/wasabitable/fuzz_test.go
+++ b/internal/wasabitable/fuzz_test.go
@@ -15,7 +15,7 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabitable"
 )
 
-// canned answers every request with the same bytes.
+// canned answers every request with the same status and body.
 type canned struct {
 	status int
 	body   []byte
@@ -28,8 +28,9 @@
 	}, nil
 }
 
-// FuzzClient hands any answer to the adapter. It must not panic, and a write
-// counts as not carried out only for an error that says so.
+// FuzzClient passes arbitrary responses to the client. It must not panic, and
+// may report that a write did not take effect only for an error that rules out
+// an effect.
 func FuzzClient(f *testing.F) {
 	f.Add(200, []byte(`{"Item":{"pk":{"S":"a"},"sk":{"S":"a/b"},"data":{"B":"eA=="},"rev":{"N":"3"},"wid":{"S":"w"}}}`))
 	f.Add(200, []byte(`{"Items":[{"rev":{"N":"-1"}}],"LastEvaluatedKey":{}}`))
@@ -49,13 +50,13 @@
 		_, _ = client.List(context.Background(), "a/", "", 3)
 		err := client.Commit(context.Background(), wasabiridge.Transaction{ID: "w", Changes: []wasabiridge.RowChange{{Key: "a/b"}}})
 		if status >= 500 && !errorx.IsOfType(err, wasabiridge.ErrOutcomeUnknown) && !bytes.Contains(body, []byte("xception")) && !bytes.Contains(body, []byte("RequestLimitExceeded")) {
-			t.Fatalf("status %d with %q counts as %v", status, body, err)
+			t.Fatalf("status %d with body %q was reported as %v", status, body, err)
 		}
 	})
 }
 
-// FuzzHandler sends any request to the stand-in server. It must not panic but
-// for the connection that it cuts on purpose.
+// FuzzHandler sends arbitrary requests to the server. It must not panic except
+// to abort a connection on purpose.
 func FuzzHandler(f *testing.F) {
 	f.Add("TransactWriteItems", []byte(`{"TransactItems":[{"Put":{"Item":{"sk":{"S":"a"}},"ConditionExpression":"attribute_not_exists(pk)"}},{}],"ClientRequestToken":"w"}`))
 	f.Add("Query", []byte(`{"KeyConditionExpression":"pk = :pk AND begins_with(sk, :prefix)","Limit":1}`))
--- a/internal/wasabitable/item.go
+++ b/internal/wasabitable/item.go
@@ -6,8 +6,8 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Attributes of an item. The partition is the part of the key up to its first
-// slash, so that a list reads one partition in the order of the sort key.
+// Attributes of an item. The partition is the part of the key before its first
+// slash, so that a list reads one partition, ordered by the sort key.
 const (
 	attributePartition = "pk"
 	attributeKey       = "sk"
@@ -16,7 +16,7 @@
 	attributeWrite     = "wid"
 )
 
-// Expressions that the adapter sends and the stand-in server understands.
+// Expressions that the client sends and the server supports.
 const (
 	conditionMissing  = "attribute_not_exists(pk)"
 	conditionRevision = "rev = :rev"
@@ -26,7 +26,7 @@
 	parameterPart     = ":pk"
 )
 
-// Error codes of the DynamoDB API that the adapter tells apart.
+// Error codes of the DynamoDB API that the client distinguishes.
 const (
 	codeConditionFailed = "ConditionalCheckFailed"
 	codeCanceled        = "TransactionCanceledException"
@@ -44,7 +44,7 @@
 
 func checkListPrefix(prefix string) error {
 	if !strings.Contains(prefix, "/") {
-		return wasabiridge.ErrInvalid.New("list prefix %q does not name a whole partition, such as \"claims/\"", prefix)
+		return wasabiridge.ErrInvalid.New("list prefix %q must contain a complete partition name, such as \"claims/\"", prefix)
 	}
 	return nil
 }
--- a/internal/wasabitable/memory.go
+++ b/internal/wasabitable/memory.go
@@ -1,16 +1,15 @@
-// Package wasabitable holds what stands between wasabiridge and the
-// platform's transactional table: a stand-in in memory with injected faults,
-// an adapter and a stand-in server over HTTP, and the guard that keeps a write
-// from taking effect twice.
+// Package wasabitable provides the platform's transactional table: an in-memory
+// stand-in with fault injection, a client and a server of the DynamoDB API, and
+// Writer, which keeps a write from taking effect twice.
 //
 // # Usage
 //
-// A test takes the stand-in in memory and breaks it as it needs:
+// A test uses the stand-in and injects the faults that it needs:
 //
 //	table := wasabitable.NewMemory(wasabitable.MemoryOptions{Clock: clock})
 //	table.Faults().Script(wasabifault.Write, wasabifault.Fate{Kind: wasabifault.LostAnswer})
 //
-// Whoever writes does so through a Writer, which settles unknown outcomes:
+// Writes go through a Writer, which resolves unknown outcomes:
 //
 //	writer := wasabitable.NewWriter(table, wasabitable.WriterOptions{Name: "pos-1/17"})
 //	if err := writer.Commit(ctx, wasabitable.Write{Changes: changes}); err != nil {
@@ -28,16 +27,17 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabifault"
 )
 
-// MemoryOptions set up a stand-in in memory.
+// MemoryOptions configures a Memory.
 type MemoryOptions struct {
 	Clock wasabiridge.Clock
 	Plan  wasabifault.Plan
-	// Sleep waits out injected delays and reports false when the context
-	// ended first. Nil waits in real time.
+	// Sleep waits for the length of an injected delay and reports false when
+	// the context ended first. Nil waits in real time.
 	Sleep wasabifault.SleepFunc
 }
 
-// Stats counts calls that reached the table, turned away or not.
+// Stats counts calls to the table, including those that an injected fault
+// rejected.
 type Stats struct {
 	Reads  uint64
 	Writes uint64
@@ -45,9 +45,9 @@
 	Committed uint64
 }
 
-// Memory is a stand-in of the platform's table. It is safe for concurrent
-// use. Revisions come from one counter for all rows, so that a row that is
-// deleted and made again never shows an old revision.
+// Memory is an in-memory stand-in for the platform's table. It is safe for
+// concurrent use. Revisions come from one counter for all rows, so that a row
+// that is deleted and created again never gets an old revision.
 type Memory struct {
 	clock  wasabiridge.Clock
 	faults *wasabifault.Injector
@@ -75,24 +75,25 @@
 	}
 }
 
-// Faults returns the injector, to change the plan or script single fates.
+// Faults returns the fault injector, to change its plan or to script the faults
+// of single calls.
 func (m *Memory) Faults() *wasabifault.Injector { return m.faults }
 
-// Stats returns the counts since the start.
+// Stats returns the counts since the table was created.
 func (m *Memory) Stats() Stats {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.stats
 }
 
-// Get reads a row.
+// Get reads a row. A missing row has the revision 0.
 func (m *Memory) Get(ctx context.Context, key string) (wasabiridge.Row, error) {
 	if err := m.read(ctx, key); err != nil {
 		return wasabiridge.Row{}, err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.arrive()
+	m.applyLate()
 	row, ok := m.rows[key]
 	if !ok {
 		return wasabiridge.Row{Key: key}, nil
@@ -107,7 +108,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.arrive()
+	m.applyLate()
 	var rows []wasabiridge.Row
 	for key, row := range m.rows {
 		if strings.HasPrefix(key, prefix) && key > after {
@@ -123,21 +124,21 @@
 	return m.faults.Read(ctx, key)
 }
 
-// Commit carries out a transaction.
+// Commit executes a transaction.
 func (m *Memory) Commit(ctx context.Context, tx wasabiridge.Transaction) error {
 	if err := CheckTransaction(tx); err != nil {
 		return err
 	}
 	m.count(func(s *Stats) { s.Writes++ })
 	return m.faults.Write(ctx, tx.Changes[0].Key, func(f wasabifault.Fate) error {
-		return m.carryOut(tx, f)
+		return m.execute(tx, f)
 	})
 }
 
-func (m *Memory) carryOut(tx wasabiridge.Transaction, fate wasabifault.Fate) error {
+func (m *Memory) execute(tx wasabiridge.Transaction, fate wasabifault.Fate) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.arrive()
+	m.applyLate()
 	switch fate.Kind {
 	case wasabifault.LateEffect:
 		m.late = append(m.late, lateTransaction{due: m.clock.Now() + fate.Late, tx: copyTransaction(tx)})
@@ -148,17 +149,17 @@
 	return m.apply(tx)
 }
 
-// peek reads a row past the injected faults.
+// peek reads a row without injected faults.
 func (m *Memory) peek(key string) wasabiridge.Row {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.arrive()
+	m.applyLate()
 	return copyRow(m.rows[key])
 }
 
-// arrive carries out late transactions that are due. Their conditions are
-// tested now, not when they were sent.
-func (m *Memory) arrive() {
+// applyLate applies late transactions that are due. Their conditions are
+// checked now, not when they were sent.
+func (m *Memory) applyLate() {
 	now := m.clock.Now()
 	var waiting []lateTransaction
 	for _, l := range m.late {
@@ -166,14 +167,14 @@
 			waiting = append(waiting, l)
 			continue
 		}
-		// The caller has given up, so nobody is left to hear of a conflict.
+		// The caller has given up, so a conflict cannot be reported.
 		_ = m.apply(l.tx)
 	}
 	m.late = waiting
 }
 
-// touch rewrites the first existing row of the transaction under another
-// writer's identifier.
+// touch simulates a concurrent writer: it changes the revision and the write
+// identifier of the first existing row of the transaction.
 func (m *Memory) touch(tx wasabiridge.Transaction) {
 	for _, c := range tx.Changes {
 		if row, ok := m.rows[c.Key]; ok {
@@ -189,7 +190,7 @@
 func (m *Memory) apply(tx wasabiridge.Transaction) error {
 	for _, c := range tx.Changes {
 		if found := m.rows[c.Key].Revision; found != c.IfRevision {
-			return wasabiridge.ErrConflict.New("row %q has revision %d, not %d", c.Key, found, c.IfRevision)
+			return wasabiridge.ErrConflict.New("row %q has revision %d, want %d", c.Key, found, c.IfRevision)
 		}
 	}
 	m.revision++
@@ -215,19 +216,20 @@
 	add(&m.stats)
 }
 
-// CheckTransaction reports ErrInvalid for a transaction that no table takes:
-// one without an identifier, without changes, or with a row named twice.
+// CheckTransaction reports ErrInvalid for a transaction that no table accepts:
+// one without an identifier, without changes, or with a change whose key is
+// empty or repeated.
 func CheckTransaction(tx wasabiridge.Transaction) error {
 	if tx.ID == "" {
-		return wasabiridge.ErrInvalid.New("transaction without an identifier")
+		return wasabiridge.ErrInvalid.New("transaction has no identifier")
 	}
 	if len(tx.Changes) == 0 {
-		return wasabiridge.ErrInvalid.New("transaction %q without changes", tx.ID)
+		return wasabiridge.ErrInvalid.New("transaction %q has no changes", tx.ID)
 	}
 	seen := map[string]bool{}
 	for _, c := range tx.Changes {
 		if c.Key == "" || seen[c.Key] {
-			return wasabiridge.ErrInvalid.New("transaction %q names row %q twice or not at all", tx.ID, c.Key)
+			return wasabiridge.ErrInvalid.New("transaction %q has an empty or repeated row key %q", tx.ID, c.Key)
 		}
 		seen[c.Key] = true
 	}
--- a/internal/wasabitable/server.go
+++ b/internal/wasabitable/server.go
@@ -19,7 +19,7 @@
 	maxBody      = 16 << 20
 )
 
-// item is an item as the API writes it: attribute name, type letter, value.
+// item is an item in the API's JSON form: attribute name, type letter, value.
 type item map[string]map[string]string
 
 func (i item) text(name string) string { return i[name]["S"] }
@@ -65,8 +65,8 @@
 }
 
 // Handler serves the part of the DynamoDB API that Client uses, on top of a
-// table in memory with its injected faults. Items are kept as they came; a
-// lost answer is a connection that closes without one.
+// table in memory with its injected faults. Items are stored as they were
+// received. A lost response is simulated by closing the connection without one.
 func Handler(m *Memory) http.Handler {
 	s := &server{memory: m}
 	return http.HandlerFunc(s.serve)
@@ -77,7 +77,7 @@
 func (s *server) serve(w http.ResponseWriter, r *http.Request) {
 	var q wireRequest
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&q); err != nil {
-		fail(w, wireError{Type: "SerializationException", Message: err.Error()})
+		writeError(w, wireError{Type: "SerializationException", Message: err.Error()})
 		return
 	}
 	switch strings.TrimPrefix(r.Header.Get(targetHeader), targetPrefix) {
@@ -88,32 +88,32 @@
 	case "TransactWriteItems":
 		s.transact(w, r, q)
 	default:
-		fail(w, wireError{Type: "UnknownOperationException"})
+		writeError(w, wireError{Type: "UnknownOperationException"})
 	}
 }
 
 func (s *server) getItem(w http.ResponseWriter, r *http.Request, q wireRequest) {
 	row, err := s.memory.Get(r.Context(), q.Key.text(attributeKey))
 	if err != nil {
-		fail(w, wireError{Type: codeThrottled, Message: err.Error()})
+		writeError(w, wireError{Type: codeThrottled, Message: err.Error()})
 		return
 	}
 	if row.Revision == 0 {
-		answer(w, http.StatusOK, wireItem{})
+		writeJSON(w, http.StatusOK, wireItem{})
 		return
 	}
-	answer(w, http.StatusOK, wireItem{Item: decodeItem(row)})
+	writeJSON(w, http.StatusOK, wireItem{Item: decodeItem(row)})
 }
 
 func (s *server) query(w http.ResponseWriter, r *http.Request, q wireRequest) {
 	prefix := q.ExpressionAttributeValues.text(parameterPrefix)
 	if q.KeyConditionExpression != conditionPrefix || q.Limit < 1 {
-		fail(w, wireError{Type: codeValidation, Message: "the stand-in knows one form of query"})
+		writeError(w, wireError{Type: codeValidation, Message: "this server supports one form of query only"})
 		return
 	}
 	rows, err := s.memory.List(r.Context(), prefix, q.ExclusiveStartKey.text(attributeKey), q.Limit)
 	if err != nil {
-		fail(w, wireError{Type: codeThrottled, Message: err.Error()})
+		writeError(w, wireError{Type: codeThrottled, Message: err.Error()})
 		return
 	}
 	out := wireItems{Items: []item{}, Count: len(rows)}
@@ -124,7 +124,7 @@
 		last := out.Items[len(rows)-1]
 		out.LastEvaluatedKey = item{attributePartition: last[attributePartition], attributeKey: last[attributeKey]}
 	}
-	answer(w, http.StatusOK, out)
+	writeJSON(w, http.StatusOK, out)
 }
 
 func (s *server) transact(w http.ResponseWriter, r *http.Request, q wireRequest) {
@@ -141,17 +141,18 @@
 		tx.Changes = append(tx.Changes, change)
 	}
 	if failed {
-		// A row that cannot have its revision makes the table refuse, so that
-		// faults strike failed conditions just as others.
+		// No row can have this revision, so the table rejects the transaction.
+		// The commit still goes through the table, so that injected faults
+		// affect failed conditions as well.
 		tx.Changes[0].IfRevision = impossibleRevision
 	}
-	s.settle(w, s.memory.Commit(r.Context(), tx), reasons)
+	s.respond(w, s.memory.Commit(r.Context(), tx), reasons)
 }
 
 const impossibleRevision = 1 << 63
 
-// change tests the condition on the item as it is now. The table tests once
-// more that the row did not change in between.
+// change checks the condition against the current item. The table then checks
+// that the row has not changed in between.
 func (s *server) change(c wireChange) (wasabiridge.RowChange, bool) {
 	write, key := c.Put, ""
 	if write != nil {
@@ -164,7 +165,7 @@
 	row := s.memory.peek(key)
 	change := wasabiridge.RowChange{Key: key, IfRevision: row.Revision, Delete: c.Delete != nil}
 	if c.Put != nil {
-		// A map of strings always has a JSON form.
+		// Marshalling a map of strings cannot fail.
 		change.Value, _ = json.Marshal(write.Item)
 	}
 	switch write.ConditionExpression {
@@ -178,21 +179,21 @@
 	}
 }
 
-func (s *server) settle(w http.ResponseWriter, err error, reasons []wireReason) {
+func (s *server) respond(w http.ResponseWriter, err error, reasons []wireReason) {
 	switch {
 	case err == nil:
-		answer(w, http.StatusOK, struct{}{})
+		writeJSON(w, http.StatusOK, struct{}{})
 	case errorx.IsOfType(err, wasabiridge.ErrConflict):
 		if len(reasons) > 0 {
 			reasons[0].Code = codeConditionFailed
 		}
-		fail(w, wireError{Type: codeCanceled, Message: err.Error(), Reasons: reasons})
+		writeError(w, wireError{Type: codeCanceled, Message: err.Error(), Reasons: reasons})
 	case errorx.IsOfType(err, wasabiridge.ErrUnavailable):
-		fail(w, wireError{Type: codeThrottled, Message: err.Error()})
+		writeError(w, wireError{Type: codeThrottled, Message: err.Error()})
 	case errorx.IsOfType(err, wasabiridge.ErrInvalid):
-		fail(w, wireError{Type: codeValidation, Message: err.Error()})
+		writeError(w, wireError{Type: codeValidation, Message: err.Error()})
 	default:
-		// The answer is lost: the connection ends without one.
+		// The outcome is unknown: close the connection without a response.
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -205,14 +206,15 @@
 	return i
 }
 
-func fail(w http.ResponseWriter, e wireError) {
+func writeError(w http.ResponseWriter, e wireError) {
 	e.Type = errorPrefix + e.Type
-	answer(w, http.StatusBadRequest, e)
+	writeJSON(w, http.StatusBadRequest, e)
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", contentType)
 	w.WriteHeader(status)
-	// The caller is gone when this fails; there is nobody to tell.
+	// Encoding fails only when the caller is gone, and then nobody can receive
+	// an error.
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/internal/wasabitable/table_test.go
+++ b/internal/wasabitable/table_test.go
@@ -23,7 +23,7 @@
 
 var noFaults wasabifault.Plan
 
-// virtualTable returns a table whose delays move its clock.
+// virtualTable returns a table whose injected delays advance its virtual clock.
 func virtualTable(plan wasabifault.Plan) (*wasabitable.Memory, func(context.Context, wasabiridge.Millis) bool) {
 	clock := wasabiclock.NewVirtual(0)
 	sleep := func(ctx context.Context, span wasabiridge.Millis) bool {
@@ -41,7 +41,7 @@
 	wasabicontract.Specs(wasabicontract.Table(fresh))
 	wasabicontract.Specs(wasabicontract.TableFaults(fresh))
 
-	It("turns calls away above the rate of the store", func(ctx SpecContext) {
+	It("rejects calls above the configured rate", func(ctx SpecContext) {
 		m, _ := virtualTable(wasabifault.Plan{ReadsPerSecond: 3})
 		for range 3 {
 			Expect(m.Get(ctx, "a")).To(HaveField("Revision", BeZero()))
@@ -61,16 +61,16 @@
 	wasabicontract.Specs(wasabicontract.Table(fresh))
 	wasabicontract.Specs(wasabicontract.TableFaults(fresh))
 
-	It("has nothing in effect when no connection was made", func(ctx SpecContext) {
+	It("reports that nothing took effect when no connection was established", func(ctx SpecContext) {
 		server := httptest.NewServer(nil)
 		server.Close()
 		err := newClient(server.URL).Commit(ctx, wasabiridge.Transaction{ID: "w", Changes: []wasabiridge.RowChange{{Key: "a"}}})
 		Expect(errorx.IsOfType(err, wasabiridge.ErrUnavailable)).To(BeTrue(), "%v", err)
 	})
 
-	// A store that hangs must not hold its caller for ever, and the caller
-	// must not believe that nothing happened.
-	It("gives up on a store that hangs, with an unknown outcome", func(ctx SpecContext) {
+	// A table that hangs must not block its caller for ever, and the caller
+	// must not assume that nothing took effect.
+	It("times out on a table that hangs and reports an unknown outcome", func(ctx SpecContext) {
 		m := wasabitable.NewMemory(wasabitable.MemoryOptions{Clock: wasabiclock.System()})
 		m.Faults().Script(wasabifault.Write, wasabifault.Fate{After: wasabiridge.Minute})
 		server := httptest.NewServer(wasabitable.Handler(m))
@@ -89,7 +89,7 @@
 	})
 }
 
-// counter is a row whose value counts effects.
+// counter is a row whose value counts the writes that took effect.
 const counter = "counter"
 
 func increment(row wasabiridge.Row) wasabiridge.RowChange {
@@ -116,10 +116,10 @@
 	return err
 }
 
-var _ = Describe("A write whose answer is lost", func() {
-	// A shop pays twice for one upload. The first write took effect, its
-	// answer was lost, and the writer tried again with a fresh revision. The
-	// cause is the blind retry: the second write is a new one to the store.
+var _ = Describe("A write whose response is lost", func() {
+	// A shop pays twice for one upload: the first write took effect, its
+	// response was lost, and the writer tried again with a fresh revision. To
+	// the table, the second write is a new one.
 	It("takes effect twice with a blind retry", func(ctx SpecContext) {
 		table, _ := virtualTable(noFaults)
 		table.Faults().Script(wasabifault.Write, wasabifault.Fate{Kind: wasabifault.LostAnswer})
@@ -127,16 +127,16 @@
 		Expect(table.Get(ctx, counter)).To(HaveField("Value", BeEquivalentTo("2")))
 	})
 
-	// The same order of events with the guard: the writer reads back, finds
-	// its own identifier and does not write again.
+	// The same sequence of events with a Writer: it reads back, finds its own
+	// identifier and does not write again.
 	fates := map[string][]wasabifault.Fate{
-		"the answer is lost":                   {{Kind: wasabifault.LostAnswer}},
-		"the request is lost":                  {{Kind: wasabifault.LostRequest}},
-		"the request is lost twice":            {{Kind: wasabifault.LostRequest}, {Kind: wasabifault.LostRequest}},
-		"turned away, then the answer is lost": {{Kind: wasabifault.Unavailable}, {Kind: wasabifault.LostAnswer}},
-		"lost answer behind a lost request":    {{Kind: wasabifault.LostRequest}, {Kind: wasabifault.LostAnswer}},
-		"the first copy comes late":            {{Kind: wasabifault.LateEffect, Late: 70}},
-		"the first copy comes last":            {{Kind: wasabifault.LateEffect, Late: 5000}},
+		"the response is lost":                   {{Kind: wasabifault.LostAnswer}},
+		"the request is lost":                    {{Kind: wasabifault.LostRequest}},
+		"the request is lost twice":              {{Kind: wasabifault.LostRequest}, {Kind: wasabifault.LostRequest}},
+		"rejected, then the response is lost":    {{Kind: wasabifault.Unavailable}, {Kind: wasabifault.LostAnswer}},
+		"the request is lost, then the response": {{Kind: wasabifault.LostRequest}, {Kind: wasabifault.LostAnswer}},
+		"the first copy takes effect late":       {{Kind: wasabifault.LateEffect, Late: 70}},
+		"the first copy takes effect last":       {{Kind: wasabifault.LateEffect, Late: 5000}},
 	}
 	names := make([]string, 0, len(fates))
 	for name := range fates {
@@ -144,7 +144,7 @@
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		It("takes effect once with the guard when "+name, func(ctx SpecContext) {
+		It("takes effect once with a Writer when "+name, func(ctx SpecContext) {
 			table, sleep := virtualTable(noFaults)
 			table.Faults().Script(wasabifault.Write, fates[name]...)
 			writer := wasabitable.NewWriter(table, wasabitable.WriterOptions{Name: "w", Sleep: sleep})
@@ -154,7 +154,7 @@
 		})
 	}
 
-	It("is unknown when the store stays away, and not run when it never answered", func(ctx SpecContext) {
+	It("has an unknown outcome after a lost response, and no effect when every call was rejected", func(ctx SpecContext) {
 		table, sleep := virtualTable(wasabifault.Plan{Windows: []wasabifault.Window{wasabifault.Outage(0, wasabiridge.Hour)}})
 		writer := wasabitable.NewWriter(table, wasabitable.WriterOptions{Name: "w", Sleep: sleep})
 		write := wasabitable.Write{Changes: []wasabiridge.RowChange{increment(wasabiridge.Row{})}}
@@ -163,19 +163,19 @@
 		Expect(errorx.IsOfType(writer.Commit(ctx, write), wasabiridge.ErrOutcomeUnknown)).To(BeTrue())
 	})
 
-	// Two operators save at the same moment and the answer to the first is
-	// lost. The second overwrites the head before the first reads back. The
-	// first must not be told that nothing happened when it did.
+	// Two operators save at the same moment, and the response to the first is
+	// lost. The second overwrites the shared row before the first reads back.
+	// The first must not be told that nothing took effect when its write did.
 	overtaken := map[string]struct {
 		first wasabifault.Kind
 		want  *errorx.Type
 	}{
-		"and happened":     {wasabifault.LostAnswer, nil},
-		"and did not":      {wasabifault.LostRequest, wasabiridge.ErrConflict},
-		"and might happen": {wasabifault.LateEffect, wasabiridge.ErrConflict},
+		"and took effect":           {wasabifault.LostAnswer, nil},
+		"and did not take effect":   {wasabifault.LostRequest, wasabiridge.ErrConflict},
+		"and might yet take effect": {wasabifault.LateEffect, wasabiridge.ErrConflict},
 	}
-	for _, name := range []string{"and did not", "and happened", "and might happen"} {
-		It("is told from another's by its witness when it was overtaken "+name, func(ctx SpecContext) {
+	for _, name := range []string{"and did not take effect", "and took effect", "and might yet take effect"} {
+		It("is identified by its witness when another write overtook it "+name, func(ctx SpecContext) {
 			c := overtaken[name]
 			table, _ := virtualTable(noFaults)
 			overtake := func(context.Context, wasabiridge.Millis) bool {
@@ -194,12 +194,12 @@
 		})
 	}
 
-	It("takes effect once per write under all faults at once", func(ctx SpecContext) {
+	It("takes effect at most once per write under all kinds of fault at once", func(ctx SpecContext) {
 		for seed := range uint64(200) {
 			plan := wasabifault.Plan{Seed: seed, Unavailable: 0.1, LostRequest: 0.1, LostAnswer: 0.2, LateEffect: 0.1, Race: 0.1, Lateness: 400}
 			table, sleep := virtualTable(plan)
 			writer := wasabitable.NewWriter(table, wasabitable.WriterOptions{Name: "w", Sleep: sleep})
-			surely, maybe := 0, 0
+			committed, unknown := 0, 0
 			for range 30 {
 				row, err := table.Get(ctx, counter)
 				if err != nil {
@@ -207,9 +207,9 @@
 				}
 				switch err = writer.Commit(ctx, wasabitable.Write{Changes: []wasabiridge.RowChange{increment(row)}}); {
 				case err == nil:
-					surely++
+					committed++
 				case errorx.IsOfType(err, wasabiridge.ErrOutcomeUnknown):
-					maybe++
+					unknown++
 				}
 			}
 			sleep(ctx, wasabiridge.Minute)
@@ -217,7 +217,7 @@
 			row, err := table.Get(ctx, counter)
 			Expect(err).NotTo(HaveOccurred())
 			effects, _ := strconv.Atoi(string(row.Value))
-			Expect(effects).To(And(BeNumerically(">=", surely), BeNumerically("<=", surely+maybe)), "seed %d", seed)
+			Expect(effects).To(And(BeNumerically(">=", committed), BeNumerically("<=", committed+unknown)), "seed %d", seed)
 		}
 	})
 })
--- a/internal/wasabitable/writer.go
+++ b/internal/wasabitable/writer.go
@@ -17,44 +17,47 @@
 	defaultPause    = wasabiridge.Millis(50)
 )
 
-// WriterOptions set up a Writer.
+// WriterOptions configures a Writer.
 type WriterOptions struct {
-	// Name starts every identifier. It must differ between all lives of all
-	// instances, such as instance and incarnation together.
+	// Name is the prefix of every write identifier. It must differ between all
+	// incarnations of all instances, for example by containing the instance and
+	// its incarnation.
 	Name string
 	// Attempts bounds how often one transaction is sent. Zero means 4.
 	Attempts int
-	// Pause is the wait before the first read-back; it doubles each time.
-	// Zero means 50 ms.
+	// Pause is the wait after the first failed attempt; it doubles after each
+	// further one. Zero means 50 ms.
 	Pause wasabiridge.Millis
-	// Sleep waits and reports false when the context ended first. Nil waits
-	// in real time.
+	// Sleep waits and reports false when the context ended first. Nil waits in
+	// real time.
 	Sleep wasabifault.SleepFunc
 }
 
-// Write is a set of changes that a Writer carries out at most once.
+// Write is a set of changes that a Writer applies at most once.
 type Write struct {
 	Changes []wasabiridge.RowChange
-	// Witness names one of the changed rows that nobody else ever writes or
-	// deletes once it exists, such as a row of a history. When it is set, an
-	// overtaken write can be told from one that never took effect. Without
-	// it that case is reported as ErrOutcomeUnknown.
+	// Witness is the key of one of the changed rows that, once it exists, no
+	// other writer ever changes or deletes, such as a row of a history. When
+	// another write has changed the other rows, it shows whether this write
+	// took effect before that. Without it that case is reported as
+	// ErrOutcomeUnknown.
 	Witness string
 }
 
-// Writer guards against a write that takes effect twice.
+// Writer guards against writes that take effect twice.
 //
-// The failure: the table carries out a transaction, but its answer is lost.
-// The caller sees an error, reads fresh revisions and writes again, and a
-// booking or a version number counts twice. The guard: all sends of one Write
-// carry the same identifier and the same conditions. Any send that takes
-// effect raises the revisions, so that no other copy, however late, can still
-// meet its conditions. Rows that carry the identifier prove that it happened.
+// The failure: the table applies a transaction, but its response is lost. The
+// caller sees an error, reads fresh revisions and writes again, and a booking
+// or a version number counts twice. The guard: all attempts at one Write carry
+// the same identifier and the same conditions. An attempt that takes effect
+// raises the revisions, so that no other copy, however late, can still satisfy
+// its conditions. Rows that carry the identifier prove that the write took
+// effect.
 //
-// The guard does not hold for a Write that only makes new rows which another
-// writer may delete meanwhile: a late copy then makes them once more. Mark
-// such rows as ended instead of deleting them, or change one lasting row
-// along with them.
+// The guard does not cover a Write that only creates rows which another writer
+// may delete in the meantime: a late copy then creates them again. Mark such
+// rows as ended instead of deleting them, or change one permanent row along
+// with them.
 //
 // A Writer is safe for concurrent use.
 type Writer struct {
@@ -63,7 +66,7 @@
 	last    atomic.Uint64
 }
 
-// NewWriter returns a writer to the table.
+// NewWriter returns a writer for the table.
 func NewWriter(table wasabiridge.Table, o WriterOptions) *Writer {
 	if o.Attempts == 0 {
 		o.Attempts = defaultAttempts
@@ -82,16 +85,17 @@
 	return wasabiridge.WriteID(w.options.Name + "/" + strconv.FormatUint(w.last.Add(1), 10))
 }
 
-// Commit carries out a write. It reports nil, the write took effect once;
-// ErrConflict, a condition did not hold and nothing took effect;
-// ErrUnavailable, nothing took effect or ever will; ErrOutcomeUnknown, the
-// write may have taken effect or may yet do so, at most once.
+// Commit applies a write. A nil error means that the write took effect once;
+// ErrConflict, that a condition did not hold and nothing took effect;
+// ErrUnavailable, that nothing took effect or ever will; ErrOutcomeUnknown,
+// that the write may have taken effect or may still do so, at most once.
+// ErrInvalid is returned for a transaction that the table does not accept.
 func (w *Writer) Commit(ctx context.Context, write Write) error {
 	return w.CommitAs(ctx, w.NextID(), write)
 }
 
-// CommitAs is Commit under an identifier that the caller chose, so that the
-// caller can look for its write later.
+// CommitAs is Commit with an identifier that the caller chose, so that the
+// caller can look up its write later.
 func (w *Writer) CommitAs(ctx context.Context, id wasabiridge.WriteID, write Write) error {
 	tx := wasabiridge.Transaction{ID: id, Changes: write.Changes}
 	inFlight := false
@@ -119,15 +123,15 @@
 		return found.err(id)
 	}
 	if !inFlight {
-		return wasabiridge.ErrUnavailable.New("write %q was turned away %d times", id, w.options.Attempts)
+		return wasabiridge.ErrUnavailable.New("write %q was rejected %d times", id, w.options.Attempts)
 	}
 	return ambiguous.err(id)
 }
 
-// readBack reads the rows of the transaction, and the witness after all
-// others. Were it read first, a late copy could take effect behind it and be
-// overwritten before the other rows are read, and a write that happened would
-// be called overtaken.
+// readBack reads the rows of the transaction, the witness last. If the witness
+// were read first, a late copy could take effect after that read and be
+// overwritten before the other rows are read, and a write that took effect
+// would be judged overtaken.
 func (w *Writer) readBack(ctx context.Context, tx wasabiridge.Transaction, witness string) (verdict, error) {
 	rows := make([]wasabiridge.Row, len(tx.Changes))
 	for _, last := range []bool{false, true} {
@@ -144,23 +148,23 @@
 	return judge(tx, rows, witness), nil
 }
 
-// verdict is what a read-back says of a write.
+// verdict is the result of a read-back.
 type verdict uint8
 
 const (
-	// pending means that no copy took effect yet and that one still may.
+	// pending means that no copy has taken effect yet, and one still may.
 	pending verdict = iota
 	// committed means that a copy took effect.
 	committed
-	// overtaken means that no copy took effect and none can.
+	// overtaken means that no copy took effect and none can any more.
 	overtaken
-	// ambiguous means that another write changed the rows, and that ours may
-	// have come before it.
+	// ambiguous means that another write changed the rows, and that this one
+	// may have taken effect before it.
 	ambiguous
 )
 
-// judge compares the rows, read after an unknown outcome, with the
-// transaction. rows[i] belongs to tx.Changes[i].
+// judge compares the rows, read after an unknown outcome, with the transaction.
+// rows[i] is the row of tx.Changes[i].
 func judge(tx wasabiridge.Transaction, rows []wasabiridge.Row, witness string) verdict {
 	met, witnessed := true, false
 	for i, c := range tx.Changes {
@@ -185,7 +189,7 @@
 	case committed:
 		return nil
 	case overtaken:
-		return wasabiridge.ErrConflict.New("write %q was overtaken and did not take effect", id)
+		return wasabiridge.ErrConflict.New("write %q was overtaken by another write and did not take effect", id)
 	default:
 		return wasabiridge.ErrOutcomeUnknown.New("write %q may have taken effect", id)
 	}
