--- a/internal/wasabiobject/client.go
+++ b/internal/wasabiobject/client.go
@@ -15,35 +15,35 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// ClientOptions set up the adapter.
+// ClientOptions configures a Client.
 type ClientOptions struct {
-	// URL is the endpoint of a service that speaks the S3 API.
+	// URL is the endpoint of a service that implements the S3 API.
 	URL    string
 	Bucket string
-	// Region, AccessKey and SecretKey sign the calls. They come from the
-	// settings; nothing else is searched for them.
+	// Region, AccessKey and SecretKey sign the calls. No other source of
+	// credentials, such as the environment, is consulted.
 	Region    string
 	AccessKey string
 	SecretKey string
-	// Timeout bounds each call. Zero means 10 s.
+	// Timeout bounds each call. Zero means DefaultTimeout.
 	Timeout wasabiridge.Millis
 }
 
-// DefaultTimeout bounds a call to the object store.
+// DefaultTimeout is the default time-out of a call.
 const DefaultTimeout = 10 * wasabiridge.Second
 
-// maxObject bounds the size of an object that is read, in bytes.
+// maxObject bounds the size of an object, in bytes.
 const maxObject = 64 << 20
 
-// Error codes of the S3 API that the adapter tells apart.
+// Error codes of the S3 API that the client distinguishes.
 const (
 	codeMissing  = "NoSuchKey"
 	codeSlowDown = "SlowDown"
 )
 
-// Client is a wasabiridge.ObjectStore behind the S3 API. It is safe for
-// concurrent use. The retries of the library are off, so that a lost answer
-// is reported as what it is.
+// Client is a wasabiridge.ObjectStore that calls the S3 API. It is safe for
+// concurrent use. The retries of the AWS library are off, so that a lost
+// response is reported as an unknown outcome.
 type Client struct {
 	api     *s3.Client
 	options ClientOptions
@@ -51,7 +51,7 @@
 
 var _ wasabiridge.ObjectStore = (*Client)(nil)
 
-// NewClient returns an adapter. It does not connect yet.
+// NewClient returns a client. It does not connect yet.
 func NewClient(o ClientOptions) *Client {
 	if o.Timeout == 0 {
 		o.Timeout = DefaultTimeout
@@ -72,7 +72,8 @@
 	return context.WithTimeout(ctx, c.options.Timeout.Duration())
 }
 
-// Get reads an object. One that is longer than 64 MiB is reported as invalid.
+// Get reads an object. It reports ErrNotFound for a missing object, and
+// ErrInvalid for one that is larger than 64 MiB.
 func (c *Client) Get(ctx context.Context, name string) ([]byte, error) {
 	ctx, cancel := c.bound(ctx)
 	defer cancel()
@@ -86,12 +87,12 @@
 		if errorCode(err) == codeMissing {
 			return nil, wasabiridge.ErrNotFound.Wrap(err, "object %q", name)
 		}
-		return nil, wasabiridge.ErrUnavailable.Wrap(err, "read of object %q", name)
+		return nil, wasabiridge.ErrUnavailable.Wrap(err, "read object %q", name)
 	}
 	defer out.Body.Close()
 	var data []byte
 	if data, err = io.ReadAll(io.LimitReader(out.Body, maxObject+1)); err != nil {
-		return nil, wasabiridge.ErrUnavailable.Wrap(err, "read of object %q was cut", name)
+		return nil, wasabiridge.ErrUnavailable.Wrap(err, "read of object %q was truncated", name)
 	}
 	if len(data) > maxObject {
 		return nil, wasabiridge.ErrInvalid.New("object %q is longer than %d bytes", name, maxObject)
@@ -99,10 +100,11 @@
 	return data, nil
 }
 
-// Put writes an object as a whole.
+// Put creates or replaces an object. It reports ErrUnavailable when the object
+// was certainly not written, and ErrOutcomeUnknown when it may have been.
 func (c *Client) Put(ctx context.Context, name string, data []byte) error {
 	if name == "" {
-		return wasabiridge.ErrInvalid.New("object without a name")
+		return wasabiridge.ErrInvalid.New("object has no name")
 	}
 	ctx, cancel := c.bound(ctx)
 	defer cancel()
@@ -117,12 +119,12 @@
 func putError(name string, err error) error {
 	var dial *net.OpError
 	if (errors.As(err, &dial) && dial.Op == "dial") || errorCode(err) == codeSlowDown {
-		return wasabiridge.ErrUnavailable.Wrap(err, "write of object %q", name)
+		return wasabiridge.ErrUnavailable.Wrap(err, "write object %q", name)
 	}
-	return wasabiridge.ErrOutcomeUnknown.Wrap(err, "no answer to the write of object %q", name)
+	return wasabiridge.ErrOutcomeUnknown.Wrap(err, "no usable response to the write of object %q", name)
 }
 
-// List names objects in order.
+// List returns object names in order.
 func (c *Client) List(ctx context.Context, prefix, after string, limit int) ([]string, error) {
 	ctx, cancel := c.bound(ctx)
 	defer cancel()
@@ -137,7 +139,7 @@
 			err error
 		)
 		if out, err = c.api.ListObjectsV2(ctx, input); err != nil {
-			return nil, wasabiridge.ErrUnavailable.Wrap(err, "list of objects %q", prefix)
+			return nil, wasabiridge.ErrUnavailable.Wrap(err, "list objects with prefix %q", prefix)
 		}
 		for _, object := range out.Contents {
 			names = append(names, aws.ToString(object.Key))
--- a/internal/wasabiobject/memory.go
+++ b/internal/wasabiobject/memory.go
@@ -1,6 +1,5 @@
-// Package wasabiobject holds what stands between wasabiridge and the
-// platform's object store: a stand-in in memory with injected faults, an
-// adapter that speaks the S3 API, and a stand-in server of that API.
+// Package wasabiobject provides the platform's object store: an in-memory
+// stand-in with fault injection, and a client and a server of the S3 API.
 //
 // # Usage
 //
@@ -9,9 +8,9 @@
 //		return err
 //	}
 //
-// A process that shares its platform with others uses the adapter:
+// A process that shares its platform with others uses the client:
 //
-//	objects, err := wasabiobject.NewClient(wasabiobject.ClientOptions{URL: url})
+//	objects := wasabiobject.NewClient(wasabiobject.ClientOptions{URL: url})
 package wasabiobject
 
 import (
@@ -24,16 +23,16 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabifault"
 )
 
-// MemoryOptions set up a stand-in in memory.
+// MemoryOptions configures a Memory.
 type MemoryOptions struct {
 	Clock wasabiridge.Clock
 	Plan  wasabifault.Plan
-	// Sleep waits out injected delays. Nil waits in real time.
+	// Sleep waits for the length of an injected delay. Nil waits in real time.
 	Sleep wasabifault.SleepFunc
 }
 
-// Memory is a stand-in of the platform's object store. It is safe for
-// concurrent use.
+// Memory is an in-memory stand-in for the platform's object store. It is safe
+// for concurrent use.
 type Memory struct {
 	clock  wasabiridge.Clock
 	faults *wasabifault.Injector
@@ -60,46 +59,48 @@
 	}
 }
 
-// Faults returns the injector, to change the plan or script single fates.
+// Faults returns the fault injector, to change its plan or to script the faults
+// of single calls.
 func (m *Memory) Faults() *wasabifault.Injector { return m.faults }
 
-// Get reads an object.
+// Get reads an object. It reports ErrNotFound for a missing one.
 func (m *Memory) Get(ctx context.Context, name string) ([]byte, error) {
 	if err := m.faults.Read(ctx, name); err != nil {
 		return nil, err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.arrive()
+	m.applyLate()
 	data, ok := m.objects[name]
 	if !ok {
-		return nil, wasabiridge.ErrNotFound.New("no object %q", name)
+		return nil, wasabiridge.ErrNotFound.New("object %q does not exist", name)
 	}
 	return append([]byte{}, data...), nil
 }
 
-// Put writes an object as a whole. A copy that comes late overwrites what was
-// written meanwhile, as in a store without conditions.
+// Put creates or replaces an object. A write that an injected fault delays
+// overwrites later ones when it takes effect, as in a store without conditional
+// writes.
 func (m *Memory) Put(ctx context.Context, name string, data []byte) error {
 	if name == "" {
-		return wasabiridge.ErrInvalid.New("object without a name")
+		return wasabiridge.ErrInvalid.New("object has no name")
 	}
-	kept := append([]byte{}, data...)
+	stored := append([]byte{}, data...)
 	return m.faults.Write(ctx, name, func(f wasabifault.Fate) error {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.arrive()
+		m.applyLate()
 		if f.Kind == wasabifault.LateEffect {
-			m.late = append(m.late, lateObject{due: m.clock.Now() + f.Late, name: name, data: kept})
+			m.late = append(m.late, lateObject{due: m.clock.Now() + f.Late, name: name, data: stored})
 			return nil
 		}
-		m.objects[name] = kept
+		m.objects[name] = stored
 		return nil
 	})
 }
 
-// arrive carries out late writes that are due.
-func (m *Memory) arrive() {
+// applyLate applies late writes that are due.
+func (m *Memory) applyLate() {
 	now := m.clock.Now()
 	var waiting []lateObject
 	for _, l := range m.late {
@@ -112,14 +113,14 @@
 	m.late = waiting
 }
 
-// List names objects in order.
+// List returns object names in order.
 func (m *Memory) List(ctx context.Context, prefix, after string, limit int) ([]string, error) {
 	if err := m.faults.Read(ctx, prefix+"*"); err != nil {
 		return nil, err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.arrive()
+	m.applyLate()
 	var names []string
 	for name := range m.objects {
 		if strings.HasPrefix(name, prefix) && name > after {
--- a/internal/wasabiobject/server.go
+++ b/internal/wasabiobject/server.go
@@ -13,8 +13,9 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// defaultPage is how many names a page holds when the caller asks for none.
-const defaultPage = 1000
+// defaultPageSize is the number of names in a page when the request does not
+// limit it.
+const defaultPageSize = 1000
 
 type wireError struct {
 	XMLName xml.Name `xml:"Error"`
@@ -36,9 +37,9 @@
 type wireObject struct{ Key string }
 
 // Handler serves the part of the S3 API that Client uses, with path-style
-// addresses below the given mount point, such as "/s3". Each bucket is a
-// store in memory with faults of its own. A lost answer is a connection that
-// closes without one.
+// addresses below the given mount point, such as "/s3". Each bucket is a store
+// in memory with its own injected faults. A lost response is simulated by
+// closing the connection without one.
 func Handler(mount string, buckets map[string]*Memory) http.Handler {
 	s := &server{mount: mount, buckets: buckets}
 	r := chi.NewRouter()
@@ -54,13 +55,13 @@
 	buckets map[string]*Memory
 }
 
-// locate splits a path into its bucket and the name of the object. It reads
-// the decoded path, because the router matches the encoded one.
+// locate splits a path into the bucket and the name of the object. It reads the
+// decoded path, because the router matches the encoded one.
 func (s *server) locate(w http.ResponseWriter, r *http.Request) (*Memory, string, bool) {
 	bucket, name, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, s.mount+"/"), "/")
 	m, ok := s.buckets[bucket]
 	if !ok {
-		fail(w, http.StatusNotFound, "NoSuchBucket", bucket)
+		writeError(w, http.StatusNotFound, "NoSuchBucket", bucket)
 	}
 	return m, name, ok
 }
@@ -72,7 +73,7 @@
 	}
 	data, err := m.Get(r.Context(), name)
 	if err != nil {
-		refuse(w, err)
+		writeStoreError(w, err)
 		return
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
@@ -86,11 +87,11 @@
 	}
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxObject))
 	if err != nil {
-		fail(w, http.StatusBadRequest, "IncompleteBody", err.Error())
+		writeError(w, http.StatusBadRequest, "IncompleteBody", err.Error())
 		return
 	}
 	if err = m.Put(r.Context(), name, data); err != nil {
-		refuse(w, err)
+		writeStoreError(w, err)
 	}
 }
 
@@ -102,12 +103,12 @@
 	q := r.URL.Query()
 	limit, err := strconv.Atoi(q.Get("max-keys"))
 	if err != nil || limit < 0 {
-		limit = defaultPage
+		limit = defaultPageSize
 	}
 	out := wireList{Name: chi.URLParam(r, "bucket"), Prefix: q.Get("prefix"), StartAfter: q.Get("start-after"), MaxKeys: limit}
 	var names []string
 	if names, err = m.List(r.Context(), out.Prefix, out.StartAfter, limit+1); err != nil {
-		refuse(w, err)
+		writeStoreError(w, err)
 		return
 	}
 	out.IsTruncated = len(names) > limit
@@ -115,30 +116,31 @@
 		out.Contents = append(out.Contents, wireObject{Key: name})
 	}
 	out.KeyCount = len(out.Contents)
-	answer(w, http.StatusOK, out)
+	writeXML(w, http.StatusOK, out)
 }
 
-func refuse(w http.ResponseWriter, err error) {
+func writeStoreError(w http.ResponseWriter, err error) {
 	switch {
 	case errorx.IsOfType(err, wasabiridge.ErrNotFound):
-		fail(w, http.StatusNotFound, codeMissing, err.Error())
+		writeError(w, http.StatusNotFound, codeMissing, err.Error())
 	case errorx.IsOfType(err, wasabiridge.ErrUnavailable):
-		fail(w, http.StatusServiceUnavailable, codeSlowDown, err.Error())
+		writeError(w, http.StatusServiceUnavailable, codeSlowDown, err.Error())
 	case errorx.IsOfType(err, wasabiridge.ErrInvalid):
-		fail(w, http.StatusBadRequest, "InvalidRequest", err.Error())
+		writeError(w, http.StatusBadRequest, "InvalidRequest", err.Error())
 	default:
-		// The answer is lost: the connection ends without one.
+		// The outcome is unknown: close the connection without a response.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func fail(w http.ResponseWriter, status int, code, message string) {
-	answer(w, status, wireError{Code: code, Message: message})
+func writeError(w http.ResponseWriter, status int, code, message string) {
+	writeXML(w, status, wireError{Code: code, Message: message})
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func writeXML(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/xml")
 	w.WriteHeader(status)
-	// The caller is gone when this fails; there is nobody to tell.
+	// Encoding fails only when the caller is gone, and then nobody can receive
+	// an error.
 	_ = xml.NewEncoder(w).Encode(body)
 }
