--- a/internal/wasabidocument/document.go
+++ b/internal/wasabidocument/document.go
@@ -1,9 +1,9 @@
-// Package wasabidocument decodes JSON with comments and names the place of
-// everything that is wrong with it.
+// Package wasabidocument decodes JSON with comments and reports the position of
+// every mistake in it.
 //
-// Settings and configurations are written by people, so that one run should
-// name all mistakes, not only the first. After each mistake the decoder sets
-// the faulty value aside and goes on.
+// Settings and configurations are written by people, so one run reports all
+// mistakes, not only the first. After each mistake the decoder replaces or
+// removes the faulty value and continues.
 //
 // # Usage
 //
@@ -30,17 +30,19 @@
 )
 
 const (
-	// maxBytes bounds a document, so that a wrong file cannot fill memory.
+	// maxBytes bounds a document, so that a wrong file cannot exhaust the
+	// memory.
 	maxBytes = 16 << 20
-	// maxProblems bounds the mistakes that one run names.
+	// maxProblems bounds the mistakes that one run reports.
 	maxProblems = 50
 )
 
-// Decode reads JSON with comments into a pointer to a struct. Fields that the
-// struct does not have are mistakes. It reports wasabiridge.ErrInvalid.
+// Decode decodes JSON with comments into a pointer to a struct. Fields that the
+// struct does not have are mistakes. Every error has the type
+// wasabiridge.ErrInvalid.
 func Decode(text []byte, into any) error {
 	if len(text) > maxBytes {
-		return wasabiridge.ErrInvalid.New("document: %d bytes are more than %d", len(text), maxBytes)
+		return wasabiridge.ErrInvalid.New("document: %d bytes exceed the limit of %d", len(text), maxBytes)
 	}
 	var (
 		original hujson.Value
@@ -60,8 +62,7 @@
 	problems []string
 }
 
-// decode decodes again and again, each time without the mistakes that were
-// already named.
+// decode repeats the decoding, each time without the mistakes found so far.
 func (d *decoder) decode(into any) error {
 	for len(d.problems) < maxProblems {
 		standard := d.current.Clone()
@@ -70,7 +71,7 @@
 		if err == nil {
 			break
 		}
-		if !d.setAside(err) {
+		if !d.dropFaulty(err) {
 			break
 		}
 	}
@@ -80,16 +81,16 @@
 	return wasabiridge.ErrInvalid.New("document: %s", strings.Join(d.problems, "\n"))
 }
 
-// setAside notes a mistake and takes the faulty value out of the document. It
-// reports false when the value cannot be taken out.
-func (d *decoder) setAside(err error) bool {
+// dropFaulty records a mistake and removes the faulty value from the document.
+// It reports false when the value cannot be removed.
+func (d *decoder) dropFaulty(err error) bool {
 	var semantic *json.SemanticError
 	if !errors.As(err, &semantic) {
 		d.problems = append(d.problems, err.Error())
 		return false
 	}
 	pointer := string(semantic.JSONPointer)
-	d.problems = append(d.problems, fmt.Sprintf("%s: %s: %s", d.place(pointer), pointer, describe(semantic)))
+	d.problems = append(d.problems, fmt.Sprintf("%s: %s: %s", d.position(pointer), pointer, describe(semantic)))
 	patch := fmt.Sprintf(`[{"op":"replace","path":%q,"value":null}]`, pointer)
 	if errors.Is(err, json.ErrUnknownName) {
 		patch = fmt.Sprintf(`[{"op":"remove","path":%q}]`, pointer)
@@ -107,8 +108,8 @@
 	return e.Error()
 }
 
-// place returns line and column of a value in the text as it was written.
-func (d *decoder) place(pointer string) string {
+// position returns line and column of a value in the original text.
+func (d *decoder) position(pointer string) string {
 	offset := 0
 	if v := d.original.Find(pointer); v != nil {
 		offset = v.StartOffset
