--- a/internal/wasabiplatform/platform.go
+++ b/internal/wasabiplatform/platform.go
@@ -1,14 +1,15 @@
 // Package wasabiplatform connects a process to the four services of the
-// platform, and stands in for all of them in one server for tests and demos.
+// platform, and offers stand-ins for all of them in one server for tests and
+// demos.
 //
 // # Usage
 //
-// A daemon connects by its settings:
+// A daemon connects with its settings:
 //
 //	platform := wasabiplatform.Connect(settings, clock)
 //	row, err := platform.Table.Get(ctx, key)
 //
-// A test serves the stand-in and breaks it as it needs:
+// A test serves the stand-ins and injects the faults that it needs:
 //
 //	standIn := wasabiplatform.NewStandIn(wasabiplatform.StandInOptions{Clock: clock})
 //	server := httptest.NewServer(standIn.Handler())
@@ -24,26 +25,28 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabiweights"
 )
 
-// Settings say where the services of the platform are.
+// Settings contains the addresses and names of the platform's services, and the
+// credentials for them.
 type Settings struct {
-	// TableURL is the endpoint of the DynamoDB API and Table the table's name.
+	// TableURL is the endpoint of the DynamoDB API and Table the name of the
+	// table.
 	TableURL string `json:"table_url"`
 	Table    string `json:"table"`
-	// ObjectsURL is the endpoint of the S3 API. Objects and Weights are
-	// buckets.
+	// ObjectsURL is the endpoint of the S3 API. Objects and Weights are the
+	// names of buckets.
 	ObjectsURL string `json:"objects_url"`
 	Objects    string `json:"objects"`
 	Weights    string `json:"weights"`
-	// InstancesURL answers Prometheus HTTP service discovery.
+	// InstancesURL serves Prometheus HTTP service discovery.
 	InstancesURL string `json:"instances_url"`
 	Region       string `json:"region"`
 	AccessKey    string `json:"access_key"`
 	SecretKey    string `json:"secret_key"`
-	// Timeout bounds each call. Zero means each adapter's default.
+	// Timeout bounds each call. Zero means the default of each client.
 	Timeout wasabiridge.Millis `json:"timeout_ms,omitempty"`
 }
 
-// Platform is the set of services. It is an immutable value.
+// Platform holds a client for each service. It is an immutable value.
 type Platform struct {
 	Table     wasabiridge.Table
 	Objects   wasabiridge.ObjectStore
@@ -51,7 +54,7 @@
 	Weights   wasabiridge.WeightStore
 }
 
-// Connect returns adapters to all services. Nothing is sent yet, so it works
+// Connect returns clients for all services. It sends nothing yet, so it works
 // while the platform is down.
 func Connect(s Settings, clock wasabiridge.Clock) Platform {
 	bucket := func(name string) wasabiridge.ObjectStore {
--- a/internal/wasabiplatform/platform_test.go
+++ b/internal/wasabiplatform/platform_test.go
@@ -21,8 +21,8 @@
 
 func TestPlatform(t *testing.T) { wasabitest.Run(t, "platform") }
 
-// start serves a fresh stand-in and returns it with a connection and the
-// address of the server.
+// start serves new stand-ins and returns them with clients and the address of
+// the server.
 func start() (*wasabiplatform.StandIn, wasabiplatform.Platform, string) {
 	clock := wasabiclock.System()
 	standIn := wasabiplatform.NewStandIn(wasabiplatform.StandInOptions{Clock: clock})
@@ -40,7 +40,7 @@
 	return response.StatusCode
 }
 
-var _ = Describe("The platform in one server", func() {
+var _ = Describe("The platform stand-in in one server", func() {
 	Context("its table", func() {
 		wasabicontract.Specs(wasabicontract.Table(func() wasabicontract.TableSubject {
 			_, platform, _ := start()
@@ -70,7 +70,7 @@
 		Expect(platform.Instances.Instances(ctx)).To(Equal(want))
 	})
 
-	It("takes a plan of faults over HTTP and refuses one it does not know", func(ctx SpecContext) {
+	It("accepts a fault plan over HTTP and rejects unknown fields and services", func(ctx SpecContext) {
 		_, platform, url := start()
 		Expect(put(ctx, url+"/standin/faults/table", `{"unavailable":1}`)).To(Equal(http.StatusOK))
 		_, err := platform.Table.Get(ctx, "a/b")
@@ -79,8 +79,8 @@
 		Expect(put(ctx, url+"/standin/faults/tabel", `{}`)).To(Equal(http.StatusNotFound))
 	})
 
-	// One process starts while the platform is away. It must come up, and its
-	// calls must say that nothing took effect.
+	// A process starts while the platform is down. It must start up, and its
+	// calls must report that nothing took effect.
 	It("connects while the platform is down", func(ctx SpecContext) {
 		standIn, _, _ := start()
 		gone := httptest.NewServer(nil)
--- a/internal/wasabiplatform/standin.go
+++ b/internal/wasabiplatform/standin.go
@@ -13,7 +13,7 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabitable"
 )
 
-// Names inside the stand-in.
+// Paths, buckets and credentials of the stand-in.
 const (
 	pathTable     = "/dynamodb"
 	pathObjects   = "/s3"
@@ -23,23 +23,25 @@
 	standInName   = "standin"
 )
 
-// Rates of the stand-in, after what the platform is known to carry.
+// Rate limits of the stand-ins, after what the real platform is known to
+// sustain.
 const (
 	defaultReads       = 2000
 	defaultWrites      = 500
 	defaultWeightReads = 20
 )
 
-// StandInOptions set up a stand-in of the whole platform.
+// StandInOptions configures a StandIn.
 type StandInOptions struct {
 	Clock wasabiridge.Clock
-	// Lag is how long a change takes to show in the list of instances.
+	// Lag is how long a change takes to appear in the list of instances.
 	Lag wasabiridge.Millis
-	// Sleep waits out injected delays. Nil waits in real time.
+	// Sleep waits for the length of an injected delay. Nil waits in real time.
 	Sleep wasabifault.SleepFunc
 }
 
-// StandIn is the whole platform in memory. It is safe for concurrent use.
+// StandIn is an in-memory stand-in for the whole platform. It is safe for
+// concurrent use.
 type StandIn struct {
 	Table     *wasabitable.Memory
 	Objects   *wasabiobject.Memory
@@ -47,8 +49,8 @@
 	Instances *wasabiinstances.Memory
 }
 
-// NewStandIn returns an empty platform with the rates of a real one and no
-// other faults.
+// NewStandIn returns an empty platform with the rate limits of a real one and
+// no other faults.
 func NewStandIn(o StandInOptions) *StandIn {
 	plan := wasabifault.Plan{ReadsPerSecond: defaultReads, WritesPerSecond: defaultWrites}
 	weights := wasabifault.Plan{ReadsPerSecond: defaultWeightReads}
@@ -60,8 +62,8 @@
 	}
 }
 
-// Settings returns the settings of a process that uses the stand-in at the
-// given base address.
+// Settings returns the settings for a process that uses the stand-ins at the
+// given base URL.
 func (s *StandIn) Settings(base string) Settings {
 	return Settings{
 		TableURL: base + pathTable, Table: standInName,
@@ -71,8 +73,8 @@
 	}
 }
 
-// Handler serves all services. PUT on "/standin/faults/{service}" sets the
-// plan of faults of "table", "objects", "weights" or "instances".
+// Handler serves all services. PUT "/standin/faults/{service}" sets the fault
+// plan of "table", "objects", "weights" or "instances".
 func (s *StandIn) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Handle(pathTable+"/", wasabitable.Handler(s.Table))
