--- a/internal/wasabimember/driver_test.go
+++ b/internal/wasabimember/driver_test.go
@@ -57,7 +57,8 @@
 	return last
 }
 
-type node struct {
+// simInstance is an instance that runs in virtual time.
+type simInstance struct {
 	id      wasabiridge.InstanceID
 	machine *wasabimember.Machine
 	// down drops all events; paused stores them until the pause ends.
@@ -72,7 +73,7 @@
 	config   wasabiridge.ConfigVersion
 }
 
-func (n *node) changed(m wasabiridge.Member) {
+func (n *simInstance) changed(m wasabiridge.Member) {
 	n.changes++
 	if m.Dead || m.Leaving {
 		delete(n.alive, m.ID)
@@ -84,14 +85,15 @@
 // driver runs machines in virtual time with message loss and delay from a
 // seeded generator.
 type driver struct {
-	now     wasabiridge.Millis
-	random  *rand.Rand
-	seed    uint64
-	loss    float64
-	delay   func(from, to int) wasabiridge.Millis
-	cut     func(from, to int) bool
-	nodes   []*node
-	entries []wasabiridge.InstanceEntry
+	now    wasabiridge.Millis
+	random *rand.Rand
+	seed   uint64
+	loss   float64
+	delay  func(from, to int) wasabiridge.Millis
+	// partitioned reports whether messages from one instance to another are lost.
+	partitioned func(from, to int) bool
+	instances   []*simInstance
+	entries     []wasabiridge.InstanceEntry
 	// list is the platform's list. It initially contains all entries.
 	list  []wasabiridge.InstanceEntry
 	queue queue
@@ -106,13 +108,13 @@
 func newDriver(count int, seed uint64, loss float64) *driver {
 	d := &driver{now: begin, random: rand.New(rand.NewPCG(seed, 1)), seed: seed, loss: loss}
 	d.delay = func(int, int) wasabiridge.Millis { return 1 + wasabiridge.Millis(d.random.Int64N(4)) }
-	d.cut = func(int, int) bool { return false }
+	d.partitioned = func(int, int) bool { return false }
 	for i := range count {
 		d.entries = append(d.entries, entryOf(i))
 	}
 	d.list = d.entries
 	for i := range count {
-		d.nodes = append(d.nodes, &node{})
+		d.instances = append(d.instances, &simInstance{})
 		d.start(i, 1)
 	}
 	return d
@@ -130,7 +132,7 @@
 
 // start starts a new incarnation of an instance.
 func (d *driver) start(i int, incarnation wasabiridge.Incarnation) {
-	*d.nodes[i] = node{
+	*d.instances[i] = simInstance{
 		id: d.entries[i].ID,
 		machine: wasabimember.New(d.now, wasabimember.Options{
 			Self: d.entries[i], Incarnation: wasabiridge.Incarnation(begin) + incarnation, Seed: d.seed*1000 + uint64(i),
@@ -179,7 +181,7 @@
 }
 
 func (d *driver) deliver(v delivery) {
-	n := d.nodes[v.to]
+	n := d.instances[v.to]
 	_, ticked := v.event.(wasabimember.Ticked)
 	if ticked {
 		d.post(v.to, v.event, tickEvery)
@@ -195,7 +197,7 @@
 }
 
 func (d *driver) handle(v delivery) {
-	n := d.nodes[v.to]
+	n := d.instances[v.to]
 	for _, e := range n.machine.Handle(d.now, v.event) {
 		switch e := e.(type) {
 		case wasabimember.Exchange:
@@ -237,10 +239,10 @@
 		size = proto.Size(wasabipeer.EncodeHeartbeat(h))
 	}
 	for _, i := range []int{from, to} {
-		d.nodes[i].messages++
-		d.nodes[i].bytes += size
+		d.instances[i].messages++
+		d.instances[i].bytes += size
 	}
-	if d.random.Float64() < d.loss || d.cut(from, to) {
+	if d.random.Float64() < d.loss || d.partitioned(from, to) {
 		return
 	}
 	d.push(delivery{at: d.now + d.delay(from, to), to: to, event: e, from: from})
@@ -249,7 +251,7 @@
 // resume ends a pause. Events that arrived during the pause are handled at
 // once, late.
 func (d *driver) resume(i int) {
-	n := d.nodes[i]
+	n := d.instances[i]
 	n.paused = false
 	for _, v := range n.waiting {
 		d.handle(v)
@@ -260,7 +262,7 @@
 // sees reports whether the view of every running instance has exactly wanted
 // living members.
 func (d *driver) sees(wanted int) bool {
-	for _, n := range d.nodes {
+	for _, n := range d.instances {
 		if !n.down && !n.paused && len(n.alive) != wanted {
 			return false
 		}
@@ -270,10 +272,10 @@
 
 // settle runs until every instance has all others in its view.
 func (d *driver) settle(g Gomega) wasabiridge.Millis {
-	took := d.runUntil(d.now+2*wasabiridge.Minute, func() bool { return d.sees(len(d.nodes)) })
-	g.Expect(d.sees(len(d.nodes))).To(BeTrue(), "views are incomplete after %d ms", took)
-	for i, n := range d.nodes {
-		g.Expect(n.machine.Alive()).To(HaveLen(len(d.nodes)), "instance %d", i)
+	took := d.runUntil(d.now+2*wasabiridge.Minute, func() bool { return d.sees(len(d.instances)) })
+	g.Expect(d.sees(len(d.instances))).To(BeTrue(), "views are incomplete after %d ms", took)
+	for i, n := range d.instances {
+		g.Expect(n.machine.Alive()).To(HaveLen(len(d.instances)), "instance %d", i)
 	}
 	d.run(15 * wasabiridge.Second)
 	return took
--- a/internal/wasabimember/herd_test.go
+++ b/internal/wasabimember/herd_test.go
@@ -28,7 +28,7 @@
 			Expect(d.runUntil(d.now+wasabiridge.Minute, func() bool { return d.sees(size) })).To(BeNumerically("<", 1500))
 			d.run(10 * wasabiridge.Second)
 			bytes := 0
-			for _, n := range d.nodes {
+			for _, n := range d.instances {
 				bytes += n.bytes
 			}
 			Expect(bytes / size / size).To(BeNumerically("<", startBytes))
--- a/internal/wasabimember/measure_test.go
+++ b/internal/wasabimember/measure_test.go
@@ -49,11 +49,11 @@
 		d := newDriver(size, wasabitest.Seed+seed, tenPercent)
 		d.settle(NewWithT(b))
 		d.measure = true
-		for _, n := range d.nodes {
+		for _, n := range d.instances {
 			n.messages, n.bytes = 0, 0
 		}
 		d.run(measuredSpan)
-		for _, n := range d.nodes {
+		for _, n := range d.instances {
 			messages += n.messages
 			bytes += n.bytes
 			most = max(most, n.messages*overheadKey/2+n.bytes)
@@ -61,7 +61,7 @@
 		d.measure = false
 		for i := range min(measuredDeaths, size/2) {
 			d.run(wasabiridge.Millis(d.random.Int64N(int64(wasabiridge.Second))))
-			d.nodes[i].down = true
+			d.instances[i].down = true
 			took = append(took, d.runUntil(d.now+wasabiridge.Minute, func() bool { return d.sees(size - i - 1) }))
 			d.run(10 * wasabiridge.Second)
 		}
@@ -108,10 +108,10 @@
 // instance, and returns how long it takes until all instances have it.
 func (d *driver) changeConfig(i int, v wasabiridge.ConfigVersion) wasabiridge.Millis {
 	d.run(30*wasabiridge.Second + wasabiridge.Millis(d.random.Int64N(int64(wasabiridge.Second))))
-	d.nodes[i].config = v
+	d.instances[i].config = v
 	d.post(i, wasabimember.ConfigInForce{Version: v}, 0)
 	return d.runUntil(d.now+wasabiridge.Minute, func() bool {
-		return len(d.others(func(n *node) bool { return n.machine.Config() == v })) == 0
+		return len(d.others(func(n *simInstance) bool { return n.machine.Config() == v })) == 0
 	})
 }
 
@@ -128,7 +128,7 @@
 			d.settle(NewWithT(b))
 			runtime.GC()
 			runtime.ReadMemStats(&after)
-			m, now := d.nodes[0].machine, d.now
+			m, now := d.instances[0].machine, d.now
 			h := wasabiridge.Heartbeat{From: m.Members()[0], Digest: 1}
 			for _, e := range m.Handle(now, wasabimember.Asked{Heartbeat: h}) {
 				if r, ok := e.(wasabimember.Reply); ok {
--- a/internal/wasabimember/member_test.go
+++ b/internal/wasabimember/member_test.go
@@ -31,9 +31,9 @@
 }
 
 // others returns the running instances for which the condition does not hold.
-func (d *driver) others(holds func(n *node) bool) []wasabiridge.InstanceID {
+func (d *driver) others(holds func(n *simInstance) bool) []wasabiridge.InstanceID {
 	var out []wasabiridge.InstanceID
-	for _, n := range d.nodes {
+	for _, n := range d.instances {
 		if !n.down && !n.paused && !holds(n) {
 			out = append(out, n.id)
 		}
@@ -46,41 +46,41 @@
 // names.
 var events = map[string]struct {
 	cause func(d *driver, i int)
-	seen  func(d *driver, i int, n *node) bool
+	seen  func(d *driver, i int, n *simInstance) bool
 }{
 	// A caller's next address must work. An instance crashes without notice;
 	// the platform's list still names it for minutes.
 	"an instance crashes": {
-		cause: func(d *driver, i int) { d.nodes[i].down = true },
-		seen:  func(d *driver, i int, n *node) bool { return !n.alive[d.entries[i].ID] },
+		cause: func(d *driver, i int) { d.instances[i].down = true },
+		seen:  func(d *driver, i int, n *simInstance) bool { return !n.alive[d.entries[i].ID] },
 	},
 	// An instance hangs for a long time, and its connections stay open.
 	"an instance stays paused": {
-		cause: func(d *driver, i int) { d.nodes[i].paused = true },
-		seen:  func(d *driver, i int, n *node) bool { return !n.alive[d.entries[i].ID] },
+		cause: func(d *driver, i int) { d.instances[i].paused = true },
+		seen:  func(d *driver, i int, n *simInstance) bool { return !n.alive[d.entries[i].ID] },
 	},
 	// An operator drains an instance; callers must be sent elsewhere while it
 	// still answers.
 	"an instance leaves": {
 		cause: func(d *driver, i int) { d.post(i, wasabimember.LeaveStarted{}, 0) },
-		seen:  func(d *driver, i int, n *node) bool { return !n.alive[d.entries[i].ID] },
+		seen:  func(d *driver, i int, n *simInstance) bool { return !n.alive[d.entries[i].ID] },
 	},
 	// A backend server notifies one instance that it is leaving.
 	"a backend server leaves": {
 		cause: func(d *driver, i int) {
 			d.post(i, wasabimember.BackendsLeft{Backends: []wasabiridge.BackendServerID{"b"}}, 0)
 		},
-		seen: func(d *driver, i int, n *node) bool { return n == d.nodes[i] || n.backends["b"] },
+		seen: func(d *driver, i int, n *simInstance) bool { return n == d.instances[i] || n.backends["b"] },
 	},
 	// An operator's change is accepted at one instance.
 	"a configuration is accepted": {
 		cause: func(d *driver, i int) { d.post(i, wasabimember.ConfigInForce{Version: 7}, 0) },
-		seen:  func(d *driver, i int, n *node) bool { return n == d.nodes[i] || n.config == 7 },
+		seen:  func(d *driver, i int, n *simInstance) bool { return n == d.instances[i] || n.config == 7 },
 	},
 	// An instance is replaced; its next incarnation starts at once.
 	"an instance restarts": {
 		cause: func(d *driver, i int) { d.start(i, 2) },
-		seen: func(d *driver, i int, n *node) bool {
+		seen: func(d *driver, i int, n *simInstance) bool {
 			for _, m := range n.machine.Alive() {
 				if m.ID == d.entries[i].ID {
 					return m.Incarnation == wasabiridge.Incarnation(begin)+2
@@ -100,7 +100,7 @@
 					e := events[name]
 					e.cause(d, i)
 					d.run(detectionTime)
-					Expect(d.others(func(n *node) bool { return e.seen(d, i, n) })).To(BeEmpty(), name)
+					Expect(d.others(func(n *simInstance) bool { return e.seen(d, i, n) })).To(BeEmpty(), name)
 					d.run(10 * wasabiridge.Second)
 				}
 			})
@@ -113,14 +113,14 @@
 	It("detect in time that a whole availability zone failed", func() {
 		d := started(370, wasabitest.Seed, tenPercent)
 		living := 0
-		for i, n := range d.nodes {
+		for i, n := range d.instances {
 			n.down = i%9 == 0
 			if !n.down {
 				living++
 			}
 		}
 		d.run(detectionTime)
-		Expect(d.others(func(n *node) bool { return len(n.alive) == living })).To(BeEmpty())
+		Expect(d.others(func(n *simInstance) bool { return len(n.alive) == living })).To(BeEmpty())
 	})
 
 	// All instances are replaced at once and know only the platform's list.
@@ -146,8 +146,8 @@
 			d.start(0, 2)
 			d.post(1, wasabimember.LeaveStarted{}, 200)
 			d.run(20 * wasabiridge.Second)
-			Expect(d.nodes[0].machine.Alive()).To(HaveLen(8))
-			for _, m := range d.nodes[0].machine.Alive() {
+			Expect(d.instances[0].machine.Alive()).To(HaveLen(8))
+			for _, m := range d.instances[0].machine.Alive() {
 				Expect(m.CallerURL).NotTo(BeEmpty(), "seed %d: %s", seed, m.ID)
 			}
 		}
@@ -168,14 +168,14 @@
 	for _, size := range sizes {
 		It(fmt.Sprintf("add an instance back after a pause, %d instances", size), func() {
 			d := started(size, wasabitest.Seed, tenPercent)
-			d.nodes[0].paused = true
+			d.instances[0].paused = true
 			d.run(10 * wasabiridge.Second)
-			d.nodes[1].down = true
+			d.instances[1].down = true
 			d.run(wasabiridge.Minute)
 			before := d.changes()
 			d.resume(0)
 			d.run(30 * wasabiridge.Second)
-			Expect(d.others(func(n *node) bool { return len(n.alive) == size-1 && !n.alive[d.entries[1].ID] })).To(BeEmpty())
+			Expect(d.others(func(n *simInstance) bool { return len(n.alive) == size-1 && !n.alive[d.entries[1].ID] })).To(BeEmpty())
 			// Every instance adds one back; the paused one also receives one
 			// death.
 			Expect(d.changes()-before).To(BeNumerically("<=", 2*size), "views flapped")
@@ -186,16 +186,16 @@
 	// has just started knows only the list.
 	It("never return a listed instance as alive that sent no heartbeat", func() {
 		d := newDriver(9, wasabitest.Seed, tenPercent)
-		d.nodes[8].down = true
+		d.instances[8].down = true
 		for range 600 {
 			d.run(100)
-			Expect(d.others(func(n *node) bool { return !n.alive[d.entries[8].ID] })).To(BeEmpty())
+			Expect(d.others(func(n *simInstance) bool { return !n.alive[d.entries[8].ID] })).To(BeEmpty())
 		}
 		Expect(d.sees(8)).To(BeTrue())
 		d.start(0, 2)
 		for range 600 {
 			d.run(100)
-			Expect(d.others(func(n *node) bool { return !n.alive[d.entries[8].ID] })).To(BeEmpty())
+			Expect(d.others(func(n *simInstance) bool { return !n.alive[d.entries[8].ID] })).To(BeEmpty())
 			d.post(0, wasabimember.Listed{Entries: d.entries}, 0)
 		}
 		Expect(d.sees(8)).To(BeTrue())
@@ -206,7 +206,7 @@
 	It("keep an instance that one other cannot reach", func() {
 		d := started(9, wasabitest.Seed, 0)
 		before := d.changes()
-		d.cut = func(from, to int) bool { return from+to == 1 }
+		d.partitioned = func(from, to int) bool { return from+to == 1 }
 		d.run(wasabiridge.Hour)
 		Expect(d.changes()).To(Equal(before))
 	})
@@ -214,7 +214,7 @@
 
 func (d *driver) changes() int {
 	sum := 0
-	for _, n := range d.nodes {
+	for _, n := range d.instances {
 		sum += n.changes
 	}
 	return sum
--- a/internal/wasabimember/partition_test.go
+++ b/internal/wasabimember/partition_test.go
@@ -23,12 +23,12 @@
 	lasts wasabiridge.Millis
 	group func(i int) int
 }{
-	"zones of 9":                       {9, wasabiridge.Hour, func(i int) int { return i % 2 }},
-	"a zone of one instance":           {9, wasabiridge.Hour, func(i int) int { return min(i, 1) }},
-	"the zones of 90":                  {90, wasabiridge.Hour, func(i int) int { return i % 9 / 4 }},
-	"a region of 370, 4 regions":       {370, 2 * wasabiridge.Minute, func(i int) int { return i % 4 / 3 }},
-	"every instance for itself, 9":     {9, wasabiridge.Hour, func(i int) int { return i }},
-	"four regions cut from each other": {90, 12 * wasabiridge.Minute, func(i int) int { return i % 4 }},
+	"availability zones of 9":              {9, wasabiridge.Hour, func(i int) int { return i % 2 }},
+	"an availability zone of one instance": {9, wasabiridge.Hour, func(i int) int { return min(i, 1) }},
+	"the availability zones of 90":         {90, wasabiridge.Hour, func(i int) int { return i % 9 / 4 }},
+	"a region of 370, 4 regions":           {370, 2 * wasabiridge.Minute, func(i int) int { return i % 4 / 3 }},
+	"every instance for itself, 9":         {9, wasabiridge.Hour, func(i int) int { return i }},
+	"four regions, all partitioned":        {90, 12 * wasabiridge.Minute, func(i int) int { return i % 4 }},
 }
 
 var _ = Describe("Sides of a network partition", func() {
@@ -45,24 +45,24 @@
 			d.post(0, wasabimember.ConfigInForce{Version: 3}, 0)
 			d.run(10 * wasabiridge.Second)
 			before := make([]int, p.count)
-			for i, n := range d.nodes {
+			for i, n := range d.instances {
 				before[i] = n.changes
 			}
-			d.cut = func(from, to int) bool { return p.group(from) != p.group(to) }
+			d.partitioned = func(from, to int) bool { return p.group(from) != p.group(to) }
 			d.run(30 * wasabiridge.Second)
-			for i, n := range d.nodes {
+			for i, n := range d.instances {
 				for other, e := range d.entries {
 					Expect(n.alive[e.ID]).To(Equal(p.group(i) == p.group(other)), "%s about %s", n.id, e.ID)
 				}
 			}
 			d.post(0, wasabimember.ConfigInForce{Version: 4}, 0)
 			d.run(p.lasts)
-			d.cut = func(int, int) bool { return false }
+			d.partitioned = func(int, int) bool { return false }
 			took := d.runUntil(d.now+5*wasabiridge.Minute, func() bool { return d.sees(p.count) })
 			GinkgoWriter.Printf("%s: reconnected after %d ms\n", name, took)
 			Expect(d.sees(p.count)).To(BeTrue())
 			d.run(wasabiridge.Minute)
-			for i, n := range d.nodes {
+			for i, n := range d.instances {
 				Expect(max(n.config, 4*wasabiridge.ConfigVersion(1-min(i, 1)))).To(BeEquivalentTo(4), "%s", n.id)
 				other := 0
 				for j := range d.entries {
