--- a/internal/wasabilease/candidate.go
+++ b/internal/wasabilease/candidate.go
@@ -6,8 +6,8 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// IsCandidate reports whether self is among the first n instances, members or
-// itself, when they are ordered by a hash of the lease's name and their own.
+// IsCandidate reports whether self is among the first n when self and the
+// members are ordered by a hash of the lease's name and their own name.
 // With few candidates per lease, the reads of the table stay few, whatever the
 // number of instances. Members with different membership views only cause more
 // or fewer candidates; the lease itself does not depend on it.
