--- a/internal/wasabimember/driver_test.go
+++ b/internal/wasabimember/driver_test.go
@@ -20,21 +20,22 @@
 }
 
 const (
-	// tickEvery is twice the time between the ticks of the daemon, which makes
-	// the runs shorter and what they find slower.
+	// tickEvery is twice the tick interval of the daemon. It shortens the test
+	// runs and can only delay what the tests detect.
 	tickEvery = 100 * wasabiridge.Millis(1)
-	// begin is where the virtual time of a run begins. Incarnations count from
-	// it, so that messages are as long as in earnest.
+	// begin is the virtual time at which a run starts. Incarnations count up
+	// from it, so that encoded messages are as long as in production.
 	begin = 1_764_000_000_000 * wasabiridge.Millis(1)
 )
 
-// delivery is an event on its way to an instance.
+// delivery is an event in transit to an instance.
 type delivery struct {
 	at    wasabiridge.Millis
 	order int
 	to    int
 	event wasabimember.Event
-	// from is who gets the answer to an Asked. It is -1 for other events.
+	// from is the instance that gets the response to an Asked event. It is -1
+	// for other events.
 	from int
 }
 
@@ -56,22 +57,23 @@
 	return last
 }
 
-type node struct {
+// simInstance is an instance that runs in virtual time.
+type simInstance struct {
 	id      wasabiridge.InstanceID
 	machine *wasabimember.Machine
-	// down drops all events; paused keeps deliveries until it ends.
+	// down drops all events; paused stores them until the pause ends.
 	down, paused bool
 	waiting      []delivery
 	messages     int
 	bytes        int
 	changes      int
-	// alive is what the changes add up to.
+	// alive is the membership view that results from all Changed effects.
 	alive    map[wasabiridge.InstanceID]bool
 	backends map[wasabiridge.BackendServerID]bool
 	config   wasabiridge.ConfigVersion
 }
 
-func (n *node) changed(m wasabiridge.Member) {
+func (n *simInstance) changed(m wasabiridge.Member) {
 	n.changes++
 	if m.Dead || m.Leaving {
 		delete(n.alive, m.ID)
@@ -80,36 +82,39 @@
 	n.alive[m.ID] = true
 }
 
-// driver runs machines in virtual time with seeded loss and delay.
+// driver runs machines in virtual time with message loss and delay from a
+// seeded generator.
 type driver struct {
-	now     wasabiridge.Millis
-	random  *rand.Rand
-	seed    uint64
-	loss    float64
-	delay   func(from, to int) wasabiridge.Millis
-	cut     func(from, to int) bool
-	nodes   []*node
-	entries []wasabiridge.InstanceEntry
-	// list is what the platform says. It starts as the entries.
+	now    wasabiridge.Millis
+	random *rand.Rand
+	seed   uint64
+	loss   float64
+	delay  func(from, to int) wasabiridge.Millis
+	// partitioned reports whether messages from one instance to another are lost.
+	partitioned func(from, to int) bool
+	instances   []*simInstance
+	entries     []wasabiridge.InstanceEntry
+	// list is the platform's list. It initially contains all entries.
 	list  []wasabiridge.InstanceEntry
 	queue queue
 	order int
-	// lostFetches is the share of configurations that come a second late.
-	lostFetches float64
-	// measure makes the driver count bytes, which takes time.
+	// lateFetches is the fraction of configuration fetches that complete a
+	// second late.
+	lateFetches float64
+	// measure makes the driver count message bytes, which is slow.
 	measure bool
 }
 
 func newDriver(count int, seed uint64, loss float64) *driver {
 	d := &driver{now: begin, random: rand.New(rand.NewPCG(seed, 1)), seed: seed, loss: loss}
 	d.delay = func(int, int) wasabiridge.Millis { return 1 + wasabiridge.Millis(d.random.Int64N(4)) }
-	d.cut = func(int, int) bool { return false }
+	d.partitioned = func(int, int) bool { return false }
 	for i := range count {
 		d.entries = append(d.entries, entryOf(i))
 	}
 	d.list = d.entries
 	for i := range count {
-		d.nodes = append(d.nodes, &node{})
+		d.instances = append(d.instances, &simInstance{})
 		d.start(i, 1)
 	}
 	return d
@@ -125,18 +130,18 @@
 	}
 }
 
-// start begins a new life of an instance.
-func (d *driver) start(i int, life wasabiridge.Incarnation) {
-	*d.nodes[i] = node{
+// start starts a new incarnation of an instance.
+func (d *driver) start(i int, incarnation wasabiridge.Incarnation) {
+	*d.instances[i] = simInstance{
 		id: d.entries[i].ID,
 		machine: wasabimember.New(d.now, wasabimember.Options{
-			Self: d.entries[i], Incarnation: wasabiridge.Incarnation(begin) + life, Seed: d.seed*1000 + uint64(i),
+			Self: d.entries[i], Incarnation: wasabiridge.Incarnation(begin) + incarnation, Seed: d.seed*1000 + uint64(i),
 		}),
 		backends: map[wasabiridge.BackendServerID]bool{},
 		alive:    map[wasabiridge.InstanceID]bool{d.entries[i].ID: true},
 	}
 	d.post(i, wasabimember.Listed{Entries: d.list}, 0)
-	if life == 1 {
+	if incarnation == 1 {
 		d.post(i, wasabimember.Ticked{}, wasabiridge.Millis(d.random.Int64N(int64(tickEvery))))
 	}
 }
@@ -151,21 +156,21 @@
 	heap.Push(&d.queue, v)
 }
 
-// run lets time pass.
+// run advances the virtual time by span.
 func (d *driver) run(span wasabiridge.Millis) {
 	d.runUntil(d.now+span, func() bool { return false })
 }
 
-// runUntil lets time pass until done holds, which is looked at every 10 ms. It
-// returns the time that passed.
+// runUntil advances the virtual time until done returns true, which is checked
+// every 10 ms. It returns the time that passed.
 func (d *driver) runUntil(end wasabiridge.Millis, done func() bool) wasabiridge.Millis {
-	begin, look := d.now, d.now
+	begin, nextCheck := d.now, d.now
 	for len(d.queue) > 0 && d.queue[0].at <= end {
-		if d.queue[0].at >= look {
+		if d.queue[0].at >= nextCheck {
 			if done() {
 				return d.now - begin
 			}
-			look = d.queue[0].at + 10
+			nextCheck = d.queue[0].at + 10
 		}
 		v := heap.Pop(&d.queue).(delivery)
 		d.now = v.at
@@ -176,7 +181,7 @@
 }
 
 func (d *driver) deliver(v delivery) {
-	n := d.nodes[v.to]
+	n := d.instances[v.to]
 	_, ticked := v.event.(wasabimember.Ticked)
 	if ticked {
 		d.post(v.to, v.event, tickEvery)
@@ -192,7 +197,7 @@
 }
 
 func (d *driver) handle(v delivery) {
-	n := d.nodes[v.to]
+	n := d.instances[v.to]
 	for _, e := range n.machine.Handle(d.now, v.event) {
 		switch e := e.(type) {
 		case wasabimember.Exchange:
@@ -209,7 +214,7 @@
 			if e.Member.Config > n.config {
 				n.config = e.Member.Config
 				wait := 10 * wasabiridge.Millis(1)
-				if d.random.Float64() < d.lostFetches {
+				if d.random.Float64() < d.lateFetches {
 					wait += wasabiridge.Second
 				}
 				d.post(v.to, wasabimember.ConfigInForce{Version: n.config}, wait)
@@ -234,18 +239,19 @@
 		size = proto.Size(wasabipeer.EncodeHeartbeat(h))
 	}
 	for _, i := range []int{from, to} {
-		d.nodes[i].messages++
-		d.nodes[i].bytes += size
+		d.instances[i].messages++
+		d.instances[i].bytes += size
 	}
-	if d.random.Float64() < d.loss || d.cut(from, to) {
+	if d.random.Float64() < d.loss || d.partitioned(from, to) {
 		return
 	}
 	d.push(delivery{at: d.now + d.delay(from, to), to: to, event: e, from: from})
 }
 
-// resume ends a pause. What arrived meanwhile is handled at once, late.
+// resume ends a pause. Events that arrived during the pause are handled at
+// once, late.
 func (d *driver) resume(i int) {
-	n := d.nodes[i]
+	n := d.instances[i]
 	n.paused = false
 	for _, v := range n.waiting {
 		d.handle(v)
@@ -253,10 +259,10 @@
 	n.waiting = nil
 }
 
-// sees reports whether all running instances count exactly the wanted ones
-// among the living.
+// sees reports whether the view of every running instance has exactly wanted
+// living members.
 func (d *driver) sees(wanted int) bool {
-	for _, n := range d.nodes {
+	for _, n := range d.instances {
 		if !n.down && !n.paused && len(n.alive) != wanted {
 			return false
 		}
@@ -264,12 +270,12 @@
 	return true
 }
 
-// settle starts all and waits until everyone knows everyone.
+// settle runs until every instance has all others in its view.
 func (d *driver) settle(g Gomega) wasabiridge.Millis {
-	took := d.runUntil(d.now+2*wasabiridge.Minute, func() bool { return d.sees(len(d.nodes)) })
-	g.Expect(d.sees(len(d.nodes))).To(BeTrue(), "not all know each other after %d ms", took)
-	for i, n := range d.nodes {
-		g.Expect(n.machine.Alive()).To(HaveLen(len(d.nodes)), "instance %d", i)
+	took := d.runUntil(d.now+2*wasabiridge.Minute, func() bool { return d.sees(len(d.instances)) })
+	g.Expect(d.sees(len(d.instances))).To(BeTrue(), "views are incomplete after %d ms", took)
+	for i, n := range d.instances {
+		g.Expect(n.machine.Alive()).To(HaveLen(len(d.instances)), "instance %d", i)
 	}
 	d.run(15 * wasabiridge.Second)
 	return took
