--- a/internal/wasabigateway/body.go
+++ b/internal/wasabigateway/body.go
@@ -14,45 +14,48 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Paths of the OpenAI-compatible API whose bodies the router reads.
+// Paths of the OpenAI-compatible API whose request bodies the router parses.
 const (
 	pathChat        = "/v1/chat/completions"
 	pathCompletions = "/v1/completions"
 )
 
-// firstRead is the size of the first buffer for a body of unknown length.
-const firstRead = 4 << 10
+// initialBodyBuffer is the initial buffer size, in bytes, for a body of unknown
+// length.
+const initialBodyBuffer = 4 << 10
 
-// body is what the router reads of a request's body. It is an immutable
-// value.
+// body is a request body together with the fields that the router parses from
+// it. It is immutable once parsed, except that prompt is released early.
 type body struct {
 	raw   []byte
 	model wasabiridge.ModelID
-	// modelStart and modelEnd are where the model's value stands in raw.
+	// modelStart and modelEnd delimit the JSON value of the field "model" in
+	// raw.
 	modelStart, modelEnd int
-	// prompt is the text whose prefixes engines cache. It is dropped after
-	// its chain of blocks is known.
+	// prompt is the text whose prefixes engines cache. It is released once its
+	// block hashes are computed.
 	prompt    []byte
 	maxTokens int
 	stream    bool
 }
 
-// isCompletion reports whether the router reads the body of this request.
+// isCompletion reports whether r is a completion request, whose body the router
+// parses.
 func isCompletion(r *http.Request) bool {
 	return r.Method == http.MethodPost && (r.URL.Path == pathChat || r.URL.Path == pathCompletions)
 }
 
-// readBody reads the whole body within its time limit.
+// readBody reads the whole body within the configured time limit.
 func (g *Gateway) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *failure) {
 	if r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0 {
 		return nil, nil
 	}
 	control := http.NewResponseController(w)
-	// A connection that cannot have a deadline is one of a test.
+	// Test response writers do not support deadlines, so the error is ignored.
 	_ = control.SetReadDeadline(time.Now().Add(g.options.Limits.BodyTimeout.Duration()))
 	size := r.ContentLength
 	if size < 0 {
-		size = firstRead
+		size = initialBodyBuffer
 	}
 	buffer := bytes.NewBuffer(make([]byte, 0, size+bytes.MinRead))
 	_, err := io.Copy(buffer, r.Body)
@@ -68,10 +71,10 @@
 	return nil, &f
 }
 
-// parseCompletion reads the fields that decide how a completion is served. It
-// reports ErrInvalid when the body is not what the API asks for. A name that
-// stands twice is an error: the rules would see one value and the engine the
-// other.
+// parseCompletion parses the fields of a completion request that the router
+// needs. It returns ErrInvalid when the body does not conform to the API. A
+// duplicate field name is an error: the rules could match one value while the
+// engine uses the other.
 func parseCompletion(raw []byte) (body, error) {
 	b := body{raw: raw}
 	d := jsontext.NewDecoder(bytes.NewBuffer(raw))
@@ -135,13 +138,13 @@
 	return nil
 }
 
-// message is one message of a chat.
+// message is one chat message.
 type message struct {
 	Content jsontext.Value `json:"content"`
 }
 
-// setMessages joins the texts of a chat in their order, so that chats that
-// begin alike share a prefix.
+// setMessages concatenates the contents of the messages in order, so that chats
+// that begin with the same messages share a prompt prefix.
 func (b *body) setMessages(value jsontext.Value) error {
 	var messages []message
 	if err := json.Unmarshal(value, &messages); err != nil {
@@ -154,8 +157,8 @@
 	return nil
 }
 
-// appendText appends a string's text. Anything else, such as a list of parts,
-// is appended as it is written.
+// appendText appends the text of a JSON string. Any other JSON value, such as a
+// list of content parts, is appended in its raw encoding.
 func appendText(to []byte, value jsontext.Value) []byte {
 	if value.Kind() != '"' {
 		return append(to, value...)
@@ -167,7 +170,7 @@
 	return text
 }
 
-// withModel returns the raw body with another model.
+// withModel returns the raw body with the value of "model" replaced.
 func (b body) withModel(model wasabiridge.ModelID) []byte {
 	if model == "" || model == b.model || b.modelEnd == 0 {
 		return b.raw
@@ -182,7 +185,8 @@
 	return append(out, b.raw[b.modelEnd:]...)
 }
 
-// mediaType returns the media type of a header without its parameters.
+// mediaType returns the media type in the Content-Type header, in lower case
+// and without its parameters.
 func mediaType(h http.Header) string {
 	name, _, _ := strings.Cut(h.Get("Content-Type"), ";")
 	return strings.ToLower(strings.TrimSpace(name))
--- a/internal/wasabigateway/catalogue.go
+++ b/internal/wasabigateway/catalogue.go
@@ -21,7 +21,7 @@
 	OwnedBy string              `json:"owned_by"`
 }
 
-// serveModels lists the models that rules name for the client account.
+// serveModels lists the models that the rules offer to the client account.
 func (g *Gateway) serveModels(w http.ResponseWriter, r *http.Request) {
 	c := callOf(r)
 	list := modelList{Object: "list", Data: []model{}}
@@ -64,7 +64,8 @@
 	return len(rule.When.Accounts) == 0
 }
 
-// serveAddresses tells the caller which instances to use, and for how long.
+// serveAddresses answers with the instances that the caller should use and with
+// the time for which that list is valid.
 func (g *Gateway) serveAddresses(w http.ResponseWriter, r *http.Request) {
 	if g.options.Addresses == nil {
 		g.fail(w, r, failNoAddresses)
--- a/internal/wasabigateway/claim.go
+++ b/internal/wasabigateway/claim.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// maxKeyBytes bounds a caller's idempotency key.
+	// maxKeyBytes is the maximum length of an idempotency key.
 	maxKeyBytes = 255
-	// finishTimeout bounds how long the end of a claimed request may take to
-	// record. The claim is then as unknown as it would be after a crash.
+	// finishTimeout bounds the time to record the result of a claimed request.
+	// After a time-out the outcome of the claim is unknown, as after a crash.
 	finishTimeout = 30 * wasabiridge.Second
 )
 
-// claimTicket is the right to run a request once. The zero value is that of a
-// request that needs none.
+// claimTicket is the claim under which a request runs. The zero value belongs
+// to a request that needs no claim.
 type claimTicket struct {
 	query   wasabiridge.ClaimQuery
 	granted bool
 }
 
-// claim asks for the right to run a non-idempotent request. When it is not
-// granted the caller gets its answer here.
+// claim acquires the claim of a non-idempotent request. If it is not granted,
+// claim answers the caller and returns false.
 func (g *Gateway) claim(w http.ResponseWriter, r *http.Request, request wasabiridge.Request) (claimTicket, bool) {
 	key := r.Header.Get(IdempotencyKeyHeader)
 	switch {
@@ -59,7 +59,8 @@
 	return claimTicket{}, false
 }
 
-// digest covers everything that makes two requests the same.
+// digest hashes what must be equal for two requests with the same idempotency
+// key to be the same request: method, URI and body.
 func digest(r *http.Request, body []byte) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -71,8 +72,9 @@
 	return d.Sum64()
 }
 
-// claimFailures tells how each state of a claim that was not granted looks to
-// a caller. What ran or may have run is the earlier request with the key.
+// claimFailures maps each state of a claim that was not granted to the answer
+// for the caller. Their dispositions describe the earlier request with the same
+// key.
 var claimFailures = map[wasabiridge.ClaimState]failure{
 	wasabiridge.ClaimRunning:     {status: http.StatusConflict, kind: typeConflict, code: "still_running", message: "A request with this Idempotency-Key is still running.", disposition: wasabiridge.MaybeRun, retryAfter: defaultRetryAfter},
 	wasabiridge.ClaimUnknown:     {status: http.StatusConflict, kind: typeConflict, code: "outcome_unknown", message: "A request with this Idempotency-Key may have run; its outcome is not known. It is not run again.", disposition: wasabiridge.MaybeRun},
@@ -95,20 +97,20 @@
 	_, _ = w.Write(outcome.Answer.Body)
 }
 
-// finishClaim records how a claimed request ended, after its last attempt. It
-// does not hold up the caller, who has its answer already.
+// finishClaim waits for the last attempt of a claimed request and records the
+// result. It runs in the background, after the caller was answered.
 func (g *Gateway) finishClaim(x *exchange, t claimTicket) {
 	x.attempts.Wait()
 	result := wasabiridge.ClaimResult{Query: t.query, Disposition: x.disposition()}
-	if x.finished && !x.relay.tooLarge {
+	if x.finished && !x.relay.replayTooLarge {
 		result.Answer = x.relay.answer()
 	} else if result.Disposition == wasabiridge.Ran {
-		// A part of an answer is none to repeat.
+		// A partial answer cannot be replayed to a repeated request.
 		result.Disposition = wasabiridge.MaybeRun
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), finishTimeout.Duration())
 	defer cancel()
 	if err := g.options.Claimer.Finish(ctx, result); err != nil {
-		g.options.Log.Warn().Err(err).Str(wasabilog.RequestField, string(t.query.Request)).Msg("Claim not finished.")
+		g.options.Log.Warn().Err(err).Str(wasabilog.RequestField, string(t.query.Request)).Msg("The result of a claim could not be recorded.")
 	}
 }
--- a/internal/wasabigateway/claim_test.go
+++ b/internal/wasabigateway/claim_test.go
@@ -18,10 +18,10 @@
 	return call{path: "/bookings", body: `{"lift":7}`, header: map[string]string{"Idempotency-Key": key}}
 }
 
-var _ = Describe("requests that run at most once", func() {
-	It("give a repeat the first answer", func() {
+var _ = Describe("non-idempotent requests", func() {
+	It("replay the recorded answer to a repeat with the same key", func() {
 		r := specRig(nil)
-		r.runner.set(whole(http.StatusCreated, `{"number":1}`))
+		r.runner.set(respondWith(http.StatusCreated, `{"number":1}`))
 		Expect(r.do(booking("k")).text).To(Equal(`{"number":1}`))
 		Eventually(r.claims.finished).Should(HaveLen(1))
 		got := r.do(booking("k"))
@@ -32,8 +32,8 @@
 		Expect(r.runner.seen()).To(HaveLen(1))
 	})
 
-	// The service dies after it read the booking. Whether a van is booked is
-	// not known, so neither the router nor the repeat may book again.
+	// The service fails after it has read the booking, so it is unknown whether
+	// the booking was made. Neither the router nor a repeat may send it again.
 	It("are not sent again when they may have run", func() {
 		r := specRig(nil)
 		r.runner.set(func(_ context.Context, _ int, _ wasabiridge.Attempt, sink wasabiridge.AttemptSink) wasabiridge.AttemptEnded {
@@ -57,7 +57,7 @@
 				sink.Sent()
 				return end(wasabiridge.AttemptNotRun)
 			}
-			return whole(http.StatusCreated, "{}")(ctx, n, a, sink)
+			return respondWith(http.StatusCreated, "{}")(ctx, n, a, sink)
 		})
 		Expect(r.do(booking("k")).status).To(Equal(http.StatusCreated))
 		seen := r.runner.seen()
@@ -65,7 +65,7 @@
 		Expect(seen[0].NonIdempotent).To(BeTrue())
 	})
 
-	It("release their claim when nothing ran", func() {
+	It("finish their claim as not run when no attempt ran", func() {
 		r := specRig(nil)
 		r.runner.set(func(context.Context, int, wasabiridge.Attempt, wasabiridge.AttemptSink) wasabiridge.AttemptEnded {
 			return end(wasabiridge.AttemptNotRun)
@@ -76,16 +76,16 @@
 		Expect(r.claims.finished()[0].Disposition).To(Equal(wasabiridge.NotRun))
 	})
 
-	// The caller's connection breaks while the booking runs. Cancelling it
-	// would leave a booking of which nobody knows; the repeat must get its
-	// number.
-	It("go on when their caller leaves, and keep the answer", func() {
+	// The caller's connection breaks while the booking runs. Cancelling the
+	// attempt would leave a booking that no caller knows about; the repeat must
+	// get its number.
+	It("continue when their caller disconnects, and record the answer", func() {
 		for _, body := range []call{booking("k"), {body: `{"model":"review","stream":true}`, header: map[string]string{"Idempotency-Key": "k"}}} {
 			r := specRig(nil)
-			begun, proceed := make(chan struct{}), make(chan struct{})
+			started, proceed := make(chan struct{}), make(chan struct{})
 			r.runner.set(func(ctx context.Context, n int, a wasabiridge.Attempt, sink wasabiridge.AttemptSink) wasabiridge.AttemptEnded {
 				sink.Sent()
-				close(begun)
+				close(started)
 				<-proceed
 				if ctx.Err() != nil {
 					return end(wasabiridge.AttemptCancelled)
@@ -97,7 +97,7 @@
 			ctx, leave := context.WithCancel(context.Background())
 			go func() {
 				defer GinkgoRecover()
-				<-begun
+				<-started
 				leave()
 			}()
 			_, err := r.server.Client().Do(body.request(r.server.URL).WithContext(ctx))
@@ -110,17 +110,18 @@
 		}
 	})
 
-	// The caller's connection breaks just as the booking is done. The router
-	// learns of both at once; when it heard of the caller first, it kept an
-	// empty answer, and the repeat got a booking without its number.
-	It("keep the answer when their caller leaves at its very end", func() {
+	// The caller's connection breaks just as the booking completes, so the
+	// router handles both events at the same time. If it handled the disconnect
+	// first and gave up, it would record an empty answer and the repeat would
+	// not get the booking number.
+	It("record the answer when their caller disconnects as it completes", func() {
 		for range 40 {
 			r := specRig(nil)
 			ctx, leave := context.WithCancel(context.Background())
 			r.runner.set(func(c context.Context, n int, a wasabiridge.Attempt, sink wasabiridge.AttemptSink) wasabiridge.AttemptEnded {
 				sink.Sent()
 				leave()
-				return whole(http.StatusCreated, `{"number":1}`)(c, n, a, sink)
+				return respondWith(http.StatusCreated, `{"number":1}`)(c, n, a, sink)
 			})
 			r.server.Config.Handler.ServeHTTP(httptest.NewRecorder(), booking("k").request(r.server.URL).WithContext(ctx))
 			Eventually(r.claims.finished).Should(HaveLen(1))
@@ -128,9 +129,10 @@
 		}
 	})
 
-	// The service hangs. The caller must hear at its deadline that the booking
-	// may have run, and the repeat must still get the number once it is there.
-	It("answer at the deadline and keep what comes after it", func() {
+	// The service hangs. At its deadline the caller must receive that the
+	// booking may have run, and a repeat must still get the answer once it is
+	// available.
+	It("answer at the deadline and record an answer that arrives later", func() {
 		r := specRig(func(o *wasabigateway.Options) {
 			cfg := testConfig()
 			cfg.Rules = []wasabiridge.Rule{{ID: "booking", Then: wasabiridge.Action{Pool: "bookings", NonIdempotent: true, Deadline: 50}}}
@@ -140,7 +142,7 @@
 		r.runner.set(func(ctx context.Context, n int, a wasabiridge.Attempt, sink wasabiridge.AttemptSink) wasabiridge.AttemptEnded {
 			sink.Sent()
 			<-proceed
-			return whole(http.StatusCreated, `{"number":1}`)(ctx, n, a, sink)
+			return respondWith(http.StatusCreated, `{"number":1}`)(ctx, n, a, sink)
 		})
 		got := r.do(booking("k"))
 		Expect(got.code()).To(Equal("deadline"))
--- a/internal/wasabigateway/exchange.go
+++ b/internal/wasabigateway/exchange.go
@@ -11,9 +11,10 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabiprefix"
 )
 
-// exchange is one request from the decision to its settlement: the attempts
-// that run for it and what the caller has got. The goroutine of the request
-// writes to the caller; each attempt has a goroutine of its own.
+// exchange is the state of one request from its submission to the decision loop
+// until its outcome is recorded: its attempts and what was written to the
+// caller. The request's goroutine writes to the caller; each attempt runs in
+// its own goroutine.
 type exchange struct {
 	gateway *Gateway
 	call    *call
@@ -21,31 +22,33 @@
 	method  string
 	path    string
 	header  http.Header
-	box     *wasabiloop.Mailbox
-	out     *outlet
-	// relay is set while the request is relayed. The goroutine of the request
-	// owns it.
+	mailbox *wasabiloop.Mailbox
+	out     *outputBuffer
+	// relay is set while the answer is relayed to the caller. It belongs to the
+	// request's goroutine.
 	relay *relay
-	// attempts counts attempts that have not ended.
+	// attempts counts the attempts that have not ended.
 	attempts sync.WaitGroup
 
-	mu     sync.Mutex
-	ledger ledger
+	mu        sync.Mutex
+	execution execution
 	// running lists the attempts that have not ended.
 	running []runningAttempt
 	// winner is the attempt whose output goes to the caller. Zero means that
-	// the next one with output does.
+	// the next attempt to produce output becomes the winner.
 	winner wasabiridge.AttemptID
 	head   head
-	// committed says that the caller has got the head of the answer.
+	// committed is set once the status and header of the answer are written to
+	// the caller.
 	committed bool
-	// finished says that the whole answer is in the outlet.
+	// finished is set once the complete answer is in the output buffer.
 	finished bool
-	// closed says that no attempt may answer any more.
+	// closed is set once no attempt may start or produce output any more.
 	closed bool
-	// endings are those that were handed over.
-	endings ending
-	// tokens counts output tokens that were handed over.
+	// finalPayloads are the kinds of final payloads that were passed to the
+	// caller.
+	finalPayloads ending
+	// tokens counts the output tokens that were passed to the caller.
 	tokens     int
 	firstToken wasabiridge.Millis
 	lastToken  wasabiridge.Millis
@@ -72,21 +75,21 @@
 		method:  r.Method,
 		path:    r.URL.RequestURI(),
 		header:  header,
-		box:     wasabiloop.NewMailbox(),
-		out:     newOutlet(limit),
+		mailbox: wasabiloop.NewMailbox(),
+		out:     newOutputBuffer(limit),
 	}
 }
 
-// start carries out a dispatch. Dispatches that would break a promise are
-// answered as not run.
+// start starts the attempt of a dispatch. A dispatch that admit rejects is
+// reported to the decision loop as not run.
 func (x *exchange) start(d wasabiridge.Dispatch) {
 	ctx, cancel := context.WithCancel(context.Background())
-	if why := x.admit(d, cancel); why != "" {
+	if reason := x.admit(d, cancel); reason != "" {
 		cancel()
 		x.gateway.options.Log.Error().
 			Str(wasabilog.RequestField, string(x.call.id)).
 			Str(wasabilog.BackendField, string(d.Backend.ID)).
-			Msg("Attempt not started: " + why + ".")
+			Msg("Attempt not started: " + reason + ".")
 		x.gateway.options.Loop.Post(endOf(d, wasabiridge.AttemptNotRun))
 		return
 	}
@@ -100,31 +103,31 @@
 	}()
 }
 
-// admit notes a new attempt. It returns why the attempt must not start, or
-// nothing.
+// admit registers a new attempt. It returns the reason why the attempt must not
+// start, or an empty string.
 //
-// The decisions already keep to these rules. They are checked once more here,
-// where the bytes leave, because a mistake would show as a second booking or
-// as an answer with a hole.
+// The decision loop follows the same rules. They are checked again at the point
+// of sending, because a violation would execute a non-idempotent request twice
+// or lose part of an answer.
 func (x *exchange) admit(d wasabiridge.Dispatch, cancel context.CancelFunc) string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	switch {
 	case x.closed:
-		return "the request is over"
-	case x.request.Action.NonIdempotent && (x.ledger.disposition() != wasabiridge.NotRun || len(x.running) > 0):
-		return "a non-idempotent request may have run"
+		return "the request has ended"
+	case x.request.Action.NonIdempotent && (x.execution.disposition() != wasabiridge.NotRun || len(x.running) > 0):
+		return "the request is not idempotent and may have run"
 	case x.committed && !x.request.Action.Resume:
-		return "the rule does not allow to resume"
+		return "the answer has begun and the rule does not allow resuming it"
 	case d.ResumeFrom != x.tokens, x.committed && x.tokens == 0:
-		return "it would not continue where the caller's answer ends"
+		return "its resume position does not match the output that the caller has received"
 	}
 	x.attempts.Add(1)
 	x.running = append(x.running, runningAttempt{id: d.Attempt, cancel: cancel})
 	return ""
 }
 
-// run carries out an attempt and tells the decisions how it ended.
+// run executes an attempt and reports its result to the decision loop.
 func (x *exchange) run(ctx context.Context, d wasabiridge.Dispatch, a wasabiridge.Attempt) {
 	s := &sink{exchange: x, ctx: ctx, dispatch: d}
 	end := x.send(ctx, a, s)
@@ -136,12 +139,12 @@
 	}
 	end.Delivered = x.markEnded(s, end)
 	x.gateway.options.Loop.Post(end)
-	wake(x.out.ready)
+	signal(x.out.hasData)
 }
 
-// send hands an attempt to the runner. A claim may have been given up while
-// the request waited, so a claimed request asks for the last time whether it
-// may be sent.
+// send passes an attempt to the runner. The claim of a request may have been
+// given up while the request was queued, so a claimed request is checked with
+// the ClaimGate right before it is sent.
 func (x *exchange) send(ctx context.Context, a wasabiridge.Attempt, s *sink) wasabiridge.AttemptEnded {
 	gate, ok := x.gateway.options.Claimer.(wasabiridge.ClaimGate)
 	if !ok || !a.NonIdempotent {
@@ -157,8 +160,8 @@
 	return end
 }
 
-// attempt puts together what is sent. The goroutine of the request calls it,
-// because it drops the body when no further attempt can follow.
+// attempt builds the attempt for a dispatch. It must be called by the request's
+// goroutine, which releases the body once no further attempt can follow.
 func (x *exchange) attempt(d wasabiridge.Dispatch) wasabiridge.Attempt {
 	a := wasabiridge.Attempt{
 		ID:            d.Attempt,
@@ -186,8 +189,8 @@
 	return a
 }
 
-// servedModel returns the name under which engines serve the model of a rule.
-// An adapter is served under its own name.
+// servedModel returns the model name to send to engines. An adapter is served
+// under its own name.
 func servedModel(a wasabiridge.Action) wasabiridge.ModelID {
 	if a.Adapter != "" {
 		return wasabiridge.ModelID(a.Adapter)
@@ -207,11 +210,12 @@
 func (x *exchange) markSent(id wasabiridge.AttemptID) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.ledger.markSent(id)
+	x.execution.markSent(id)
 }
 
-// elect makes an attempt the one that answers. It reports false when another
-// one does or when the request is over: a late answer ends here.
+// elect makes the attempt of s the winner. It reports false when another
+// attempt is the winner or the exchange is closed, so that late output of an
+// abandoned attempt is dropped.
 func (x *exchange) elect(s *sink) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -225,7 +229,8 @@
 	return true
 }
 
-// delivered counts tokens that were handed over.
+// delivered counts output tokens that were written to the output buffer, and
+// the times of the first and of the last.
 func (x *exchange) delivered(tokens int) {
 	now := x.gateway.options.Clock.Now()
 	x.mu.Lock()
@@ -237,25 +242,25 @@
 	x.tokens += tokens
 }
 
-// markEnding notes an ending that is handed over. It reports false when one was
-// handed over before.
-func (x *exchange) markEnding(e ending) bool {
+// markFinalPayload records a final payload. It reports false if one of the same
+// kind was passed on before.
+func (x *exchange) markFinalPayload(e ending) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	first := e == endingNone || x.endings&e == 0
-	x.endings |= e
+	first := e == finalNone || x.finalPayloads&e == 0
+	x.finalPayloads |= e
 	return first
 }
 
-// markEnded notes the end of an attempt and returns how many tokens the
-// caller has, or none when the attempt was not the one that answered. What an
-// attempt left in the outlet is dropped when the caller has seen nothing yet:
-// the next attempt starts afresh.
+// markEnded records the end of an attempt. It returns how many tokens the
+// caller has, or zero when the attempt was not the winner. If nothing was
+// written to the caller yet, the attempt's output is discarded and the next
+// attempt starts from the beginning.
 func (x *exchange) markEnded(s *sink, end wasabiridge.AttemptEnded) int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.forgetRunning(end.Attempt)
-	x.ledger.markEnded(end.Attempt, end.Result)
+	x.execution.markEnded(end.Attempt, end.Result)
 	if x.winner != end.Attempt {
 		return 0
 	}
@@ -266,12 +271,12 @@
 	}
 	x.winner = 0
 	if x.committed {
-		// Only a stream of tokens can be continued by another attempt.
+		// Only a token stream of an engine can be resumed by another attempt.
 		x.closed = x.closed || !x.head.events
 		return x.tokens
 	}
 	x.tokens = 0
-	x.endings = endingNone
+	x.finalPayloads = finalNone
 	x.firstToken = 0
 	x.out.discard()
 	return 0
@@ -286,7 +291,7 @@
 	}
 }
 
-// cancel gives up one attempt, or all when the identifier is zero.
+// cancel cancels one attempt, or all attempts when id is zero.
 func (x *exchange) cancel(id wasabiridge.AttemptID) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -297,7 +302,7 @@
 	}
 }
 
-// close lets no further attempt start or answer.
+// close prevents further attempts from starting or producing output.
 func (x *exchange) close() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -307,7 +312,7 @@
 func (x *exchange) disposition() wasabiridge.Disposition {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.ledger.disposition()
+	return x.execution.disposition()
 }
 
 func (x *exchange) hasRunning() bool {
--- a/internal/wasabigateway/failure.go
+++ b/internal/wasabigateway/failure.go
@@ -9,25 +9,26 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabilog"
 )
 
-// Names of headers that callers see.
+// Names of HTTP headers that callers send or receive.
 const (
-	// RequestIDHeader names the request in logs and on the time line.
+	// RequestIDHeader holds the identifier of the request in the log and the
+	// timeline.
 	RequestIDHeader = "X-Request-Id"
-	// DispositionHeader says whether the request ran: "not_run", "maybe_run"
+	// DispositionHeader states whether the request ran: "not_run", "maybe_run"
 	// or "ran".
 	DispositionHeader = "Wasabi-Disposition"
-	// ReplayedHeader is "true" on an answer that was kept from the first run
-	// of a request that runs at most once.
+	// ReplayedHeader is "true" on the recorded answer of a non-idempotent
+	// request, when it is sent again to a repeat of the request.
 	ReplayedHeader = "Wasabi-Replayed"
-	// IdempotencyKeyHeader holds the caller's key of a request that runs at
-	// most once.
+	// IdempotencyKeyHeader holds the caller's idempotency key, which
+	// non-idempotent requests must have.
 	IdempotencyKeyHeader = "Idempotency-Key"
-	// retryMillisHeader repeats Retry-After in milliseconds. Client libraries
-	// of the OpenAI API read it first.
+	// retryMillisHeader repeats Retry-After in milliseconds. OpenAI client
+	// libraries prefer it to Retry-After.
 	retryMillisHeader = "Retry-After-Ms"
 )
 
-// Types of errors in the OpenAI shape.
+// Error types of the OpenAI API.
 const (
 	typeInvalid        = "invalid_request_error"
 	typeAuthentication = "authentication_error"
@@ -38,10 +39,10 @@
 	typeServer         = "server_error"
 )
 
-// defaultRetryAfter is when a caller may come back if nobody knows better.
+// defaultRetryAfter is the Retry-After time when no estimate is available.
 const defaultRetryAfter = wasabiridge.Second
 
-// failure is a negative answer to a caller. It is an immutable value.
+// failure is an error answer to a caller. It is an immutable value.
 type failure struct {
 	status      int
 	kind        string
@@ -49,11 +50,11 @@
 	message     string
 	disposition wasabiridge.Disposition
 	retryAfter  wasabiridge.Millis
-	// close ends the connection, because the rest of the body cannot be read.
+	// close closes the connection, because the rest of the body cannot be read.
 	close bool
 }
 
-// Failures before anything was sent anywhere.
+// Failures that occur before an attempt is sent.
 var (
 	failTooManyRequests = failure{status: http.StatusServiceUnavailable, kind: typeOverloaded, code: "too_many_requests", message: "Too many requests are open here.", retryAfter: defaultRetryAfter}
 	failHeaderTooLarge  = failure{status: http.StatusRequestHeaderFieldsTooLarge, kind: typeInvalid, code: "header_too_large", message: "The header is too large.", close: true}
@@ -85,7 +86,7 @@
 	return f
 }
 
-// refusals tells how each reason of a refusal looks to a caller.
+// refusals maps each reason for a refusal to the answer for the caller.
 var refusals = map[wasabiridge.RefuseReason]failure{
 	wasabiridge.RefusedByRule:      {status: http.StatusForbidden, kind: typePermission, code: "refused_by_rule", message: "A rule refuses this request."},
 	wasabiridge.RefusedOverload:    {status: http.StatusServiceUnavailable, kind: typeOverloaded, code: "overload", message: "The backend servers are busy."},
@@ -93,15 +94,17 @@
 	wasabiridge.RefusedServerLimit: {status: http.StatusServiceUnavailable, kind: typeOverloaded, code: "overload", message: "The backend servers take no more requests now."},
 	wasabiridge.RefusedDeadline:    {status: http.StatusGatewayTimeout, kind: typeServer, code: "deadline", message: "The request waited too long."},
 	wasabiridge.RefusedNoBackend:   {status: http.StatusServiceUnavailable, kind: typeServer, code: "no_backend", message: "No backend server can serve the request."},
-	// Programs repeat what they get with a status from 500 on; with this one they do not.
+	// Client libraries retry a status of 500 or above, which could end further
+	// servers. They do not retry 422.
 	wasabiridge.RefusedQuarantined: {status: http.StatusUnprocessableEntity, kind: typeInvalid, code: "quarantined", message: "Servers ended while they ran this request. It is not run."},
 	wasabiridge.RefusedSuspect:     {status: http.StatusServiceUnavailable, kind: typeOverloaded, code: "suspect", message: "Servers ended while they ran this request. It is being tried elsewhere."},
 	wasabiridge.RefusedQuota:       {status: http.StatusTooManyRequests, kind: typeRateLimit, code: "rate_limit_exceeded", message: "The client account has reached its limit."},
 	wasabiridge.RefusedBroken:      {status: http.StatusBadGateway, kind: typeServer, code: "backend_broken", message: "The backend server failed."},
 }
 
-// refusal returns the failure for a reason. All but those that would be given again
-// tell the caller when to come back.
+// refusal returns the failure for a reason, with a retry time of after or the
+// default. Reasons that a retry cannot change (a rule or a quarantine) get
+// none.
 func refusal(reason wasabiridge.RefuseReason, after wasabiridge.Millis) failure {
 	f, ok := refusals[reason]
 	if !ok {
@@ -117,7 +120,7 @@
 	return f
 }
 
-// errorBody is an error in the shape of the OpenAI API.
+// errorBody is the error format of the OpenAI API.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -130,9 +133,9 @@
 	Disposition string `json:"disposition"`
 }
 
-// encode returns the failure in the OpenAI shape.
+// encode returns the failure as JSON in the OpenAI error format.
 func (f failure) encode() []byte {
-	// Strings alone always encode.
+	// Encoding cannot fail: every field is a string or nil.
 	data, _ := json.Marshal(errorBody{Error: errorDetail{
 		Message:     f.message,
 		Type:        f.kind,
@@ -142,7 +145,7 @@
 	return data
 }
 
-// fail gives the caller a negative answer.
+// fail logs the failure and writes it to the caller.
 func (g *Gateway) fail(w http.ResponseWriter, r *http.Request, f failure) {
 	g.log(callOf(r), f)
 	h := w.Header()
--- a/internal/wasabigateway/filter.go
+++ b/internal/wasabigateway/filter.go
@@ -8,7 +8,8 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// call is what the filters know of one request. One goroutine owns it.
+// call is the state that the middleware collects for one request. Only the
+// request's goroutine uses it.
 type call struct {
 	id      wasabiridge.RequestID
 	arrived wasabiridge.Millis
@@ -20,29 +21,32 @@
 
 type callKey struct{}
 
-// callOf returns the call of a request that passed the filter identify.
+// callOf returns the call of a request that has passed through identify, or
+// nil.
 func callOf(r *http.Request) *call {
 	c, _ := r.Context().Value(callKey{}).(*call)
 	return c
 }
 
-// identify gives the request its identifier, which the answer names in
+// identify assigns the request its identifier, which is returned in
 // X-Request-Id.
 func (g *Gateway) identify(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c := &call{id: g.nextID(), arrived: g.options.Clock.Now(), config: g.options.Config()}
 		w.Header().Set(RequestIDHeader, string(c.id))
 		if g.options.Leaving != nil && g.options.Leaving() {
-			// Idle connections must not be closed under a request that is on
-			// its way, so the caller is asked to close them.
+			// If the instance closed an idle connection itself, a request could
+			// already be in transit on it and be lost. The caller closes it
+			// instead.
 			w.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), callKey{}, c)))
 	})
 }
 
-// limit turns down what would take up too much: too many requests at once, a
-// header or a body that is too large. Nothing of the body was read then.
+// limit rejects requests beyond the limits on open requests, header size and
+// body size. It does so before it reads any of the body; a body of unknown
+// length is limited while it is read.
 func (g *Gateway) limit(next http.Handler) http.Handler {
 	limits := g.options.Limits
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -62,7 +66,8 @@
 	})
 }
 
-// headerBytes returns the size of a request's line and header.
+// headerBytes returns the approximate size of the request line and header in
+// bytes.
 func headerBytes(r *http.Request) int {
 	size := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
@@ -73,7 +78,7 @@
 	return size
 }
 
-// authenticate finds the client account that the caller's key belongs to.
+// authenticate looks up the client account of the caller's API key.
 func (g *Gateway) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c := callOf(r)
@@ -94,7 +99,7 @@
 	})
 }
 
-// bearer returns the key in the header Authorization.
+// bearer returns the bearer token of the Authorization header.
 func bearer(r *http.Request) (string, bool) {
 	scheme, key, ok := strings.Cut(r.Header.Get("Authorization"), " ")
 	key = strings.TrimSpace(key)
--- a/internal/wasabigateway/gateway.go
+++ b/internal/wasabigateway/gateway.go
@@ -1,26 +1,26 @@
-// Package wasabigateway is the side of the router that callers see: an HTTP
-// handler that speaks the OpenAI-compatible API for completions and plain HTTP
-// for everything else.
+// Package wasabigateway is the caller-facing HTTP handler of the router. It
+// implements the OpenAI-compatible API for completions and forwards all other
+// requests as plain HTTP.
 //
-// A request passes a chain of filters: limits, request identifier,
-// authentication, rule, claim (for requests that run at most once), decision,
-// relay, settlement. Each filter either answers the caller or hands on.
+// A request passes through these stages: request identifier, limits,
+// authentication, rule, claim (for non-idempotent requests), decision, relay,
+// settlement. Each stage either answers the caller or passes the request on.
 //
 // # Dispositions
 //
 // Every answer of the router carries the header Wasabi-Disposition with
-// "not_run", "maybe_run" or "ran". All of them read one value, which is kept
-// beside the attempts of the request: it leaves "not_run" before the first
-// byte is handed to a backend server and goes back only when that backend
-// server itself says that it did not run the request.
+// "not_run", "maybe_run" or "ran". It is derived from one state per request,
+// which is kept together with the attempts: the state leaves "not_run" before
+// the first byte is sent to a backend server, and returns to it only when that
+// backend server itself states that it did not run the request.
 //
 // # Streams
 //
-// Attempts hand their output over through a bounded buffer. A caller that
-// reads slowly holds up its own attempt and nothing else. When an attempt
-// breaks in the middle and the rule allows it, the next one continues behind
-// the last token that was handed over. A stream that cannot be continued ends
-// with an error event and a broken connection, never with a clean end.
+// Attempts pass their output to the caller through a bounded buffer. A slow
+// caller blocks its own attempt only. When an attempt breaks in the middle of a
+// stream and the rule allows resuming, the next attempt continues after the
+// last token that was passed on. A stream that cannot be resumed ends with an
+// error event and an aborted connection, never with a clean end.
 //
 // # Usage
 //
@@ -53,48 +53,49 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabisettings"
 )
 
-// Options are the parts of a Gateway. Clock, Loop, Runner and Config are
-// needed.
+// Options configures a Gateway. Clock, Loop, Runner and Config are required.
 type Options struct {
 	Instance    wasabiridge.InstanceID
 	Incarnation wasabiridge.Incarnation
 	Clock       wasabiridge.Clock
-	// Log takes one line for each request that is refused or cut. The zero
-	// value is silent.
+	// Log receives one line for each request that is refused or whose answer is
+	// truncated. The zero value discards them.
 	Log    zerolog.Logger
 	Loop   *wasabiloop.Loop
 	Runner wasabiridge.AttemptRunner
-	// Config returns the configuration in force, whose version is zero when
-	// none is known. What it points to is never changed. It is safe for
-	// concurrent use.
+	// Config returns the current configuration. Its version is zero while no
+	// configuration has been received. The result must never be modified.
+	// Config must be safe for concurrent use.
 	Config func() *wasabiridge.Config
-	// Names makes the fingerprints of requests. The zero value has an empty key.
+	// Names computes the fingerprints of requests. The zero value uses an empty
+	// key.
 	Names wasabifingerprint.Namer
-	// Claimer decides on requests that run at most once. Nil refuses them as
-	// not run.
+	// Claimer grants the claims of non-idempotent requests. If it is nil, such
+	// requests are refused as not run.
 	Claimer wasabiridge.Claimer
-	// Outcomes counts finished requests. Nil drops them.
+	// Outcomes records the outcomes of requests. Nil discards them.
 	Outcomes wasabiridge.OutcomeRecorder
-	// Addresses answers GET /v1/addresses. Nil answers that there is none.
+	// Addresses answers GET /v1/addresses. If it is nil, the answer is 404.
 	Addresses *wasabiaddress.Book
 	Limits    wasabisettings.Limits
-	// Leaving reports whether the instance is about to go. Answers then ask
-	// callers to close their connection. Nil means that it never is.
+	// Leaving reports whether the instance is about to shut down. Callers are
+	// then asked to close their connections. Nil means never.
 	Leaving func() bool
 }
 
-// Gateway is an http.Handler. It is safe for concurrent use.
+// Gateway is an http.Handler for callers. It is safe for concurrent use.
 type Gateway struct {
 	options  Options
 	router   chi.Router
 	keys     wasabikey.Index
 	requests atomic.Uint64
 	open     atomic.Int64
-	// work counts attempts and claims that outlive their request.
+	// work counts attempts and claim results in progress, which may outlive
+	// their request.
 	work sync.WaitGroup
 }
 
-// New returns a gateway.
+// New returns a Gateway.
 func New(o Options) *Gateway {
 	o.Limits = o.Limits.WithDefaults()
 	g := &Gateway{options: o}
@@ -112,18 +113,19 @@
 	g.router.ServeHTTP(w, r)
 }
 
-// Open returns how many requests are being served.
+// Open returns the number of requests being served.
 func (g *Gateway) Open() int {
 	return int(g.open.Load())
 }
 
-// Wait returns when all attempts and claims have ended. It is called after
-// the last request was answered.
+// Wait waits until all attempts have ended and all claim results are recorded.
+// It must be called after the last request was answered.
 func (g *Gateway) Wait() {
 	g.work.Wait()
 }
 
-// nextID returns an identifier that no other request of any instance has.
+// nextID returns a request identifier that is unique across instances and
+// restarts.
 func (g *Gateway) nextID() wasabiridge.RequestID {
 	id := make([]byte, 0, len(g.options.Instance)+24)
 	id = append(id, g.options.Instance...)
--- a/internal/wasabigateway/quota.go
+++ b/internal/wasabigateway/quota.go
@@ -7,16 +7,15 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Names of headers that tell how an account stands beside its limit, as client libraries
-// of the OpenAI API know them. The unit of the limit follows.
+// Prefixes of the headers that report an account's limit, as OpenAI client
+// libraries expect them. The unit of the limit is appended.
 const (
 	limitHeader     = "X-Ratelimit-Limit-"
 	remainingHeader = "X-Ratelimit-Remaining-"
 	resetHeader     = "X-Ratelimit-Reset-"
 )
 
-// setQuota tells the caller how its account stands. An account without a limit gets no
-// such header.
+// setQuota sets the rate limit headers. An account without a limit gets none.
 func setQuota(h http.Header, q wasabiridge.QuotaState) {
 	if q.Limit <= 0 {
 		return
--- a/internal/wasabigateway/quota_test.go
+++ b/internal/wasabigateway/quota_test.go
@@ -9,17 +9,17 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabigateway"
 )
 
-// Guards against accounts that run more than their limit, and against callers who are not
-// told so in the way of the OpenAI API.
+// Guards against accounts that exceed their limit, and against answers without
+// the rate limit headers and error type of the OpenAI API.
 var _ = Describe("An account with a limit", func() {
-	It("is told what is left, and is refused beyond it", func() {
+	It("receives its remaining quota, and is refused beyond it", func() {
 		r := specRig(nil)
 		chat := call{key: limitedKey, body: `{"model":"whole","messages":[]}`}
-		r.runner.set(whole(http.StatusOK, `{"id":"x"}`))
+		r.runner.set(respondWith(http.StatusOK, `{"id":"x"}`))
 		first := r.do(chat)
 		Expect(first.status).To(Equal(http.StatusOK))
 		Expect(first.header.Get("X-Ratelimit-Limit-Requests")).To(Equal("4"))
-		Expect(first.header.Get("X-Ratelimit-Remaining-Requests")).To(Equal("0"), "a process that starts has a quarter of the burst")
+		Expect(first.header.Get("X-Ratelimit-Remaining-Requests")).To(Equal("0"), "an instance starts with a quarter of the burst")
 		got := r.do(chat)
 		Expect(got.status).To(Equal(http.StatusTooManyRequests))
 		Expect(got.code()).To(Equal("rate_limit_exceeded"))
@@ -30,9 +30,9 @@
 		Expect(r.runner.seen()).To(HaveLen(1))
 	})
 
-	It("takes nothing from others", func() {
+	It("does not use up the quota of other accounts", func() {
 		r := specRig(nil)
-		r.runner.set(whole(http.StatusOK, `{"id":"x"}`))
+		r.runner.set(respondWith(http.StatusOK, `{"id":"x"}`))
 		for range 3 {
 			r.do(call{key: limitedKey, body: `{"model":"whole","messages":[]}`})
 		}
--- a/internal/wasabigateway/refusal_test.go
+++ b/internal/wasabigateway/refusal_test.go
@@ -17,7 +17,7 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabigateway"
 )
 
-var _ = Describe("refusals before anything is sent", func() {
+var _ = Describe("refusals before an attempt is sent", func() {
 	cases := map[string]struct {
 		call   call
 		change func(*wasabigateway.Options)
@@ -25,22 +25,22 @@
 		code   string
 		retry  bool
 	}{
-		"wrong key":                    {call: call{key: "other", body: chatStream}, status: 401, code: "invalid_api_key"},
-		"no bearer key":                {call: call{header: map[string]string{"Authorization": "Basic x"}}, status: 401, code: "missing_api_key"},
-		"body larger than it may be":   {call: call{body: strings.Repeat("x", 5000)}, status: 413, code: "body_too_large"},
-		"header larger than it may be": {call: call{body: chatStream, header: map[string]string{"X-Flood": strings.Repeat("x", 3000)}}, status: 431, code: "header_too_large"},
-		"broken JSON":                  {call: call{body: `{"model":`}, status: 400, code: "invalid_body"},
-		"text after the JSON":          {call: call{body: `{"model":"m"} x`}, status: 400, code: "invalid_body"},
-		"no JSON object":               {call: call{body: `["model"]`}, status: 400, code: "invalid_body"},
-		"no model":                     {call: call{body: `{"stream":true}`}, status: 400, code: "invalid_body"},
-		"model twice":                  {call: call{body: `{"model":"m","model":"foreign"}`}, status: 400, code: "invalid_body"},
-		"stream is no boolean":         {call: call{body: `{"model":"m","stream":"yes"}`}, status: 400, code: "invalid_body"},
-		"empty body":                   {call: call{}, status: 400, code: "invalid_body"},
-		"no rule":                      {call: call{path: "/nowhere"}, status: 404, code: "no_rule"},
-		"path that climbs":             {call: call{method: "GET", path: "/catalogue/..%2fbookings"}, status: 404, code: "no_rule"},
-		"another account's pool":       {call: call{body: `{"model":"foreign"}`}, status: 403, code: "pool_not_allowed"},
-		"rule refuses":                 {call: call{body: `{"model":"refused"}`}, status: 403, code: "refused_by_rule"},
-		"booking without a key":        {call: call{path: "/bookings", body: "{}"}, status: 400, code: "idempotency_key_required"},
+		"wrong key":                   {call: call{key: "other", body: chatStream}, status: 401, code: "invalid_api_key"},
+		"no bearer key":               {call: call{header: map[string]string{"Authorization": "Basic x"}}, status: 401, code: "missing_api_key"},
+		"body above the size limit":   {call: call{body: strings.Repeat("x", 5000)}, status: 413, code: "body_too_large"},
+		"header above the size limit": {call: call{body: chatStream, header: map[string]string{"X-Flood": strings.Repeat("x", 3000)}}, status: 431, code: "header_too_large"},
+		"broken JSON":                 {call: call{body: `{"model":`}, status: 400, code: "invalid_body"},
+		"text after the JSON":         {call: call{body: `{"model":"m"} x`}, status: 400, code: "invalid_body"},
+		"no JSON object":              {call: call{body: `["model"]`}, status: 400, code: "invalid_body"},
+		"no model":                    {call: call{body: `{"stream":true}`}, status: 400, code: "invalid_body"},
+		"model twice":                 {call: call{body: `{"model":"m","model":"foreign"}`}, status: 400, code: "invalid_body"},
+		"stream is no boolean":        {call: call{body: `{"model":"m","stream":"yes"}`}, status: 400, code: "invalid_body"},
+		"empty body":                  {call: call{}, status: 400, code: "invalid_body"},
+		"no rule":                     {call: call{path: "/nowhere"}, status: 404, code: "no_rule"},
+		"path with dot segments":      {call: call{method: "GET", path: "/catalogue/..%2fbookings"}, status: 404, code: "no_rule"},
+		"another account's pool":      {call: call{body: `{"model":"foreign"}`}, status: 403, code: "pool_not_allowed"},
+		"rule refuses":                {call: call{body: `{"model":"refused"}`}, status: 403, code: "refused_by_rule"},
+		"booking without a key":       {call: call{path: "/bookings", body: "{}"}, status: 400, code: "idempotency_key_required"},
 		"booking without claims": {call: call{path: "/bookings", header: map[string]string{"Idempotency-Key": "k"}},
 			change: func(o *wasabigateway.Options) { o.Claimer = nil }, status: 503, code: "claims_unavailable", retry: true},
 		"too many requests": {call: call{body: chatStream},
@@ -64,12 +64,12 @@
 		})
 	}
 
-	// A caller that dies in the middle of an upload leaves a body without its
-	// last chunk. Half a booking must not reach the service.
-	It("does not run a body whose chunks are broken", func() {
+	// A caller that fails during an upload leaves a body without its last
+	// chunk. A truncated booking must not reach the service.
+	It("does not run a request whose chunked body is malformed or truncated", func() {
 		raw := map[string]string{
 			"bad size":   "ZZ\r\nabc\r\n0\r\n\r\n",
-			"cut off":    "5\r\nab",
+			"truncated":  "5\r\nab",
 			"no newline": "3\r\nabcXX",
 		}
 		for _, name := range slices.Sorted(maps.Keys(raw)) {
@@ -80,7 +80,7 @@
 		}
 	})
 
-	It("counts a body of unknown length while it comes", func() {
+	It("enforces the size limit on a body of unknown length while reading it", func() {
 		r := specRig(nil)
 		body := fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", 5000, strings.Repeat("x", 5000))
 		Expect(rawRequest(r, "Transfer-Encoding: chunked", body)).To(ContainSubstring("413"))
@@ -88,8 +88,8 @@
 	})
 })
 
-// rawRequest sends bytes as they are, closes its side and returns the status
-// line.
+// rawRequest sends the bytes unmodified, closes its side of the connection and
+// returns the status line.
 func rawRequest(r *rig, header, body string) string {
 	GinkgoHelper()
 	conn, err := net.Dial("tcp", r.server.Listener.Addr().String())
@@ -104,9 +104,9 @@
 }
 
 var _ = Describe("answers", func() {
-	It("come whole with status, type and disposition", func() {
+	It("arrive complete with status, type and disposition", func() {
 		r := specRig(nil)
-		r.runner.set(whole(http.StatusOK, `{"id":"x"}`))
+		r.runner.set(respondWith(http.StatusOK, `{"id":"x"}`))
 		got := r.do(call{body: `{"model":"whole","messages":[]}`})
 		Expect(got.text).To(Equal(`{"id":"x"}`))
 		Expect(got.status).To(Equal(http.StatusOK))
@@ -117,9 +117,9 @@
 		Expect(seen.CacheSalt).NotTo(BeEmpty())
 	})
 
-	It("of plain services pass through, errors too", func() {
+	It("of plain services are passed through, including errors", func() {
 		r := specRig(nil)
-		r.runner.set(whole(http.StatusTeapot, "short and stout"))
+		r.runner.set(respondWith(http.StatusTeapot, "short and stout"))
 		got := r.do(call{method: http.MethodGet, path: "/catalogue/7?full=1"})
 		Expect(got.status).To(Equal(http.StatusTeapot))
 		Expect(got.text).To(Equal("short and stout"))
@@ -133,9 +133,9 @@
 		Expect(got.text).NotTo(ContainSubstring("foreign"))
 	})
 
-	// A backend server refuses for lack of room, the rule allows no retry,
-	// and the router must say at once when to come back.
-	It("that are negative come at once, with a time to come back", func() {
+	// A backend server fails with a retry time and the rule allows no retry.
+	// The router must answer at once and pass the retry time on.
+	It("that report a failure carry the retry time of the backend server", func() {
 		r := specRig(nil)
 		r.runner.set(func(_ context.Context, _ int, _ wasabiridge.Attempt, sink wasabiridge.AttemptSink) wasabiridge.AttemptEnded {
 			sink.Sent()
--- a/internal/wasabigateway/relay.go
+++ b/internal/wasabigateway/relay.go
@@ -9,35 +9,37 @@
 )
 
 const (
-	// writeTimeout bounds how long a caller may take no byte at all. After
-	// it the caller counts as gone, so that its engine slot is free again.
+	// writeTimeout bounds how long the caller may accept no data at all. The
+	// caller then counts as gone, which frees the slot of its engine.
 	writeTimeout = 60 * time.Second
-	// orphanTimeout bounds how long a non-idempotent request goes on after
-	// its caller left.
+	// orphanTimeout bounds how long a non-idempotent request continues after
+	// its caller has left.
 	orphanTimeout = 10 * time.Minute
 )
 
-// relay writes the answer of an exchange to its caller. The goroutine of the
-// request owns it.
+// relay writes the answer of an exchange to its caller. Only the request's
+// goroutine uses it.
 type relay struct {
 	*exchange
 	w       http.ResponseWriter
 	r       *http.Request
 	control *http.ResponseController
-	// extended is when the write deadline was last moved.
-	extended time.Time
-	// gone says that nobody reads the answer any more.
-	gone bool
-	// over says that the caller has its final answer.
-	over bool
-	// cut says that the stream ended before its end marker.
-	cut bool
-	// refused is why the caller got a negative answer.
+	// deadlineSet is when the write deadline was last set.
+	deadlineSet time.Time
+	// outputDiscarded is set once nothing more is written to the caller: it has
+	// left, or was answered at the deadline while the attempt continues.
+	outputDiscarded bool
+	// ended is set once the answer to the caller is final.
+	ended bool
+	// truncated is set when the answer ended after it had begun and before it
+	// was complete.
+	truncated bool
+	// refused is the reason of the refusal that the caller received.
 	refused wasabiridge.RefuseReason
-	// kept is the answer to a repeat of a non-idempotent request.
-	kept     []byte
-	tooLarge bool
-	// quota is how the account stood when the request was judged.
+	// replayBody is the answer body for repeats of a non-idempotent request.
+	replayBody     []byte
+	replayTooLarge bool
+	// quota is the state of the account's quota when the request was decided.
 	quota wasabiridge.QuotaState
 }
 
@@ -47,25 +49,24 @@
 	return l
 }
 
-// run carries out what the decisions want until the caller has its final
-// answer. A broken answer ends in a panic with http.ErrAbortHandler, which
-// breaks the connection: an end that looks clean would pass for a whole
-// answer.
+// run applies the effects of the decision loop until the answer is final. After
+// a truncated answer it panics with http.ErrAbortHandler, which aborts the
+// connection: after a clean end, the caller would take the answer for complete.
 func (l *relay) run() {
 	deadline := time.NewTimer((l.request.Deadline - l.gateway.options.Clock.Now()).Duration())
 	defer deadline.Stop()
 	defer l.clearDeadline()
 	done := l.r.Context().Done()
-	for !l.over {
+	for !l.ended {
 		select {
-		case effect, ok := <-l.box.Effects():
+		case effect, ok := <-l.mailbox.Effects():
 			if !ok {
 				l.refuse(refusal(wasabiridge.RefusedBroken, 0))
 				break
 			}
-			l.carryOut(effect)
-		case <-l.out.ready:
-			l.write()
+			l.apply(effect)
+		case <-l.out.hasData:
+			l.writePending()
 		case <-deadline.C:
 			l.deadlinePassed()
 		case <-done:
@@ -73,12 +74,12 @@
 			l.callerGone()
 		}
 	}
-	if l.cut && !l.gone {
+	if l.truncated && !l.outputDiscarded {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (l *relay) carryOut(effect wasabiridge.Effect) {
+func (l *relay) apply(effect wasabiridge.Effect) {
 	switch e := effect.(type) {
 	case wasabiridge.Dispatch:
 		l.quota = e.Quota
@@ -88,7 +89,7 @@
 	case wasabiridge.Refuse:
 		l.advance(e.Disposition)
 		if e.Reason == wasabiridge.RefusedQuarantined && l.disposition() != wasabiridge.NotRun {
-			// It has ended a server just now, so "not run" would be false.
+			// The request has just ended a server, so "not run" would be false.
 			e.Reason = wasabiridge.RefusedBroken
 		}
 		l.refused, l.quota = e.Reason, e.Quota
@@ -96,8 +97,9 @@
 	}
 }
 
-// write hands on what waits for the caller, if it may have it already.
-func (l *relay) write() {
+// writePending writes the buffered output to the caller once the answer may be
+// committed.
+func (l *relay) writePending() {
 	commit, first, finished, broken := l.progress()
 	if !commit {
 		return
@@ -106,22 +108,22 @@
 		l.writeHead()
 		l.dropBody()
 	}
-	data := l.out.take()
+	data := l.out.takeAll()
 	if finished && l.head.events {
 		data = append(data, endMarker...)
 	}
 	l.writeData(data)
 	switch {
 	case finished:
-		l.over = true
+		l.ended = true
 	case broken:
-		l.breakOff(refusal(wasabiridge.RefusedBroken, 0))
+		l.truncate(refusal(wasabiridge.RefusedBroken, 0))
 	}
 }
 
-// progress decides whether the caller gets what waits. An answer that is not
-// a stream is held back until it is whole or grows too large, so that another
-// attempt may still take its place.
+// progress decides whether buffered output may be written. An answer that is
+// not an event stream is held back until it is complete or fills half of the
+// buffer, so that another attempt can still replace it.
 func (l *relay) progress() (commit, first, finished, broken bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -132,14 +134,14 @@
 	first = commit && !l.committed
 	if first {
 		l.committed = true
-		l.ledger.advance(wasabiridge.Ran)
+		l.execution.advance(wasabiridge.Ran)
 	}
 	return commit, first, l.finished, l.closed && !l.finished
 }
 
-// dropBody lets go of the request's body when no further attempt can follow an
-// answer that has begun. Long prompts would otherwise stay in memory for as
-// long as their answers stream.
+// dropBody releases the request body once the answer has begun and no further
+// attempt can follow. Long prompts would otherwise stay in memory while their
+// answers stream.
 func (l *relay) dropBody() {
 	if !l.request.Action.Resume {
 		l.call.body = body{}
@@ -147,7 +149,7 @@
 }
 
 func (l *relay) writeHead() {
-	if l.gone {
+	if l.outputDiscarded {
 		return
 	}
 	h := l.w.Header()
@@ -163,11 +165,11 @@
 	l.w.WriteHeader(l.head.status)
 }
 
-// writeData writes to the caller and keeps what a repeat of a non-idempotent
-// request would need.
+// writeData writes to the caller and records the data for repeats of a
+// non-idempotent request.
 func (l *relay) writeData(data []byte) {
-	l.keep(data)
-	if l.gone || len(data) == 0 {
+	l.recordReplay(data)
+	if l.outputDiscarded || len(data) == 0 {
 		return
 	}
 	l.extendDeadline()
@@ -180,62 +182,64 @@
 	}
 }
 
-// keep remembers the answer of a non-idempotent request, unless it is too
-// large. A repeat then learns only that the request may have run.
-func (l *relay) keep(data []byte) {
-	if !l.request.Action.NonIdempotent || l.tooLarge {
+// recordReplay records the answer of a non-idempotent request for repeats. If
+// the answer is too large, it is dropped and a repeat is answered that the
+// request may have run.
+func (l *relay) recordReplay(data []byte) {
+	if !l.request.Action.NonIdempotent || l.replayTooLarge {
 		return
 	}
-	if l.tooLarge = len(l.kept)+len(data) > l.gateway.options.Limits.AnswerBytes; l.tooLarge {
-		l.kept = nil
+	if l.replayTooLarge = len(l.replayBody)+len(data) > l.gateway.options.Limits.AnswerBytes; l.replayTooLarge {
+		l.replayBody = nil
 		return
 	}
-	l.kept = append(l.kept, data...)
+	l.replayBody = append(l.replayBody, data...)
 }
 
-// extendDeadline gives the caller time to take what is written next. The
-// deadline is moved once in a while only: moving it costs a tenth of a write.
+// extendDeadline sets the write deadline for the next write. It does so only
+// once in a while, because setting it costs a tenth of a write.
 func (l *relay) extendDeadline() {
 	now := time.Now()
-	if now.Sub(l.extended) < writeTimeout/8 {
+	if now.Sub(l.deadlineSet) < writeTimeout/8 {
 		return
 	}
-	l.extended = now
-	// A writer without deadlines is one of a test.
+	l.deadlineSet = now
+	// Test response writers do not support deadlines, so the error is ignored.
 	_ = l.control.SetWriteDeadline(now.Add(writeTimeout))
 }
 
-// clearDeadline takes back the write deadline, which would otherwise hit the
+// clearDeadline removes the write deadline, which would otherwise apply to the
 // next request on the connection.
 func (l *relay) clearDeadline() {
 	_ = l.control.SetWriteDeadline(time.Time{})
 }
 
-// refuse gives the caller its final negative answer at once.
+// refuse ends the request with an error answer, or truncates an answer that has
+// begun.
 func (l *relay) refuse(f failure) {
-	l.write()
-	if l.over {
+	l.writePending()
+	if l.ended {
 		return
 	}
 	l.mu.Lock()
 	committed := l.committed
 	l.mu.Unlock()
 	if committed {
-		l.breakOff(f)
+		l.truncate(f)
 		return
 	}
-	l.stop()
-	l.over = true
-	if !l.gone {
+	l.stopAttempts()
+	l.ended = true
+	if !l.outputDiscarded {
 		setQuota(l.w.Header(), l.quota)
 		l.gateway.fail(l.w, l.r, f.withDisposition(l.disposition()))
 	}
 }
 
-// stop ends all attempts before the answer says what is known of them. An
-// attempt that has not sent anything yet could otherwise do so right after
-// the caller was told that nothing ran.
-func (l *relay) stop() {
+// stopAttempts cancels all attempts before the disposition is reported. If
+// nothing was sent yet, it waits for them to end: otherwise an attempt could
+// still send after the caller received "not run".
+func (l *relay) stopAttempts() {
 	l.close()
 	l.cancel(0)
 	if l.disposition() == wasabiridge.NotRun {
@@ -243,14 +247,14 @@
 	}
 }
 
-// breakOff ends an answer of which the caller has a part. A stream says why in
-// an error event; in all cases the connection breaks, so that the part cannot
-// pass for a whole answer.
-func (l *relay) breakOff(f failure) {
+// truncate ends an answer that was partly written. A stream gets an error event
+// with the reason. In every case the connection is aborted, so that the caller
+// cannot take the answer for complete.
+func (l *relay) truncate(f failure) {
 	l.close()
 	l.cancel(0)
-	l.over = true
-	l.cut = true
+	l.ended = true
+	l.truncated = true
 	f = f.withDisposition(l.disposition())
 	f.code = "stream_cut"
 	f.message = "The answer is not whole: the backend server failed."
@@ -262,34 +266,36 @@
 	l.writeData(append(event, eventEnd...))
 }
 
-// callerGone gives the request up. A non-idempotent request that may have run
-// goes on without its caller: its answer is kept for the repeat.
+// callerGone handles the loss of the caller's connection. A non-idempotent
+// request that may have run continues, and its answer is recorded for a repeat;
+// any other request is cancelled.
 func (l *relay) callerGone() {
-	if l.gone {
+	if l.outputDiscarded {
 		return
 	}
-	l.gone = true
-	if l.request.Action.NonIdempotent && l.mayAnswer() {
+	l.outputDiscarded = true
+	if l.request.Action.NonIdempotent && l.hasAttemptOrAnswer() {
 		l.orphan()
 		return
 	}
-	l.over = true
+	l.ended = true
 	l.close()
 	l.cancel(0)
 	l.gateway.options.Loop.Post(wasabiridge.CallerGone{Request: l.request.ID})
 	l.gateway.options.Log.Debug().Str(wasabilog.RequestField, string(l.call.id)).Msg("Caller left.")
 }
 
-// mayAnswer reports whether an attempt runs or has just finished. A caller may
-// leave between the end of the attempt and the moment its answer is taken from
-// the outlet; giving up then would keep an empty answer for the repeat.
-func (l *relay) mayAnswer() bool {
+// hasAttemptOrAnswer reports whether an attempt is running or has just
+// completed. The caller may leave after the attempt has ended and before its
+// answer is taken from the output buffer; giving up at that moment would record
+// an empty answer for the repeat.
+func (l *relay) hasAttemptOrAnswer() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.finished || len(l.running) > 0
 }
 
-// orphan bounds the life of attempts whose caller left.
+// orphan bounds the duration of attempts that continue without their caller.
 func (l *relay) orphan() {
 	timer := time.AfterFunc(orphanTimeout, func() { l.cancel(0) })
 	go func() {
@@ -298,48 +304,49 @@
 	}()
 }
 
-// deadlinePassed ends the wait for the first byte. A non-idempotent request
-// that may have run is not cancelled: its caller is told so at once, and a
-// repeat with the same key gets the answer when there is one.
+// deadlinePassed cancels the attempts if no output has arrived by the deadline
+// of the request. A non-idempotent request that may have run is not cancelled:
+// the caller receives an error at once, and a repeat with the same idempotency
+// key gets the answer when it is available.
 func (l *relay) deadlinePassed() {
 	l.mu.Lock()
 	waiting := !l.committed && !l.finished && l.firstToken == 0
 	l.mu.Unlock()
-	if !waiting || !l.hasRunning() || l.answersWhole() {
+	if !waiting || !l.hasRunning() || l.isUnstreamedCompletion() {
 		return
 	}
 	if !l.request.Action.NonIdempotent {
 		l.cancel(0)
 		return
 	}
-	// The connection stays busy until the attempt ends, so that the caller
-	// must not wait on it with its next request.
+	// The connection stays busy until the attempt ends. Closing it keeps the
+	// caller from sending its next request on it and waiting.
 	f := refusal(wasabiridge.RefusedDeadline, 0).withDisposition(l.disposition()).withClose()
 	l.gateway.fail(l.w, l.r, f)
 	_ = l.control.Flush()
-	l.gone = true
+	l.outputDiscarded = true
 	l.orphan()
 }
 
-// answersWhole reports whether the first byte comes only with the whole
-// answer, as it does from an engine without streaming. Its wait cannot be told
-// from its work.
-func (l *relay) answersWhole() bool {
+// isUnstreamedCompletion reports whether the request is a completion without
+// streaming. Its first byte arrives with the complete answer, so waiting for
+// the server cannot be told from generation, and the deadline does not apply.
+func (l *relay) isUnstreamedCompletion() bool {
 	return isCompletion(l.r) && !l.request.Stream
 }
 
-// answer returns what a repeat of the request gets.
+// answer returns the recorded answer for repeats of the request.
 func (l *relay) answer() wasabiridge.Answer {
 	return wasabiridge.Answer{
 		Status:      l.head.status,
 		ContentType: l.head.header.Get("Content-Type"),
-		Body:        l.kept,
+		Body:        l.replayBody,
 	}
 }
 
-// advance moves the disposition forward.
+// advance advances the disposition of the request.
 func (x *exchange) advance(d wasabiridge.Disposition) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.ledger.advance(d)
+	x.execution.advance(d)
 }
--- a/internal/wasabigateway/resume_test.go
+++ b/internal/wasabigateway/resume_test.go
@@ -13,10 +13,10 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// A long answer streams while engines die under it, at any token, cleanly or
-// not, some before they were sent anything. The caller must read every token
-// once and in order and then the end marker, or a prefix of the answer and a
-// visible cut.
+// Engines fail at any token of a long stream, with a clean end or without, and
+// some before the request was sent to them. The caller must receive every token
+// once and in order, followed by the end marker, or else a prefix of the answer
+// and a visible truncation.
 func TestResumeGivesEveryTokenOnce(t *testing.T) {
 	RegisterTestingT(t)
 	r := newRig(t, nil)
@@ -37,22 +37,23 @@
 			return end(results[n-1])
 		})
 		got := r.do(call{body: chatStream})
-		checkPrefix(t, got, wholeStream(total))
+		checkCompleteOrTruncated(t, got, completeStream(total))
 		for _, a := range r.runner.seen() {
 			if a.ResumeFrom > 0 && a.Weights != 3 {
-				t.Fatalf("resumed under weights %d, begun under 3", a.Weights)
+				t.Fatalf("resumed with weights %d, started with 3", a.Weights)
 			}
 		}
 	})
 }
 
-// An engine dies after the last token, before or after it said why the answer
-// ends. The engine that takes over sends the role again and the reason; the
-// caller once read a second role, and must read the reason exactly once.
+// An engine fails after the last token, before or after it sent the finish
+// reason. The engine that resumes the stream sends the role and the finish
+// reason again. The role was once passed on a second time; the caller must
+// receive the role and the finish reason exactly once.
 func TestResumeAfterTheLastTokenAddsOnlyWhatIsMissing(t *testing.T) {
 	RegisterTestingT(t)
 	const reason = `{"choices":[{"finish_reason":"stop"}]}`
-	for name, reasonSent := range map[string]bool{"before the reason": false, "after the reason": true} {
+	for name, reasonSent := range map[string]bool{"before the finish reason": false, "after the finish reason": true} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, nil)
 			read := make(chan struct{})
@@ -68,35 +69,35 @@
 				return end(wasabiridge.AttemptBroken)
 			})
 			got := r.doThen(call{body: chatStream}, func() { close(read) })
-			want := wholeStream(3)
+			want := completeStream(3)
 			want = slices.Insert(want, len(want)-1, reason)
-			Expect(got.cut).NotTo(HaveOccurred())
+			Expect(got.readErr).NotTo(HaveOccurred())
 			Expect(events(got.text)).To(Equal(want))
 		})
 	}
 }
 
-// checkPrefix fails unless the caller got all of want, or the beginning of it
-// and knows that it is cut.
-func checkPrefix(t *rapid.T, got reply, want []string) {
+// checkCompleteOrTruncated fails unless the caller received all of want, or a
+// proper prefix of it together with an error event and an aborted connection.
+func checkCompleteOrTruncated(t *rapid.T, got reply, want []string) {
 	if got.status != http.StatusOK {
 		if got.header.Get("Content-Type") != "application/json" || strings.Contains(got.text, "token") {
-			t.Fatalf("a refusal holds a part of an answer: %s", got.text)
+			t.Fatalf("refusal contains part of an answer: %s", got.text)
 		}
 		return
 	}
 	text, _, hasError := strings.Cut(got.text, "event: error")
 	seen := events(text)
-	if got.cut == nil && !hasError {
+	if got.readErr == nil && !hasError {
 		if !slices.Equal(seen, want) {
-			t.Fatalf("a clean answer is not whole: %v", seen)
+			t.Fatalf("answer without an error is incomplete: %v", seen)
 		}
 		return
 	}
-	if got.cut == nil || !hasError {
-		t.Fatalf("cut is only half visible: %v, %v", got.cut, hasError)
+	if got.readErr == nil || !hasError {
+		t.Fatalf("truncation without both an aborted connection and an error event: %v, %v", got.readErr, hasError)
 	}
 	if len(seen) >= len(want) || !slices.Equal(seen, want[:len(seen)]) {
-		t.Fatalf("a cut answer is no beginning of the whole: %v", seen)
+		t.Fatalf("truncated answer is not a proper prefix of the complete one: %v", seen)
 	}
 }
--- a/internal/wasabigateway/serve.go
+++ b/internal/wasabigateway/serve.go
@@ -11,13 +11,14 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabirule"
 )
 
-// defaultDeadline bounds the wait before the first byte when a rule does not.
+// defaultDeadline is the deadline for the first byte if the rule sets none.
 const defaultDeadline = 30 * wasabiridge.Second
 
-// serve takes a request from its rule to its settlement.
+// serve handles a request from the match of its rule to the record of its
+// outcome.
 func (g *Gateway) serve(w http.ResponseWriter, r *http.Request) {
 	c := callOf(r)
-	if !isPlainPath(r.URL.Path) {
+	if !isCanonicalPath(r.URL.Path) {
 		g.fail(w, r, failNoRule)
 		return
 	}
@@ -43,7 +44,7 @@
 	}
 	x := newExchange(g, c, r, request)
 	defer g.settle(x, ticket)
-	if err := g.options.Loop.Submit(request, x.box); err != nil {
+	if err := g.options.Loop.Submit(request, x.mailbox); err != nil {
 		g.fail(w, r, failRingFull)
 		return
 	}
@@ -51,14 +52,15 @@
 	newRelay(x, w, r).run()
 }
 
-// isPlainPath reports whether a path says what it means. A path such as
-// "/v1/catalogue/../admin" would match the rule for the catalogue and reach
-// something else at a plain service.
-func isPlainPath(p string) bool {
+// isCanonicalPath reports whether a path is absolute and free of "." and ".."
+// elements and double slashes. A path such as "/v1/catalogue/../admin" would
+// match the rule for the catalogue and then be resolved to another resource by
+// the backend service.
+func isCanonicalPath(p string) bool {
 	return strings.HasPrefix(p, "/") && (path.Clean(p) == p || path.Clean(p)+"/" == p)
 }
 
-// read takes in the body, and what decides of it when it is a completion.
+// read reads the body, and parses it if the request is a completion.
 func (g *Gateway) read(w http.ResponseWriter, r *http.Request, c *call) *failure {
 	raw, f := g.readBody(w, r)
 	if f != nil {
@@ -75,7 +77,8 @@
 	return nil
 }
 
-// plainMessage returns an error's text without the name of its type.
+// plainMessage returns the text of an error without the name of its errorx
+// type.
 func plainMessage(err error) string {
 	_, text, ok := strings.Cut(err.Error(), ": ")
 	if !ok {
@@ -84,8 +87,8 @@
 	return text
 }
 
-// match finds the rule of a request and checks that its client account may
-// use what the rule names.
+// match finds the rule of the request and checks that the client account may
+// use its pool. A fallback pool that the account may not use is removed.
 func match(r *http.Request, c *call) *failure {
 	rule, ok := wasabirule.Match(*c.config, wasabirule.View{
 		Account:      c.account.ID,
@@ -112,8 +115,9 @@
 	return nil
 }
 
-// request returns what the decisions need to know. The prompt is dropped: no
-// decision sees it, and it must not take up memory while the answer streams.
+// request builds the request for the decision loop. It releases the prompt,
+// which no decision needs, so that it takes up no memory while the answer
+// streams.
 func (c *call) request(r *http.Request) wasabiridge.Request {
 	action := c.rule.Then
 	model := c.body.model
--- a/internal/wasabigateway/settle.go
+++ b/internal/wasabigateway/settle.go
@@ -4,7 +4,8 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// settle counts the outcome of a request and ends its claim.
+// settle records the outcome of a request and, in the background, the result of
+// its claim.
 func (g *Gateway) settle(x *exchange, t claimTicket) {
 	x.close()
 	g.recordOutcome(x)
@@ -32,10 +33,10 @@
 		PromptTokens: x.usage.PromptTokens,
 		CachedTokens: x.usage.CachedTokens,
 		OutputTokens: x.tokens,
-		Disposition:  x.ledger.disposition(),
+		Disposition:  x.execution.disposition(),
 	}
 	if x.relay != nil {
-		o.Cut = x.relay.cut
+		o.Cut = x.relay.truncated
 		o.Refused = x.relay.refused
 	}
 	if x.firstToken > 0 {
--- a/internal/wasabigateway/sink.go
+++ b/internal/wasabigateway/sink.go
@@ -8,11 +8,11 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// errAbandoned ends an attempt whose output nobody may see any more.
+// errAbandoned ends an attempt whose output must not reach the caller any more.
 var errAbandoned = wasabiridge.Errors.NewType("abandoned").New("gateway: attempt was abandoned")
 
-// errOldWeights ends an attempt that older weights answered than the rule
-// allows.
+// errOldWeights ends an attempt that was answered with a lower weights version
+// than the rule requires.
 var errOldWeights = wasabiridge.Errors.NewType("old_weights").New("gateway: answered by older weights")
 
 var (
@@ -21,29 +21,30 @@
 	endMarker  = []byte("data: [DONE]\n\n")
 )
 
-// head is the beginning of an answer.
+// head is the status and header of an answer.
 type head struct {
 	status int
 	header http.Header
-	// events says that the answer is an engine's event stream, which the
-	// router frames itself.
+	// events is set for the event stream of an engine, whose framing the router
+	// writes itself.
 	events bool
 }
 
-// sink takes what comes back of one attempt. It holds back everything before
-// the first token, so that an attempt that breaks early or loses against a
-// hedge leaves nothing behind.
+// sink receives the output of one attempt. It buffers everything before the
+// first token, so that an attempt that breaks early or loses against a hedged
+// attempt leaves no output.
 type sink struct {
 	exchange *exchange
 	ctx      context.Context
 	dispatch wasabiridge.Dispatch
 	head     head
-	// early holds payloads that came before the first token.
+	// early holds the payloads that arrived before the first token.
 	early [][]byte
-	// won says that this attempt answers the caller.
+	// won is set when this attempt is the one whose output goes to the caller.
 	won bool
-	// announced says that the decisions know of the first token.
-	announced bool
+	// firstTokenPosted is set once the first token was reported to the decision
+	// loop.
+	firstTokenPosted bool
 }
 
 var _ wasabiridge.AttemptSink = (*sink)(nil)
@@ -67,8 +68,8 @@
 	return s.ctx.Err()
 }
 
-// tooOld reports whether an engine says that it answers with weights below
-// the lowest version that the rule allows.
+// tooOld reports whether the header states a weights version below the lowest
+// that the rule allows.
 func tooOld(h http.Header, lowest wasabiridge.WeightsVersion) bool {
 	got, err := strconv.ParseUint(h.Get(wasabiridge.HeaderWeights), 10, 64)
 	return err == nil && wasabiridge.WeightsVersion(got) < lowest
@@ -86,31 +87,31 @@
 	if !s.win() {
 		return errAbandoned
 	}
-	if first := s.markEnding(data); !first && tokens == 0 {
+	if first := s.markFinalPayload(data); !first && tokens == 0 {
 		return nil
 	}
 	if err := s.write(data); err != nil {
 		return err
 	}
 	s.exchange.delivered(tokens)
-	s.announce()
+	s.postFirstToken()
 	return nil
 }
 
-// announce tells the decisions that this attempt answers, once.
-func (s *sink) announce() {
-	if s.announced {
+// postFirstToken reports the first token to the decision loop, once.
+func (s *sink) postFirstToken() {
+	if s.firstTokenPosted {
 		return
 	}
-	s.announced = true
+	s.firstTokenPosted = true
 	s.exchange.gateway.options.Loop.Post(wasabiridge.AttemptFirstToken{
 		Request: s.dispatch.Request,
 		Attempt: s.dispatch.Attempt,
 	})
 }
 
-// win makes this attempt the one that answers, if no other one is, and hands
-// on what was held back.
+// win makes this attempt the winner, unless another one is, and passes on its
+// buffered payloads.
 func (s *sink) win() bool {
 	if s.won {
 		return true
@@ -119,21 +120,22 @@
 		return false
 	}
 	s.won = true
-	return s.release() == nil
+	return s.flushEarly() == nil
 }
 
-// release hands on the payloads that were held back. Of those that an engine
-// sends again at the start of a resumed stream, such as the role, the caller
-// has all but the ending, which may be all that is left of the answer.
-func (s *sink) release() error {
+// flushEarly passes on the payloads from before the first token. In a resumed
+// stream, an engine repeats payloads that the caller already has, such as the
+// role. Only final payloads are passed on then, as they may be all that is left
+// of the answer.
+func (s *sink) flushEarly() error {
 	early := s.early
 	s.early = nil
 	for _, data := range early {
-		ending := endingOf(data) != endingNone
+		ending := finalPayloadOf(data) != finalNone
 		if s.dispatch.ResumeFrom > 0 && !ending {
 			continue
 		}
-		if first := s.markEnding(data); !first {
+		if first := s.markFinalPayload(data); !first {
 			continue
 		}
 		if err := s.write(data); err != nil {
@@ -143,13 +145,13 @@
 	return nil
 }
 
-// markEnding notes that the caller gets an ending. It reports false when the
-// caller has it already, from an attempt that broke right after it.
-func (s *sink) markEnding(data []byte) bool {
+// markFinalPayload records a final payload. It reports false if the caller
+// already has it from an earlier attempt that broke right after it.
+func (s *sink) markFinalPayload(data []byte) bool {
 	if !s.head.events {
 		return true
 	}
-	return s.exchange.markEnding(endingOf(data))
+	return s.exchange.markFinalPayload(finalPayloadOf(data))
 }
 
 func (s *sink) write(data []byte) error {
@@ -159,8 +161,8 @@
 	return s.exchange.out.write(s.ctx, data)
 }
 
-// complete hands on what was held back of an answer without a token, or of one
-// whose tokens the caller has. It reports false when another attempt answers.
+// complete passes on the buffered payloads of an attempt that completed without
+// a new token. It reports false if another attempt is the winner.
 func (s *sink) complete() bool {
 	return s.win()
 }
--- a/internal/wasabigateway/stream_test.go
+++ b/internal/wasabigateway/stream_test.go
@@ -15,44 +15,45 @@
 )
 
 var _ = Describe("streams", func() {
-	It("come in order with their end marker", func() {
+	It("deliver all tokens in order and the end marker", func() {
 		r := specRig(nil)
 		r.runner.set(func(_ context.Context, _ int, a wasabiridge.Attempt, sink wasabiridge.AttemptSink) wasabiridge.AttemptEnded {
 			_ = stream(a, sink, 20)
 			return end(wasabiridge.AttemptCompleted)
 		})
 		got := r.do(call{body: chatStream})
-		Expect(got.cut).NotTo(HaveOccurred())
-		Expect(events(got.text)).To(Equal(wholeStream(20)))
+		Expect(got.readErr).NotTo(HaveOccurred())
+		Expect(events(got.text)).To(Equal(completeStream(20)))
 	})
 
-	// The engine closes its connection cleanly before the end marker. A router
-	// that hands that on shows a technician half an answer that looks whole.
-	It("that end before their end marker are visibly cut", func() {
+	// The engine closes its connection cleanly before the end marker. If the
+	// router passed that on, the caller would take a partial answer for a
+	// complete one.
+	It("that end before their end marker are visibly truncated", func() {
 		for _, result := range []wasabiridge.AttemptResult{wasabiridge.AttemptBroken, wasabiridge.AttemptCancelled} {
 			r := specRig(nil)
 			opened := make(chan struct{})
-			r.runner.set(breaking(result, opened))
+			r.runner.set(breakAfterThreeTokens(result, opened))
 			got := r.doThen(call{body: chatStream}, func() { close(opened) })
-			Expect(got.cut).To(MatchError(io.ErrUnexpectedEOF))
+			Expect(got.readErr).To(MatchError(io.ErrUnexpectedEOF))
 			Expect(got.text).To(ContainSubstring("event: error"))
 			Expect(got.text).To(ContainSubstring(`"disposition":"ran"`))
 			Expect(got.text).NotTo(ContainSubstring("[DONE]"))
 		}
 	})
 
-	It("cannot be resumed where the rule does not allow it", func() {
+	It("are not resumed when the rule does not allow it", func() {
 		r := specRig(nil)
 		opened := make(chan struct{})
-		r.runner.set(breaking(wasabiridge.AttemptBroken, opened))
+		r.runner.set(breakAfterThreeTokens(wasabiridge.AttemptBroken, opened))
 		got := r.doThen(call{body: `{"model":"whole","stream":true}`}, func() { close(opened) })
-		Expect(got.cut).To(HaveOccurred())
+		Expect(got.readErr).To(HaveOccurred())
 		Expect(r.runner.seen()).To(HaveLen(1))
 	})
 
-	// An engine that was given up wakes and writes on. Its tokens would stand
-	// between those of the engine that took over.
-	It("never show a late answer of an abandoned attempt", func() {
+	// An engine whose attempt has ended continues to send. Its tokens must not
+	// be mixed with those of the engine that resumed the stream.
+	It("drop late output of an abandoned attempt", func() {
 		r := specRig(nil)
 		var late atomic.Int32
 		abandoned := make(chan wasabiridge.AttemptSink, 1)
@@ -73,13 +74,13 @@
 			return end(wasabiridge.AttemptCompleted)
 		})
 		got := r.do(call{body: chatStream})
-		Expect(events(got.text)).To(Equal(wholeStream(9)))
+		Expect(events(got.text)).To(Equal(completeStream(9)))
 		Expect(late.Load()).To(Equal(int32(2)))
 	})
 
-	// Two attempts run for one request. The loser's tokens must not mix with
-	// the winner's, whatever comes first.
-	It("show one attempt of a hedged pair only", func() {
+	// Two hedged attempts run for one request. The tokens of the losing attempt
+	// must not be mixed with those of the winner, whichever arrives first.
+	It("contain the output of one attempt of a hedged pair only", func() {
 		r := specRig(nil)
 		won := make(chan struct{})
 		r.runner.set(func(ctx context.Context, n int, a wasabiridge.Attempt, sink wasabiridge.AttemptSink) wasabiridge.AttemptEnded {
@@ -95,12 +96,12 @@
 			return end(wasabiridge.AttemptCompleted)
 		})
 		got := r.do(call{body: `{"model":"hedged","stream":true}`})
-		Expect(events(got.text)).To(Equal(wholeStream(5)))
+		Expect(events(got.text)).To(Equal(completeStream(5)))
 		Expect(r.runner.seen()).To(HaveLen(2))
 	})
 
-	// The engine restarts with older weights than the rule asks for.
-	It("of older weights than the rule allows reach nobody", func() {
+	// The engine restarts with a lower weights version than the rule requires.
+	It("with older weights than the rule allows do not reach the caller", func() {
 		r := specRig(func(o *wasabigateway.Options) {
 			cfg := testConfig()
 			cfg.Rules = []wasabiridge.Rule{{ID: "new", Then: wasabiridge.Action{Pool: "answer", Weights: 4}}}
@@ -119,7 +120,7 @@
 		Expect(r.do(call{body: chatStream}).code()).To(Equal("backend_broken"))
 	})
 
-	It("that break before the first token start afresh", func() {
+	It("that break before the first token start again from the beginning", func() {
 		r := specRig(nil)
 		r.runner.set(func(_ context.Context, n int, a wasabiridge.Attempt, sink wasabiridge.AttemptSink) wasabiridge.AttemptEnded {
 			if n == 1 {
@@ -129,12 +130,13 @@
 			_ = stream(a, sink, 5)
 			return end(wasabiridge.AttemptCompleted)
 		})
-		Expect(events(r.do(call{body: chatStream}).text)).To(Equal(wholeStream(5)))
+		Expect(events(r.do(call{body: chatStream}).text)).To(Equal(completeStream(5)))
 	})
 
-	// An engine takes the request and then says nothing. The caller's rule
-	// allows 50 ms; it must hear then, not when the engine comes round.
-	It("without a first token in time are given up at the deadline", func() {
+	// An engine accepts the request and then sends nothing. The caller must be
+	// answered at the deadline of the rule, 50 ms, not when the engine
+	// responds.
+	It("without a first token are cancelled at the deadline", func() {
 		r := specRig(nil)
 		r.runner.set(func(ctx context.Context, _ int, _ wasabiridge.Attempt, sink wasabiridge.AttemptSink) wasabiridge.AttemptEnded {
 			sink.Sent()
@@ -149,9 +151,9 @@
 })
 
 var _ = Describe("callers", func() {
-	// One caller stops reading. Its engine must be held up by a bounded
-	// buffer, and all others must go on.
-	It("that read slowly hold up their own attempt only", func() {
+	// One caller stops reading. The bounded buffer must block its engine, and
+	// all other requests must continue.
+	It("that read slowly block their own attempt only", func() {
 		const chunkBytes, chunks, limit = 1 << 10, 1 << 16, 4 << 10
 		r := specRig(func(o *wasabigateway.Options) {
 			o.Limits = wasabisettings.Limits{StreamBytes: limit}
@@ -181,22 +183,22 @@
 		defer slow.Body.Close()
 		Eventually(handedOver.Load).Should(BeNumerically(">", limit))
 		for range 20 {
-			Expect(events(r.do(call{body: chatStream}).text)).To(Equal(wholeStream(5)))
+			Expect(events(r.do(call{body: chatStream}).text)).To(Equal(completeStream(5)))
 		}
 		stalled := handedOver.Load()
-		// What the kernel buffers of a loopback connection is a few MiB.
+		// The kernel buffers a few MiB of a loopback connection.
 		Expect(stalled).To(BeNumerically("<", chunkBytes*chunks/2))
 		text, err := io.ReadAll(slow.Body)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(events(string(text))).To(HaveLen(chunks + 1))
 	})
 
-	It("that leave cancel the work of their request", func() {
+	It("that disconnect cancel the attempts of their request", func() {
 		r := specRig(nil)
-		begun, cancelled := make(chan struct{}), make(chan struct{})
+		started, cancelled := make(chan struct{}), make(chan struct{})
 		r.runner.set(func(ctx context.Context, _ int, a wasabiridge.Attempt, sink wasabiridge.AttemptSink) wasabiridge.AttemptEnded {
 			_ = stream(a, sink, 2)
-			close(begun)
+			close(started)
 			<-ctx.Done()
 			close(cancelled)
 			return end(wasabiridge.AttemptCancelled)
@@ -205,15 +207,15 @@
 		resp, err := r.server.Client().Do(call{body: chatStream}.request(r.server.URL).WithContext(ctx))
 		Expect(err).NotTo(HaveOccurred())
 		defer resp.Body.Close()
-		Eventually(begun).Should(BeClosed())
+		Eventually(started).Should(BeClosed())
 		leave()
 		Eventually(cancelled, "5s").Should(BeClosed())
 	})
 
-	It("find no prompt, answer or key of theirs in the log", func() {
+	It("have no prompt, answer or key in the log", func() {
 		r := specRig(nil)
 		opened := make(chan struct{})
-		r.runner.set(breaking(wasabiridge.AttemptBroken, opened))
+		r.runner.set(breakAfterThreeTokens(wasabiridge.AttemptBroken, opened))
 		r.doThen(call{body: chatStream}, func() { close(opened) })
 		r.do(call{body: `{"model":"whole","prompt":"Code 17?"}`})
 		r.do(call{key: "wrong-secret", body: chatStream})
--- a/internal/wasabigateway/suite_test.go
+++ b/internal/wasabigateway/suite_test.go
@@ -39,8 +39,9 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// testConfig has an engine pool with two servers, a pool of plain services,
-// and a pool that belongs to another account. Addresses lead nowhere.
+// testConfig has an engine pool with two servers, a pool of plain services, and
+// a pool that the client accounts may not use. The server addresses are
+// unreachable.
 func testConfig() wasabiridge.Config {
 	engine := func(id wasabiridge.BackendServerID) wasabiridge.BackendServer {
 		return wasabiridge.BackendServer{ID: id, Kind: wasabiridge.BackendEngine, URL: "http://127.0.0.1:1"}
@@ -75,11 +76,11 @@
 	}
 }
 
-// script plays the backend servers. Attempt numbers count from 1.
+// script simulates the backend servers. The attempt number n starts at 1.
 type script func(ctx context.Context, n int, a wasabiridge.Attempt, sink wasabiridge.AttemptSink) wasabiridge.AttemptEnded
 
-// runner runs a script and keeps what it was asked. It is safe for concurrent
-// use.
+// runner is an AttemptRunner that runs a script and records the attempts. It is
+// safe for concurrent use.
 type runner struct {
 	mu       sync.Mutex
 	play     script
@@ -107,8 +108,7 @@
 	return append([]wasabiridge.Attempt(nil), r.attempts...)
 }
 
-// claims keeps claims in memory as a Claimer would. It is safe for concurrent
-// use.
+// claims is an in-memory Claimer. It is safe for concurrent use.
 type claims struct {
 	mu    sync.Mutex
 	state map[string]wasabiridge.ClaimOutcome
@@ -152,7 +152,7 @@
 	return append([]wasabiridge.ClaimResult(nil), c.ends...)
 }
 
-// rig is a gateway with real decisions before scripted backend servers.
+// rig is a gateway with a real decision loop and simulated backend servers.
 type rig struct {
 	runner  *runner
 	claims  *claims
@@ -161,7 +161,7 @@
 	log     *gbytes.Buffer
 }
 
-// testingT is what a rig needs of a test.
+// testingT is the subset of testing.TB that a rig needs.
 type testingT interface{ Cleanup(func()) }
 
 func newRig(t testingT, change func(*wasabigateway.Options)) *rig {
@@ -225,13 +225,13 @@
 	return req
 }
 
-// reply is a whole answer as a caller sees it.
+// reply is an answer as its caller received it.
 type reply struct {
 	status int
 	header http.Header
 	text   string
-	// cut is set when the answer did not end cleanly.
-	cut error
+	// readErr is set when the answer did not end cleanly.
+	readErr error
 }
 
 func (r reply) code() string {
@@ -248,20 +248,20 @@
 	return r.doThen(c, func() {})
 }
 
-// doThen calls back when the caller has got the head of its answer.
+// doThen calls opened once the caller has received the status and header.
 func (r *rig) doThen(c call, opened func()) reply {
 	resp, err := r.server.Client().Do(c.request(r.server.URL))
 	Expect(err).NotTo(HaveOccurred())
 	defer resp.Body.Close()
 	opened()
-	text, cut := io.ReadAll(resp.Body)
-	return reply{status: resp.StatusCode, header: resp.Header, text: string(text), cut: cut}
+	text, readErr := io.ReadAll(resp.Body)
+	return reply{status: resp.StatusCode, header: resp.Header, text: string(text), readErr: readErr}
 }
 
 var streamHeader = http.Header{"Content-Type": {"text/event-stream"}}
 
-// stream hands over tokens from the resume point up to end. It stops early
-// when the sink does.
+// stream sends the tokens from the resume position up to end. It stops when the
+// sink returns an error.
 func stream(a wasabiridge.Attempt, sink wasabiridge.AttemptSink, end int) error {
 	sink.Sent()
 	if err := sink.Head(http.StatusOK, streamHeader.Clone()); err != nil {
@@ -278,9 +278,9 @@
 	return nil
 }
 
-// breaking hands over three tokens and breaks when the caller has begun to
-// read them. Further attempts break at once.
-func breaking(result wasabiridge.AttemptResult, opened <-chan struct{}) script {
+// breakAfterThreeTokens sends three tokens in the first attempt and ends it
+// once opened is closed. Further attempts end at once.
+func breakAfterThreeTokens(result wasabiridge.AttemptResult, opened <-chan struct{}) script {
 	return func(_ context.Context, n int, a wasabiridge.Attempt, sink wasabiridge.AttemptSink) wasabiridge.AttemptEnded {
 		if n == 1 {
 			_ = stream(a, sink, 3)
@@ -296,8 +296,8 @@
 	return wasabiridge.AttemptEnded{Result: result, Usage: wasabiridge.Usage{Weights: 3}}
 }
 
-// whole answers with one body.
-func whole(status int, text string) script {
+// respondWith answers with a single body.
+func respondWith(status int, text string) script {
 	return func(_ context.Context, _ int, _ wasabiridge.Attempt, sink wasabiridge.AttemptSink) wasabiridge.AttemptEnded {
 		sink.Sent()
 		_ = sink.Head(status, http.Header{"Content-Type": {"application/json"}})
@@ -317,8 +317,9 @@
 	return all
 }
 
-// wholeStream is what a caller must see of a stream with n tokens.
-func wholeStream(n int) []string {
+// completeStream returns the payloads that a caller must receive of a stream
+// with n tokens.
+func completeStream(n int) []string {
 	all := []string{`{"role":"assistant"}`}
 	for i := range n {
 		all = append(all, token(i))
