--- a/internal/wasabiplace/attempt.go
+++ b/internal/wasabiplace/attempt.go
@@ -5,7 +5,7 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabicache"
 )
 
-// attempt is what is remembered of an attempt until it ends.
+// attempt is the state of an attempt that has not ended.
 type attempt struct {
 	server wasabicache.ServerIndex
 	chain  wasabiridge.Chain
@@ -14,40 +14,45 @@
 	first  wasabiridge.Millis
 	// ready is when the prompt is expected to be computed.
 	ready wasabiridge.Millis
-	// ahead is the expected wait when it was sent, in tokens to compute.
-	ahead float64
-	// mark is the marked level whose home the server is, or -1.
-	mark int
-	// heir says that the server was chosen as the heir of the chain, spill how
-	// many blocks it was chosen for to hold a further copy of.
-	heir  bool
-	spill int
+	// tokensAhead is the expected queue at the time of sending, in tokens to
+	// compute.
+	tokensAhead float64
+	// homeLevel is the index of the deepest home level whose first home is the
+	// server, or -1.
+	homeLevel int
+	// preferred is set if the server was chosen as the preferred holder. spill
+	// is the number of blocks of which the server was chosen to get an
+	// additional copy.
+	preferred bool
+	spill     int
 }
 
 const (
-	// sampleTokens is the least number of computed tokens from which the cost
-	// of a token is learned.
-	sampleTokens = 2048
-	// enoughSamples is how many samples make a server's own cost count.
-	enoughSamples = 16
-	// usualRate moves the usual number of computed tokens.
-	usualRate = 0.02
+	// minSampleTokens is the minimum number of computed tokens of a prompt from
+	// which the cost per token is estimated.
+	minSampleTokens = 2048
+	// minServerSamples is the number of samples from which a server's own
+	// estimate is used instead of that of its pool.
+	minServerSamples = 16
+	// avgComputedStep is the step of the moving average of computed tokens per
+	// prompt.
+	avgComputedStep = 0.02
 )
 
-// Sent tells that an attempt goes to the placement's server. From now on the
-// server counts as holding the whole chain.
+// Sent records that an attempt is sent to the server of the placement. From
+// then on the server counts as holding the whole chain.
 func (p *Placer) Sent(now wasabiridge.Millis, r wasabiridge.Request, id wasabiridge.AttemptID, pl wasabiridge.Placement) {
 	s := p.server(pl.Backend.ID)
 	l := &p.loads[s]
 	cost := p.costOf(l)
 	a := attempt{
-		server: s,
-		chain:  r.Chain,
-		before: p.picture.Believe(now, s, r.Chain),
-		sent:   now,
-		mark:   -1,
-		heir:   pl.Why == WhyHeir,
-		ahead:  max(0, l.idleAt-float64(now)) / cost,
+		server:      s,
+		chain:       r.Chain,
+		before:      p.caches.Believe(now, s, r.Chain),
+		sent:        now,
+		homeLevel:   -1,
+		preferred:   pl.Why == WhyHeir,
+		tokensAhead: max(0, l.idleAt-float64(now)) / cost,
 	}
 	if pl.Why == WhySpill {
 		a.spill = pl.HeldTokens / max(1, r.Chain.BlockTokens)
@@ -56,19 +61,19 @@
 	l.sentTokens(now, tokens, cost)
 	a.ready = wasabiridge.Millis(l.idleAt)
 	if t := l.pool; t != nil {
-		t.asked = p.blocksAsked(now, t) + float64(len(r.Chain.Blocks))
-		a.mark = p.homeMark(t, s, r.Chain)
+		t.recentBlocks = p.decayedRecentBlocks(now, t) + float64(len(r.Chain.Blocks))
+		a.homeLevel = p.deepestHomeLevel(t, s, r.Chain)
 	}
-	p.picture.Heat(now, r.Chain)
-	p.picture.Ask(now, s, r.Chain)
+	p.caches.Heat(now, r.Chain)
+	p.caches.Ask(now, s, r.Chain)
 	p.attempts[id] = a
 }
 
-// homeMark returns the deepest marked level whose first home the server is,
-// or -1.
-func (p *Placer) homeMark(t *table, s wasabicache.ServerIndex, c wasabiridge.Chain) int {
+// deepestHomeLevel returns the index of the deepest home level whose first home
+// is the server, or -1.
+func (p *Placer) deepestHomeLevel(t *table, s wasabicache.ServerIndex, c wasabiridge.Chain) int {
 	found := -1
-	for index, depth := 0, 1; depth <= len(c.Blocks) && index < maxMarks; index, depth = index+1, depth*2 {
+	for index, depth := 0, 1; depth <= len(c.Blocks) && index < maxHomeLevels; index, depth = index+1, depth*2 {
 		if i := t.homesOf(c.Blocks[depth-1])[0]; i >= 0 && t.members[i].server == s {
 			found = index
 		}
@@ -76,10 +81,10 @@
 	return found
 }
 
-// computing returns when the server is expected to have computed the deepest
-// level of the chain that was not cached when it was sent there. Zero means
-// that none is being computed. It looks at all open attempts, in any order,
-// and keeps the latest time.
+// computing returns when the server is expected to have computed the blocks of
+// the chain that an open attempt is computing there, or zero if there is no
+// such attempt. If there are several, it returns the latest time, which does
+// not depend on the iteration order.
 func (p *Placer) computing(s wasabicache.ServerIndex, c wasabiridge.Chain) wasabiridge.Millis {
 	ready := wasabiridge.Millis(0)
 	for _, a := range p.attempts {
@@ -108,15 +113,14 @@
 	}
 	a.first = now
 	p.attempts[id] = a
-	p.loads[a.server].began()
-	// The answer may come from an incarnation that is over by now. What it
-	// computed is gone with it.
-	if !p.picture.Alive(a.server, a.before) {
+	p.loads[a.server].firstTokenSeen()
+	// The answer may come from an earlier incarnation, whose cache is lost.
+	if !p.caches.Alive(a.server, a.before) {
 		return
 	}
-	p.picture.Touch(now, a.server, a.chain, len(a.chain.Blocks))
+	p.caches.Touch(now, a.server, a.chain, len(a.chain.Blocks))
 	if a.before.Depth() < len(a.chain.Blocks) {
-		p.picture.Expect(now, a.server)
+		p.caches.Expect(now, a.server)
 	}
 }
 
@@ -132,7 +136,7 @@
 		l.refusedUntil = max(l.refusedUntil, now+e.RetryAfter)
 	}
 	if a.first == 0 && e.Result != wasabiridge.AttemptCompleted {
-		p.picture.Forget(a.server, a.chain, a.before.Depth())
+		p.caches.Forget(a.server, a.chain, a.before.Depth())
 		return
 	}
 	if e.Result == wasabiridge.AttemptCompleted {
@@ -140,37 +144,38 @@
 	}
 }
 
-// learn compares an answer with what was expected of it.
+// learn updates the estimates from the usage that the engine reports.
 func (p *Placer) learn(now wasabiridge.Millis, l *load, a attempt, u wasabiridge.Usage) {
-	if !p.picture.Reborn(a.server, u.Incarnation, u.Weights) || a.first == 0 {
+	if !p.caches.Reborn(a.server, u.Incarnation, u.Weights) || a.first == 0 {
 		return
 	}
-	l.learnHold(float64(now - a.first))
+	l.learnSlotTime(float64(now - a.first))
 	if u.PromptTokens == 0 || a.chain.BlockTokens == 0 {
 		return
 	}
-	// The engine counts real tokens; the chain counts estimated ones.
+	// The engine counts actual tokens, the chain estimated ones.
 	cached := float64(a.chain.Tokens) * float64(u.CachedTokens) / float64(u.PromptTokens)
 	blocks := int(cached/float64(a.chain.BlockTokens) + 0.5)
-	p.picture.Answered(a.first, a.server, a.before, blocks)
-	if a.mark >= 0 && a.before.Depth() < 1<<a.mark {
-		p.learnHome(a.mark, blocks)
+	p.caches.Answered(a.first, a.server, a.before, blocks)
+	if a.homeLevel >= 0 && a.before.Depth() < 1<<a.homeLevel {
+		p.learnHomeHitRate(a.homeLevel, blocks)
 	}
 	computed := float64(a.chain.Tokens) - cached
 	if a.spill > 0 {
-		p.learnSpill(blocks, a.spill)
+		p.learnSpillHitRate(blocks, a.spill)
 	}
-	if unknown := len(a.chain.Blocks) - a.before.Depth(); a.heir && unknown > 0 && blocks >= a.before.Depth() {
-		p.learnHeir(blocks-a.before.Depth(), unknown)
+	if unknown := len(a.chain.Blocks) - a.before.Depth(); a.preferred && unknown > 0 && blocks >= a.before.Depth() {
+		p.learnPreferredHitRate(blocks-a.before.Depth(), unknown)
 	}
 	if l.pool == nil {
 		return
 	}
-	l.pool.usual += usualRate * (computed - l.pool.usual)
-	// Behind a long queue a prompt of high priority is begun early and one of
-	// low priority late, so neither tells what a token costs.
-	if computed >= sampleTokens && a.ahead <= computed {
-		sample := float64(a.first-a.sent) / (a.ahead + computed)
+	l.pool.avgComputed += avgComputedStep * (computed - l.pool.avgComputed)
+	// In a long queue, prompts of high priority are started early and those of
+	// low priority late, so the time to the first token says nothing about the
+	// cost per token.
+	if computed >= minSampleTokens && a.tokensAhead <= computed {
+		sample := float64(a.first-a.sent) / (a.tokensAhead + computed)
 		l.cost.learn(sample)
 		l.pool.cost.learn(sample)
 	}
--- a/internal/wasabiplace/bench_test.go
+++ b/internal/wasabiplace/bench_test.go
@@ -16,22 +16,23 @@
 const (
 	benchLevels    = 100_000
 	benchBlocks    = 16
-	benchFamilies  = benchLevels / benchBlocks
+	benchChains    = benchLevels / benchBlocks
 	holdersPerDoc  = 3
 	benchBlockSize = 2048
 )
 
-// benchWorld is a placer that knows benchLevels levels in a pool of replicas.
-type benchWorld struct {
+// benchFixture is a placer that knows benchLevels prefix levels in a pool of
+// the given size.
+type benchFixture struct {
 	placer *wasabiplace.Placer
 	pool   wasabiridge.Pool
 	chains []wasabiridge.Chain
 }
 
-func newBenchWorld(replicas int) *benchWorld {
+func newBenchFixture(replicas int) *benchFixture {
 	random := rand.New(rand.NewPCG(wasabitest.Seed, 1))
-	w := &benchWorld{placer: wasabiplace.New(wasabiplace.Options{Seed: 1}), pool: benchPool(replicas)}
-	for range benchFamilies {
+	w := &benchFixture{placer: wasabiplace.New(wasabiplace.Options{Seed: 1}), pool: benchPool(replicas)}
+	for range benchChains {
 		c := wasabiridge.Chain{BlockTokens: benchBlockSize, Tokens: benchBlocks*benchBlockSize + 300}
 		for range benchBlocks {
 			c.Blocks = append(c.Blocks, wasabiridge.BlockHash(random.Uint64()))
@@ -67,8 +68,9 @@
 	return pool
 }
 
-// step takes one request through a decision, its first token and its end.
-func (w *benchWorld) step(i int, now wasabiridge.Millis) time.Duration {
+// step runs one request through its placement, first token and end. It returns
+// the time of the placement.
+func (w *benchFixture) step(i int, now wasabiridge.Millis) time.Duration {
 	r := wasabiridge.Request{Chain: w.chains[i*7919%len(w.chains)], Action: wasabiridge.Action{Pool: w.pool.ID}}
 	id := wasabiridge.AttemptID(i + 1)
 	start := time.Now()
@@ -85,8 +87,8 @@
 func BenchmarkPlace(b *testing.B) {
 	for _, replicas := range []int{16, 160, 1600} {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
-			w := newBenchWorld(replicas)
-			for i := range benchFamilies {
+			w := newBenchFixture(replicas)
+			for i := range benchChains {
 				w.step(i, wasabiridge.Millis(2000))
 			}
 			took := make([]time.Duration, 0, 1<<20)
@@ -106,14 +108,14 @@
 	}
 }
 
-// BenchmarkMemory reports the heap that a placer takes for a pool of which it
-// has had a report and 64 decisions for each server.
+// BenchmarkMemory reports the heap size of a placer after 64 decisions per
+// server.
 func BenchmarkMemory(b *testing.B) {
 	for _, replicas := range []int{16, 160, 1600} {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
 			for b.Loop() {
 				var before, after runtime.MemStats
-				w := &benchWorld{pool: benchPool(replicas), chains: []wasabiridge.Chain{{BlockTokens: benchBlockSize}}}
+				w := &benchFixture{pool: benchPool(replicas), chains: []wasabiridge.Chain{{BlockTokens: benchBlockSize}}}
 				runtime.GC()
 				runtime.ReadMemStats(&before)
 				w.placer = wasabiplace.New(wasabiplace.Options{Seed: 1})
--- a/internal/wasabiplace/load.go
+++ b/internal/wasabiplace/load.go
@@ -7,88 +7,94 @@
 )
 
 const (
-	// sendsKept is how many sends a server's load remembers, to add those
-	// that a late report does not show yet.
-	sendsKept = 32
-	// inflowMemory is the time over which the work that others send is
-	// averaged, maxUnseen the age of a report up to which it is added.
-	inflowMemory = 2000 * wasabiridge.Millis(1)
-	maxUnseen    = 2 * wasabiridge.Second
-	// costStep is the share by which a short sample moves the learned cost of
-	// a token in the long run, and costRise how much less a long one does.
-	// Samples hold hidden waiting, which only makes them longer, so the cost
-	// settles where a quarter of the samples are shorter.
-	costStep = 0.03
-	costRise = 1.0 / 3
-	// costBegin makes the first steps larger.
-	costBegin = 2
-	// costSpread bounds how far the cost at one server may be from that of its
-	// pool.
-	costSpread = 2
-	// holdRate moves the learned time for which an answer holds a slot.
-	holdRate = 0.05
-	// firstHold is the time for which an answer holds a slot before any is
-	// learned, in milliseconds.
-	firstHold = 2000
+	// sendLogSize is the number of recent sends that are kept per server, to
+	// add those that a delayed load report does not include yet.
+	sendLogSize = 32
+	// inflowTimeConstant is the time constant of the moving average of the work
+	// sent by other instances. maxInflowAge bounds the age of a report for
+	// which that work is extrapolated.
+	inflowTimeConstant = 2000 * wasabiridge.Millis(1)
+	maxInflowAge       = 2 * wasabiridge.Second
+	// A sample below the estimated cost of a token lowers the estimate by the
+	// share costFallStep in the long run. One above raises it by costRiseShare
+	// of that. Samples include hidden waiting, which only lengthens them, so
+	// the steps are uneven and the estimate settles at the first quartile.
+	costFallStep  = 0.03
+	costRiseShare = 1.0 / 3
+	// costInitialStep divided by the number of samples is added to the step,
+	// for larger initial steps.
+	costInitialStep = 2
+	// maxCostRatio bounds the ratio between the cost of one server and that of
+	// its pool.
+	maxCostRatio = 2
+	// slotTimeStep is the step of the moving average of the time that an answer
+	// occupies a slot.
+	slotTimeStep = 0.05
+	// initialSlotTime is the assumed time that an answer occupies a slot before
+	// the first sample, in milliseconds.
+	initialSlotTime = 2000
 )
 
 type send struct {
 	at wasabiridge.Millis
-	// tokens is how many prompt tokens were expected to be computed.
+	// tokens is the number of prompt tokens that were expected to be computed.
 	tokens float64
 }
 
-// load is what is known of the work inside one server.
+// load is the estimated load of one server.
 type load struct {
 	taken    wasabiridge.Millis
 	reported bool
-	// running counts requests inside, queued those of them that wait.
+	// running counts the requests at the server. queued counts those of them
+	// that wait.
 	running int
 	queued  int
-	// idleAt is when the prompts known of will be computed, in milliseconds.
+	// idleAt is when all known prompts will be computed, in milliseconds.
 	idleAt float64
-	// reportedWork is the work that the last report showed, in milliseconds.
+	// reportedWork is the work in the last report, in milliseconds.
 	reportedWork float64
-	// inflow is the work that others send per millisecond, from the growth of
-	// the work between reports beyond what this instance sent.
+	// inflow is the work per millisecond that other instances send. It is
+	// derived from the growth of work between reports beyond what this instance
+	// sent.
 	inflow float64
-	sends  [sendsKept]send
+	sends  [sendLogSize]send
 	sent   int
-	// open counts the attempts of this instance that did not end yet.
+	// open counts the attempts of this instance that have not ended.
 	open int
 	cost tokenCost
-	// hold is the time for which an answer holds a slot.
-	hold float64
-	// refusedUntil is when a server that had no room asked to be tried again.
+	// slotTime is the average time that an answer occupies a slot. Zero means
+	// no sample yet.
+	slotTime float64
+	// refusedUntil is the retry time of an overloaded server.
 	refusedUntil wasabiridge.Millis
 	leaving      bool
-	// drained says that the news of the leaving came from elsewhere than the
-	// server's own reports.
-	drained bool
-	lost    bool
-	lostAt  wasabiridge.Millis
-	// pool is the prepared pool that holds the server.
+	// drainAnnounced is set if a BackendLeaving event announced that the server
+	// is leaving. The server's own reports do not reset it.
+	drainAnnounced bool
+	lost           bool
+	lostAt         wasabiridge.Millis
+	// pool holds the data of the server's pool.
 	pool *table
 }
 
-// report takes a load report. Reports lag, so what was sent after the report
-// was taken is added again.
-func (l *load) report(r wasabiridge.LoadReport, cost, usualTokens float64) {
+// report applies a load report. Reports are delayed, so the attempts sent after
+// the report was taken are added.
+func (l *load) report(r wasabiridge.LoadReport, cost, avgComputed float64) {
 	if l.reported && r.Taken < l.taken {
 		return
 	}
 	tokens := float64(r.WaitingTokens)
 	if tokens == 0 {
-		tokens = float64(r.Waiting) * usualTokens
+		tokens = float64(r.Waiting) * avgComputed
 	}
 	l.learnInflow(r.Taken, tokens*cost, cost)
 	l.taken, l.reported = r.Taken, true
 	l.running = r.Running + r.Waiting
 	queued := r.Waiting
 	l.idleAt = float64(r.Taken) + tokens*cost
-	kept := min(l.sent, sendsKept)
+	kept := min(l.sent, sendLogSize)
 	for i := l.sent - kept; i < l.sent; i++ {
-		s := l.sends[i%sendsKept]
+		s := l.sends[i%sendLogSize]
 		if s.at > r.Taken {
 			l.add(s.at, s.tokens*cost)
 			l.running++
@@ -98,25 +104,25 @@
 	l.setQueued(queued)
 }
 
-// learnInflow compares the work of two reports. Other instances' requests are
-// seen only through it, as late as the reports are.
+// learnInflow updates the inflow from two consecutive reports. Requests of
+// other instances are visible only in reports, with their delay.
 func (l *load) learnInflow(taken wasabiridge.Millis, work, cost float64) {
 	passed := float64(taken - l.taken)
 	if l.reported && passed > 0 {
 		grown := work - max(0, l.reportedWork-passed)
-		for i := l.sent - min(l.sent, sendsKept); i < l.sent; i++ {
-			if s := l.sends[i%sendsKept]; s.at > l.taken && s.at <= taken {
+		for i := l.sent - min(l.sent, sendLogSize); i < l.sent; i++ {
+			if s := l.sends[i%sendLogSize]; s.at > l.taken && s.at <= taken {
 				grown -= s.tokens * cost
 			}
 		}
-		rate := 1 - math.Exp(-passed/float64(inflowMemory))
+		rate := 1 - math.Exp(-passed/float64(inflowTimeConstant))
 		l.inflow += rate * (max(0, grown/passed) - l.inflow)
 	}
 	l.reportedWork = work
 }
 
-// setQueued keeps the sum over the pool, which tells how full the pool is
-// without a look at every server.
+// setQueued also maintains the sum over the pool, so that its mean queue length
+// is available without iterating over all servers.
 func (l *load) setQueued(n int) {
 	if l.pool != nil {
 		l.pool.queued += min(n, maxDelayed) - min(l.queued, maxDelayed)
@@ -128,9 +134,9 @@
 	l.idleAt = max(l.idleAt, float64(at)) + work
 }
 
-// sentTokens counts an attempt of this instance.
+// sentTokens records an attempt that this instance sends.
 func (l *load) sentTokens(now wasabiridge.Millis, tokens, cost float64) {
-	l.sends[l.sent%sendsKept] = send{at: now, tokens: tokens}
+	l.sends[l.sent%sendLogSize] = send{at: now, tokens: tokens}
 	l.sent++
 	l.running++
 	l.setQueued(l.queued + 1)
@@ -138,59 +144,59 @@
 	l.add(now, tokens*cost)
 }
 
-// ended counts the end of an attempt of this instance.
+// ended records the end of an attempt of this instance.
 func (l *load) ended() {
 	l.open = max(0, l.open-1)
 	l.running = max(l.open, l.running-1)
 }
 
-// began counts the first token of an attempt of this instance.
-func (l *load) began() { l.setQueued(max(0, l.queued-1)) }
+// firstTokenSeen records the first token of an attempt of this instance.
+func (l *load) firstTokenSeen() { l.setQueued(max(0, l.queued-1)) }
 
-// wait estimates the time until a new prompt is begun.
+// wait estimates the time in milliseconds until a new prompt would be started.
 func (l *load) wait(now wasabiridge.Millis, slots int) float64 {
-	unseen := l.inflow * float64(min(now-l.taken, maxUnseen))
+	unseen := l.inflow * float64(min(now-l.taken, maxInflowAge))
 	wait := max(0, l.idleAt+unseen-float64(now), float64(l.refusedUntil-now))
 	if slots > 0 && l.running-l.queued >= slots {
-		wait = max(wait, float64(l.queued+1)*l.held()/float64(slots))
+		wait = max(wait, float64(l.queued+1)*l.meanSlotTime()/float64(slots))
 	}
 	return wait
 }
 
-func (l *load) held() float64 {
-	if l.hold == 0 {
-		return firstHold
+func (l *load) meanSlotTime() float64 {
+	if l.slotTime == 0 {
+		return initialSlotTime
 	}
-	return l.hold
+	return l.slotTime
 }
 
-// tokenCost is the learned time to compute one token in milliseconds. The zero
-// tokenCost has learned nothing.
+// tokenCost estimates the time to compute one token, in milliseconds. The zero
+// value has no samples.
 type tokenCost struct {
 	value   float64
 	samples int
 }
 
-// learn takes the time that a prompt took for each token that was computed
-// before its first token.
+// learn adds a sample: the time to the first token divided by the tokens
+// computed until then.
 func (c *tokenCost) learn(sample float64) {
 	c.samples++
 	if c.samples == 1 {
 		c.value = sample
 		return
 	}
-	step := costStep + costBegin/float64(c.samples)
+	step := costFallStep + costInitialStep/float64(c.samples)
 	if sample < c.value {
 		c.value = max(sample, c.value/(1+step))
 		return
 	}
-	c.value = min(sample, c.value*(1+step*costRise))
+	c.value = min(sample, c.value*(1+step*costRiseShare))
 }
 
-func (l *load) learnHold(sample float64) {
-	if l.hold == 0 {
-		l.hold = sample
+func (l *load) learnSlotTime(sample float64) {
+	if l.slotTime == 0 {
+		l.slotTime = sample
 		return
 	}
-	l.hold += holdRate * (sample - l.hold)
+	l.slotTime += slotTimeStep * (sample - l.slotTime)
 }
--- a/internal/wasabiplace/observe.go
+++ b/internal/wasabiplace/observe.go
@@ -2,11 +2,12 @@
 
 import "github.com/wasabiridge/wasabiridge"
 
-// Observe takes every event that the decider takes.
+// Observe applies an event. It must be called for every event that the decider
+// receives.
 func (p *Placer) Observe(now wasabiridge.Millis, e wasabiridge.Event) {
 	switch e := e.(type) {
 	case wasabiridge.Ticked:
-		p.picture.Tick(now)
+		p.caches.Tick(now)
 	case wasabiridge.AttemptFirstToken:
 		p.firstToken(now, e.Attempt)
 	case wasabiridge.AttemptEnded:
@@ -16,13 +17,13 @@
 	case wasabiridge.CacheChanged:
 		for _, c := range e.Events {
 			p.server(c.Backend)
-			p.picture.Audit(now, c)
+			p.caches.Audit(now, c)
 		}
 	case wasabiridge.BackendLost:
 		p.backendLost(now, e.Backend)
 	case wasabiridge.BackendLeaving:
 		l := &p.loads[p.server(e.Backend)]
-		l.leaving, l.drained = true, true
+		l.leaving, l.drainAnnounced = true, true
 	case wasabiridge.ConfigAdopted:
 		for _, pool := range e.Config.Pools {
 			p.table(pool)
@@ -30,37 +31,37 @@
 	}
 }
 
-// loadReported takes a report. A report of an earlier incarnation says nothing
-// of the server that answers now.
+// loadReported applies a load report, unless it comes from an earlier
+// incarnation of the server.
 func (p *Placer) loadReported(r wasabiridge.LoadReport) {
 	s := p.server(r.Backend)
-	before := p.picture.Incarnation(s)
-	if !p.picture.Reborn(s, r.Incarnation, r.Weights) {
+	before := p.caches.Incarnation(s)
+	if !p.caches.Reborn(s, r.Incarnation, r.Weights) {
 		return
 	}
 	l := &p.loads[s]
 	if before != 0 && r.Incarnation > before {
-		l.leaving, l.drained, l.lost = false, false, false
+		l.leaving, l.drainAnnounced, l.lost = false, false, false
 	}
 	if l.lost && r.Taken > l.lostAt {
 		l.lost = false
-		// Without an incarnation the server cannot show that its cache
-		// outlived the loss.
+		// Without an incarnation it is unknown whether the cache survived the
+		// loss.
 		if r.Incarnation == 0 {
-			p.picture.Clear(s)
+			p.caches.Clear(s)
 		}
 	}
-	l.leaving = r.Leaving || l.drained
-	usual := 0.0
+	l.leaving = r.Leaving || l.drainAnnounced
+	avgComputed := 0.0
 	if l.pool != nil {
-		usual = l.pool.usual
+		avgComputed = l.pool.avgComputed
 	}
-	l.report(r, p.costOf(l), usual)
+	l.report(r, p.costOf(l), avgComputed)
 }
 
-// backendLost takes a server out of all decisions until it reports its load
-// again. A server that never did is tried again after a while, without
-// counting on what its cache held before.
+// backendLost excludes a server until it reports its load again. A server that
+// never reported its load is retried after Options.LostRetry, with its cache
+// assumed empty.
 func (p *Placer) backendLost(now wasabiridge.Millis, id wasabiridge.BackendServerID) {
 	s := p.server(id)
 	l := &p.loads[s]
@@ -68,13 +69,13 @@
 	l.idleAt, l.running = 0, l.open
 	l.setQueued(0)
 	if !l.reported {
-		p.picture.Clear(s)
+		p.caches.Clear(s)
 	}
 }
 
 // isLost reports whether the server counts as lost. A server that never
-// reported its load can only show that it is back by answering, so it is tried
-// again after a while.
+// reported its load can show that it is back only by answering, so it is
+// retried after the given time.
 func (l *load) isLost(now, retry wasabiridge.Millis) bool {
 	if !l.lost {
 		return false
--- a/internal/wasabiplace/options.go
+++ b/internal/wasabiplace/options.go
@@ -7,57 +7,58 @@
 
 // Defaults of Options.
 const (
-	// DefaultSmallPool is the pool size up to which every server is weighed.
+	// DefaultSmallPool is the pool size up to which every server is a
+	// candidate.
 	DefaultSmallPool = 24
-	// DefaultMaxHomes bounds the homes of a hot level.
+	// DefaultMaxHomes is the maximum number of homes of a hot level.
 	DefaultMaxHomes = 8
-	// DefaultFirstTokenPrice and DefaultRecomputePrice are what one computed
-	// token costs beyond the time that it takes, as a share of that time.
+	// DefaultFirstTokenPrice and DefaultRecomputePrice are the additional price
+	// of a computed token, relative to its computing time.
 	DefaultFirstTokenPrice = 2.5
 	DefaultRecomputePrice  = 1.5
-	// DefaultNear is the difference in score that counts as none.
+	// DefaultNear is the difference in score up to which scores count as equal.
 	DefaultNear = 1 * wasabiridge.Millis(1)
-	// DefaultZoneDistance is the time to another availability zone and back.
+	// DefaultZoneDistance is the round-trip time to another availability zone.
 	DefaultZoneDistance = 1 * wasabiridge.Millis(1)
-	// DefaultTokenMicros is the time to compute one token of a prompt before
-	// any is learned, in microseconds.
+	// DefaultTokenMicros is the assumed time to compute one prompt token before
+	// any samples, in microseconds.
 	DefaultTokenMicros = 50
 	// DefaultLostRetry is when a lost server that never reported its load is
-	// tried again.
+	// retried.
 	DefaultLostRetry = 5 * wasabiridge.Second
 )
 
-// Options holds the knobs of a Placer. The zero value works.
+// Options configures a Placer. The zero value is ready to use.
 type Options struct {
-	// Seed starts the source that decides between nearly equal scores.
+	// Seed seeds the random generator that decides between nearly equal scores.
 	Seed uint64
 	// Zone is the availability zone of this instance. Empty means that all
-	// servers are equally far.
+	// servers are at the same distance.
 	Zone wasabiridge.AvailabilityZone
-	// ZoneDistance is the time to a server of another zone and back. Zero
+	// ZoneDistance is the round-trip time to a server of another zone. Zero
 	// means DefaultZoneDistance.
 	ZoneDistance wasabiridge.Millis
-	// SmallPool is the pool size up to which every server is weighed. Zero
+	// SmallPool is the pool size up to which every server is a candidate. Zero
 	// means DefaultSmallPool.
 	SmallPool int
-	// MaxHomes bounds the homes of a hot level, up to 8. Zero means
-	// DefaultMaxHomes.
+	// MaxHomes is the maximum number of homes of a hot level, at most 8. Zero
+	// means DefaultMaxHomes.
 	MaxHomes int
-	// FirstTokenPrice and RecomputePrice are what one computed token costs
-	// beyond its time, for each objective, as a share of that time. Zero
-	// means the default; a negative price means none.
+	// FirstTokenPrice and RecomputePrice are the additional price of a computed
+	// token for each objective, relative to its computing time. Zero means the
+	// default; a negative price means none.
 	FirstTokenPrice float64
 	RecomputePrice  float64
-	// Near is the difference in score that counts as none. Zero means
-	// DefaultNear.
+	// Near is the difference in score up to which scores count as equal. Zero
+	// means DefaultNear.
 	Near wasabiridge.Millis
-	// JoinLimit is how long a request is held back while its prefix is being
-	// computed. Zero means that it follows at once.
+	// JoinLimit is the maximum time for which a request is held back while its
+	// prefix is being computed. Zero means that it is sent at once.
 	JoinLimit wasabiridge.Millis
-	// LostRetry is when a lost server that never reported its load is tried
-	// again. Zero means DefaultLostRetry.
+	// LostRetry is when a lost server that never reported its load is retried.
+	// Zero means DefaultLostRetry.
 	LostRetry wasabiridge.Millis
-	// Cache holds the knobs of the picture of the caches.
+	// Cache configures the estimate of the servers' caches.
 	Cache wasabicache.Options
 }
 
@@ -77,7 +78,7 @@
 	if o.LostRetry == 0 {
 		o.LostRetry = DefaultLostRetry
 	}
-	o.MaxHomes = min(max(o.MaxHomes, 1), homesKept)
+	o.MaxHomes = min(max(o.MaxHomes, 1), maxRankedHomes)
 	o.FirstTokenPrice = price(o.FirstTokenPrice, DefaultFirstTokenPrice)
 	o.RecomputePrice = price(o.RecomputePrice, DefaultRecomputePrice)
 	return o
--- a/internal/wasabiplace/place.go
+++ b/internal/wasabiplace/place.go
@@ -10,10 +10,13 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabiquarantine"
 )
 
-// randomCandidates is how many servers of a large pool are weighed at random.
+// randomCandidates is the number of random candidates in a large pool.
 const randomCandidates = 2
 
-// Reasons of a placement, as the time line shows them.
+// Reasons for a placement, as shown on the timeline: the server holds part of
+// the prefix; is a home of one of its levels; is the preferred one of the
+// servers that hold the most of it; gets an additional copy of a level whose
+// holders are busy; or had the best score without any of these.
 const (
 	WhyHolder = "holder"
 	WhyHome   = "home"
@@ -22,76 +25,79 @@
 	WhyLoad   = "load"
 )
 
-// candidate is a server that is being weighed.
+// candidate is a server under consideration for a placement.
 type candidate struct {
 	member int32
-	// tokens is the expected number of cached tokens, firm the number of
-	// blocks that are rather cached than not.
+	// tokens is the expected number of cached tokens. likely is the number of
+	// leading blocks that are more likely cached than not, including those in
+	// computation.
 	tokens float64
-	firm   int
-	// shown is how many of them the server has shown to hold.
-	shown int
-	mark  int
-	heir  bool
-	spill bool
-	// spread says that the server is to get a further copy now.
-	spread bool
-	pull   float64
-	score  float64
-	wait   float64
+	likely int
+	// confirmed is how many of the likely blocks the server has shown to hold.
+	confirmed int
+	homeLevel int
+	preferred bool
+	spill     bool
+	// addCopy selects the server outright, to give it an additional copy of a
+	// hot level.
+	addCopy bool
+	bonus   float64
+	score   float64
+	wait    float64
 }
 
-// Placer implements wasabiridge.Placer. See the package comment.
+// Placer implements wasabiridge.Placer. See the package documentation.
 type Placer struct {
-	opts       Options
-	random     *rand.Rand
-	picture    *wasabicache.Picture
-	tables     map[wasabiridge.PoolID]*table
-	loads      []load
-	attempts   map[wasabiridge.AttemptID]attempt
-	homeTrust  [maxMarks]float64
-	heirTrust  float64
-	spillTrust float64
-	round      uint64
-	// held is the most blocks of the chain that any server holds, firm the
-	// most that any candidate holds or is computing, shown the most that any
-	// candidate has shown to hold.
-	held       int
-	firm       int
-	shown      int
-	candidates []candidate
-	markBuffer []mark
+	opts             Options
+	random           *rand.Rand
+	caches           *wasabicache.Picture
+	tables           map[wasabiridge.PoolID]*table
+	loads            []load
+	attempts         map[wasabiridge.AttemptID]attempt
+	homeHitRate      [maxHomeLevels]float64
+	preferredHitRate float64
+	spillHitRate     float64
+	round            uint64
+	// Of the current decision: held is the maximum number of leading blocks
+	// that any server holds or is computing; likely and confirmed are the
+	// maxima over the candidates.
+	held        int
+	likely      int
+	confirmed   int
+	candidates  []candidate
+	levelBuffer []homeLevel
 }
 
 var _ wasabiridge.Placer = (*Placer)(nil)
 
-// New returns a Placer that knows nothing yet.
+// New returns a Placer without any knowledge of loads and caches.
 func New(o Options) *Placer {
 	o = o.withDefaults()
 	p := &Placer{
 		opts:     o,
 		random:   rand.New(rand.NewPCG(o.Seed, 0)),
-		picture:  wasabicache.New(o.Cache),
+		caches:   wasabicache.New(o.Cache),
 		tables:   make(map[wasabiridge.PoolID]*table),
 		attempts: make(map[wasabiridge.AttemptID]attempt),
 	}
-	p.heirTrust, p.spillTrust = firstHeirTrust, firstSpillTrust
-	for i := range p.homeTrust {
-		p.homeTrust[i] = firstHomeTrust
+	p.preferredHitRate, p.spillHitRate = initialPreferredHitRate, initialSpillHitRate
+	for i := range p.homeHitRate {
+		p.homeHitRate[i] = initialHomeHitRate
 	}
 	return p
 }
 
-// server returns the number of a server and makes room for its load.
+// server returns the index of a server and allocates its load state.
 func (p *Placer) server(id wasabiridge.BackendServerID) wasabicache.ServerIndex {
-	s := p.picture.Server(id)
+	s := p.caches.Server(id)
 	for len(p.loads) <= int(s) {
 		p.loads = append(p.loads, load{})
 	}
 	return s
 }
 
-// Place chooses a server of the pool. It reports false when none is eligible.
+// Place chooses a server of the pool. It reports false if no server is
+// eligible.
 func (p *Placer) Place(now wasabiridge.Millis, q wasabiridge.PlaceQuery) (wasabiridge.Placement, bool) {
 	t := p.table(q.Pool)
 	p.round++
@@ -107,9 +113,10 @@
 	return p.placement(now, t, q.Request, p.candidates[best]), true
 }
 
-// isolate places a request where all instances send it.
+// isolate places a request on the server that all instances choose for it by
+// rendezvous hashing, so that a suspect request runs on one server only.
 func (p *Placer) isolate(now wasabiridge.Millis, t *table, q wasabiridge.PlaceQuery) (wasabiridge.Placement, bool) {
-	p.held, p.firm, p.shown = 0, 0, 0
+	p.held, p.likely, p.confirmed = 0, 0, 0
 	p.considerAll(now, t, q)
 	if len(p.candidates) == 0 {
 		return wasabiridge.Placement{}, false
@@ -123,22 +130,22 @@
 // gather collects the candidates of a decision.
 func (p *Placer) gather(now wasabiridge.Millis, t *table, q wasabiridge.PlaceQuery) {
 	chain := q.Request.Chain
-	p.held, p.firm, p.shown = 0, 0, 0
-	for _, hit := range p.picture.Hits(now, chain) {
+	p.held, p.likely, p.confirmed = 0, 0, 0
+	for _, hit := range p.caches.Hits(now, chain) {
 		if i := t.position(hit.Server); i >= 0 {
 			p.held = max(p.held, hit.Firm)
 			if c := p.consider(now, t, q, i); c != nil {
-				c.tokens, c.firm, c.shown = hit.Tokens, hit.Firm, hit.Shown
-				p.firm = max(p.firm, hit.Firm)
-				p.shown = max(p.shown, hit.Shown)
+				c.tokens, c.likely, c.confirmed = hit.Tokens, hit.Firm, hit.Shown
+				p.likely = max(p.likely, hit.Firm)
+				p.confirmed = max(p.confirmed, hit.Shown)
 			}
 		}
 	}
-	for _, m := range p.marks(now, t, chain) {
+	for _, m := range p.homeLevels(now, t, chain) {
 		p.considerHomes(now, t, q, m)
 	}
 	p.considerSpill(now, t, q)
-	p.preferHeir(t, chain)
+	p.preferHolder(t, chain)
 	if len(t.members) <= p.opts.SmallPool {
 		p.considerAll(now, t, q)
 		return
@@ -157,9 +164,9 @@
 	}
 }
 
-// considerHomes adds the homes of a marked level. Homes that are not eligible
-// are passed over, so their successors stand in for them.
-func (p *Placer) considerHomes(now wasabiridge.Millis, t *table, q wasabiridge.PlaceQuery, m mark) {
+// considerHomes adds the homes of a level. Homes that are not eligible are
+// skipped, and the next servers in rendezvous order replace them.
+func (p *Placer) considerHomes(now wasabiridge.Millis, t *table, q wasabiridge.PlaceQuery, m homeLevel) {
 	left := m.homes
 	for _, i := range t.homesOf(q.Request.Chain.Blocks[m.depth-1]) {
 		if i < 0 || left == 0 {
@@ -172,13 +179,13 @@
 		left--
 		tokens := p.homeTokens(now, m, t.members[i].server, q.Request.Chain.BlockTokens)
 		if tokens > c.tokens {
-			c.tokens, c.mark = tokens, m.index
+			c.tokens, c.homeLevel = tokens, m.index
 		}
 	}
 }
 
-// consider makes a member a candidate unless it is one. It returns nil when
-// the member is not eligible.
+// consider returns the candidate of a member and adds it if necessary. It
+// returns nil if the member is not eligible.
 func (p *Placer) consider(now wasabiridge.Millis, t *table, q wasabiridge.PlaceQuery, i int32) *candidate {
 	m := &t.members[i]
 	if m.round == p.round {
@@ -188,7 +195,7 @@
 		return nil
 	}
 	m.round, m.candidate = p.round, int32(len(p.candidates))
-	p.candidates = append(p.candidates, candidate{member: i, mark: -1})
+	p.candidates = append(p.candidates, candidate{member: i, homeLevel: -1})
 	return &p.candidates[m.candidate]
 }
 
@@ -197,9 +204,9 @@
 	if l.leaving || l.isLost(now, p.opts.LostRetry) {
 		return false
 	}
-	// An engine that still serves older weights than the rule asks for would
-	// answer with them.
-	if w := p.picture.Weights(m.server); w != 0 && w < q.Request.Action.Weights {
+	// An engine with older weights than the rule requires would answer with
+	// them.
+	if w := p.caches.Weights(m.server); w != 0 && w < q.Request.Action.Weights {
 		return false
 	}
 	for _, id := range q.Excluded {
@@ -214,7 +221,7 @@
 	m := &t.members[c.member]
 	out := wasabiridge.Placement{
 		Backend:       m.backend,
-		Incarnation:   p.picture.Incarnation(m.server),
+		Incarnation:   p.caches.Incarnation(m.server),
 		ClaimedTokens: p.claim(m.server, c) * r.Chain.BlockTokens,
 		HeldTokens:    p.held * r.Chain.BlockTokens,
 		ExpectedWait:  wasabiridge.Millis(c.wait + 0.5),
@@ -223,19 +230,19 @@
 	switch {
 	case c.spill:
 		out.Why = WhySpill
-	case c.heir:
+	case c.preferred:
 		out.Why = WhyHeir
-	case c.firm > 0:
+	case c.likely > 0:
 		out.Why = WhyHolder
-	case c.mark >= 0:
+	case c.homeLevel >= 0:
 		out.Why = WhyHome
 	}
 	out.Join = p.join(now, m.server, r.Chain)
 	return out
 }
 
-// join returns the time until which a request is held back because its prefix
-// is being computed, or zero.
+// join returns the time until which the request should be held back because its
+// prefix is being computed, or zero.
 func (p *Placer) join(now wasabiridge.Millis, s wasabicache.ServerIndex, c wasabiridge.Chain) wasabiridge.Millis {
 	if p.opts.JoinLimit <= 0 || len(c.Blocks) == 0 {
 		return 0
@@ -247,12 +254,12 @@
 	return min(ready, now+p.opts.JoinLimit)
 }
 
-// claim is the number of blocks that are claimed to the server. Nothing is
-// claimed to a server whose incarnation is not known, because nobody could
-// tell whether the claim is about an earlier one.
+// claim returns the number of leading blocks that the placement claims to be
+// cached. It is zero for a server whose incarnation is unknown, because the
+// claim could then refer to an earlier incarnation.
 func (p *Placer) claim(s wasabicache.ServerIndex, c candidate) int {
-	if p.picture.Incarnation(s) == 0 {
+	if p.caches.Incarnation(s) == 0 {
 		return 0
 	}
-	return c.shown
+	return c.confirmed
 }
--- a/internal/wasabiplace/place_test.go
+++ b/internal/wasabiplace/place_test.go
@@ -77,10 +77,11 @@
 		Expect(again.HeldTokens).To(Equal(8 * blockTokens))
 	})
 
-	// Story: two technicians ask about the same lift within a second. The
-	// second question is sent elsewhere, and the manual is read twice. The
-	// cause would be to count only prefixes whose computation is over.
-	It("sends requests after a prefix that is being computed, without a claim", func() {
+	// Guards against placers that count a prefix as held only after its
+	// computation has ended. Two technicians ask about the same lift within a
+	// second: the second question would be sent to another server, and the
+	// manual would be computed twice.
+	It("sends requests to the server that is computing their prefix, without claiming cached tokens", func() {
 		first := place(manual)
 		placer.Sent(now, manual, 1, first)
 		second := place(manual)
@@ -88,7 +89,7 @@
 		Expect(second.ClaimedTokens).To(BeZero())
 	})
 
-	It("holds requests back while their prefix is computed, when it is told to", func() {
+	It("holds requests back while their prefix is computed, if JoinLimit is set", func() {
 		setUp(9, wasabiplace.Options{Seed: 1, JoinLimit: 300})
 		placer.Sent(now, manual, 1, place(manual))
 		Expect(place(manual).Join).To(And(BeNumerically(">", now), BeNumerically("<=", now+300)))
@@ -96,9 +97,10 @@
 		Expect(place(manual).Join).To(BeZero())
 	})
 
-	// Story: all routers restart at once. The first request for a document
-	// reaches each of them, and each has it read by another engine. The cause
-	// would be a first choice that depends on more than document and pool.
+	// Guards against a first choice that depends on more than the document and
+	// the pool. After a restart of all routers, the first request for a
+	// document reaches each of them, and each would have it computed by a
+	// different engine.
 	DescribeTable("sends an unknown document to the same server from every instance", func(servers int) {
 		var ids []wasabiridge.BackendServerID
 		for seed := range uint64(5) {
@@ -111,10 +113,10 @@
 		Entry("large pool", 1600),
 	)
 
-	DescribeTable("passes over the holder", func(news func(holder wasabiridge.BackendServerID)) {
+	DescribeTable("skips the holder", func(update func(holder wasabiridge.BackendServerID)) {
 		holder := place(manual)
 		serve(manual, holder, 0)
-		news(holder.Backend.ID)
+		update(holder.Backend.ID)
 		p := place(manual)
 		Expect(p.Backend.ID).NotTo(Equal(holder.Backend.ID))
 		Expect(p.ClaimedTokens).To(BeZero())
@@ -122,13 +124,13 @@
 		Entry("that is leaving", func(b wasabiridge.BackendServerID) {
 			placer.Observe(now, wasabiridge.BackendLeaving{Backend: b})
 		}),
-		Entry("that says that it is leaving", func(b wasabiridge.BackendServerID) {
+		Entry("that reports that it is leaving", func(b wasabiridge.BackendServerID) {
 			report(b, 1, func(r *wasabiridge.LoadReport) { r.Leaving = true })
 		}),
 		Entry("that is lost", func(b wasabiridge.BackendServerID) {
 			placer.Observe(now, wasabiridge.BackendLost{Backend: b})
 		}),
-		Entry("that is lost, though an older report comes late", func(b wasabiridge.BackendServerID) {
+		Entry("that is lost, even if an older report arrives late", func(b wasabiridge.BackendServerID) {
 			placer.Observe(now, wasabiridge.BackendLost{Backend: b})
 			report(b, 1, func(r *wasabiridge.LoadReport) { r.Taken = now - 1 })
 		}),
@@ -137,7 +139,7 @@
 		}),
 	)
 
-	It("takes a lost server back when it reports again", func() {
+	It("uses a lost server again once it reports its load", func() {
 		holder := place(manual)
 		serve(manual, holder, 0)
 		placer.Observe(now, wasabiridge.BackendLost{Backend: holder.Backend.ID})
@@ -146,9 +148,9 @@
 		Expect(place(manual).Backend.ID).To(Equal(holder.Backend.ID))
 	})
 
-	// Story: an engine is drained, restarts, and is never used again. The
-	// cause would be a leaving that outlives the incarnation.
-	It("uses a server again after it left and came back", func() {
+	// Guards against a leaving state that outlives the incarnation: an engine
+	// is drained and restarts, and is never used again.
+	It("uses a server again after it was drained and restarted", func() {
 		all := pool.Backends
 		for _, b := range all[1:] {
 			placer.Observe(now, wasabiridge.BackendLeaving{Backend: b.ID})
@@ -161,7 +163,7 @@
 		Expect(place(manual).Backend.ID).To(Equal(all[3].ID))
 	})
 
-	It("adds what was sent since a late report was taken", func() {
+	It("adds the attempts sent after a delayed report was taken", func() {
 		now += 200
 		for i := range 9 {
 			r := document(wasabiridge.BlockHash(100+i), wasabiridge.BlockHash(200+i))
@@ -201,7 +203,7 @@
 	})
 
 	It("decides without heap allocations in the steady state", func() {
-		w := newBenchWorld(160)
+		w := newBenchFixture(160)
 		for i := range 3000 {
 			w.step(i, 2000)
 		}
--- a/internal/wasabiplace/pool.go
+++ b/internal/wasabiplace/pool.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// homesKept is how many homes of a bucket are remembered, in order of
-	// their rank.
-	homesKept = 8
-	// bucketCount is how many buckets prefix levels fall into. The homes of a
-	// bucket are worked out when first needed, so that no decision hashes a
-	// level against a whole pool.
+	// maxRankedHomes is how many homes of a bucket are stored, in rendezvous
+	// order.
+	maxRankedHomes = 8
+	// bucketCount is the number of buckets into which prefix levels are hashed.
+	// The homes of a bucket are computed on first use, so that no decision
+	// hashes a level against the whole pool.
 	bucketCount = 4096
 )
 
@@ -23,40 +23,42 @@
 	server   wasabicache.ServerIndex
 	seed     uint64
 	distance wasabiridge.Millis
-	// round and candidate tell whether the member is a candidate of the
-	// decision that is being made, and which.
+	// candidate is the index of the member's candidate, valid if round is the
+	// number of the current decision.
 	round     uint64
 	candidate int32
 }
 
-// table is a pool, prepared for decisions.
+// table holds the precomputed data of a pool.
 type table struct {
 	id      wasabiridge.PoolID
 	source  []wasabiridge.BackendServer
 	members []member
-	// positions maps servers to members. Servers of other pools are -1.
-	positions []int32
-	homes     [][homesKept]int32
-	known     []bool
-	// asked counts the blocks of recent prompts, as of counted.
-	asked   float64
-	counted wasabiridge.Millis
-	// cost is learned over all servers of the pool. usual is the usual number
-	// of computed tokens.
-	cost  tokenCost
-	usual float64
-	// queued counts the requests that wait at all servers, up to maxDelayed at
-	// each.
+	// positions maps server indices to members. Servers of other pools map to
+	// -1.
+	positions     []int32
+	homes         [][maxRankedHomes]int32
+	homesComputed []bool
+	// recentBlocks is the decayed number of blocks in recent prompts, as of
+	// recentBlocksAt.
+	recentBlocks   float64
+	recentBlocksAt wasabiridge.Millis
+	// cost is estimated over all servers of the pool. avgComputed is the moving
+	// average of the computed tokens per prompt.
+	cost        tokenCost
+	avgComputed float64
+	// queued sums the waiting requests of all servers, counting at most
+	// maxDelayed of each.
 	queued int
 }
 
 func (p *Placer) newTable(pool wasabiridge.Pool) *table {
 	t := &table{
-		id:      pool.ID,
-		source:  pool.Backends,
-		members: make([]member, len(pool.Backends)),
-		homes:   make([][homesKept]int32, bucketCount),
-		known:   make([]bool, bucketCount),
+		id:            pool.ID,
+		source:        pool.Backends,
+		members:       make([]member, len(pool.Backends)),
+		homes:         make([][maxRankedHomes]int32, bucketCount),
+		homesComputed: make([]bool, bucketCount),
 	}
 	for i, b := range pool.Backends {
 		m := &t.members[i]
@@ -75,23 +77,23 @@
 	return t
 }
 
-// table returns the prepared pool. Pools are immutable values, so a pool whose
-// servers stand at the same place in memory is the same.
+// table returns the data of the pool. Pools are immutable values, so a pool
+// with the same backing array of servers is unchanged.
 func (p *Placer) table(pool wasabiridge.Pool) *table {
 	t := p.tables[pool.ID]
-	if t != nil && t.fits(pool) {
+	if t != nil && t.hasBackends(pool) {
 		return t
 	}
 	next := p.newTable(pool)
 	if t != nil {
-		next.asked, next.counted = t.asked, t.counted
-		next.cost, next.usual = t.cost, t.usual
+		next.recentBlocks, next.recentBlocksAt = t.recentBlocks, t.recentBlocksAt
+		next.cost, next.avgComputed = t.cost, t.avgComputed
 	}
 	p.tables[pool.ID] = next
 	return next
 }
 
-func (t *table) fits(pool wasabiridge.Pool) bool {
+func (t *table) hasBackends(pool wasabiridge.Pool) bool {
 	if len(t.source) != len(pool.Backends) {
 		return false
 	}
@@ -105,31 +107,31 @@
 	return t.positions[s]
 }
 
-// homesOf returns the members with the highest rendezvous weights for a level,
-// best first. Free places hold -1.
-func (t *table) homesOf(b wasabiridge.BlockHash) *[homesKept]int32 {
+// homesOf returns the members with the highest rendezvous weights for the
+// bucket of a level, in descending order. Unused entries are -1.
+func (t *table) homesOf(b wasabiridge.BlockHash) *[maxRankedHomes]int32 {
 	bucket := uint64(b) % bucketCount
 	homes := &t.homes[bucket]
-	if t.known[bucket] {
+	if t.homesComputed[bucket] {
 		return homes
 	}
-	t.known[bucket] = true
-	var weights [homesKept]uint64
+	t.homesComputed[bucket] = true
+	var weights [maxRankedHomes]uint64
 	for i := range homes {
 		homes[i] = -1
 	}
 	for i := range t.members {
-		rank(homes, &weights, int32(i), mix(bucket, t.members[i].seed))
+		insertRanked(homes, &weights, int32(i), mix(bucket, t.members[i].seed))
 	}
 	return homes
 }
 
-// rank puts a member among the best so far.
-func rank(homes *[homesKept]int32, weights *[homesKept]uint64, i int32, w uint64) {
-	if homes[homesKept-1] >= 0 && w <= weights[homesKept-1] {
+// insertRanked inserts a member into the homes if its weight is high enough.
+func insertRanked(homes *[maxRankedHomes]int32, weights *[maxRankedHomes]uint64, i int32, w uint64) {
+	if homes[maxRankedHomes-1] >= 0 && w <= weights[maxRankedHomes-1] {
 		return
 	}
-	at := homesKept - 1
+	at := maxRankedHomes - 1
 	for at > 0 && (homes[at-1] < 0 || w > weights[at-1]) {
 		homes[at], weights[at] = homes[at-1], weights[at-1]
 		at--
@@ -137,13 +139,13 @@
 	homes[at], weights[at] = i, w
 }
 
-// waiting is how many requests wait at a server of the pool on average.
+// waiting returns the mean number of waiting requests per server of the pool.
 func (t *table) waiting() float64 {
 	return float64(t.queued) / float64(max(1, len(t.members)))
 }
 
-// mix joins the number of a bucket and the seed of a server into a weight
-// (the finaliser of SplitMix64).
+// mix combines a bucket number and a server seed into a rendezvous weight, with
+// the finaliser of SplitMix64.
 func mix(bucket, seed uint64) uint64 {
 	x := seed ^ (bucket+1)*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/internal/wasabiplace/score.go
+++ b/internal/wasabiplace/score.go
@@ -2,21 +2,22 @@
 
 import "github.com/wasabiridge/wasabiridge"
 
-// idleDelayed is how many requests a computed token is taken to delay in a
+// minDelayed is how many requests a computed token is assumed to delay in a
 // pool without queues.
-const idleDelayed = 0.3
+const minDelayed = 0.3
 
-// maxDelayed bounds how many requests a computed token is taken to delay. When
-// more wait, those behind them are better sent elsewhere than held up.
+// maxDelayed bounds how many requests a computed token is assumed to delay.
+// Beyond that, requests further back are better sent to another server than
+// delayed.
 const maxDelayed = 4
 
-// choose scores all candidates and returns the number of the best, or -1.
+// choose scores all candidates and returns the index of the best, or -1.
 func (p *Placer) choose(now wasabiridge.Millis, t *table, q wasabiridge.PlaceQuery) int {
 	best := -1
 	for i := range p.candidates {
 		c := &p.candidates[i]
 		p.score(now, t, q.Request, c)
-		if c.spread {
+		if c.addCopy {
 			return i
 		}
 		if best < 0 || c.score < p.candidates[best].score {
@@ -46,14 +47,14 @@
 	computed := max(0, float64(r.Chain.Tokens)-c.tokens)
 	work := computed * p.costOf(l)
 	c.wait = float64(m.distance) + l.wait(now, m.backend.Slots) + work
-	c.score = c.wait + p.priceOf(r, computed, work*(idleDelayed+t.waiting())) - c.pull
+	c.score = c.wait + p.priceOf(r, computed, work*(minDelayed+t.waiting())) - c.bonus
 }
 
-// priceOf is what computing the tokens costs beyond its time. The work delays
-// those who come while the queue lasts, about as many as wait now, so a token
-// computed again costs the more the fuller the pool is. Without this, a pool
-// with long queues would send everything to the shortest one, compute every
-// prefix everywhere and never catch up.
+// priceOf returns the price of computing the tokens beyond their computing
+// time. The work delays later requests for as long as the queue lasts, about as
+// many as wait now, so recomputing a token costs more the longer the queues
+// are. Without this price, a pool with long queues would always choose the
+// shortest queue, compute every prefix on every server and never catch up.
 func (p *Placer) priceOf(r wasabiridge.Request, computed, work float64) float64 {
 	share := p.opts.FirstTokenPrice
 	if r.Action.Objective == wasabiridge.ObjectiveRecompute {
@@ -66,15 +67,15 @@
 	return extra
 }
 
-// costOf is the time to compute one token, in milliseconds. It is that of the
-// pool, until enough was learned of the server itself.
+// costOf returns the estimated time to compute one token, in milliseconds. The
+// estimate of the pool is used until the server has enough samples.
 func (p *Placer) costOf(l *load) float64 {
 	if l.pool == nil || l.pool.cost.samples == 0 {
 		return DefaultTokenMicros / 1000.0
 	}
 	pool := l.pool.cost.value
-	if l.cost.samples < enoughSamples {
+	if l.cost.samples < minServerSamples {
 		return pool
 	}
-	return min(max(l.cost.value, pool/costSpread), pool*costSpread)
+	return min(max(l.cost.value, pool/maxCostRatio), pool*maxCostRatio)
 }
