--- a/internal/wasabilimit/bench_test.go
+++ b/internal/wasabilimit/bench_test.go
@@ -23,8 +23,8 @@
 	return l, pool.Backends, ids
 }
 
-// BenchmarkRequest takes one request from its arrival to its end, beside a
-// load report for each request and a tick for every fifth.
+// BenchmarkRequest measures one request from arrival to end, with a load report
+// for every request and a tick for every fifth.
 func BenchmarkRequest(b *testing.B) {
 	for _, size := range []struct{ servers, accounts int }{{16, 8}, {160, 8}, {1600, 8}, {16, 800}, {16, 4000}} {
 		b.Run(fmt.Sprintf("servers=%d/accounts=%d", size.servers, size.accounts), func(b *testing.B) {
@@ -36,7 +36,8 @@
 			b.ReportAllocs()
 			now := wasabiridge.Millis(0)
 			for i := 0; b.Loop(); i++ {
-				// 25 requests a second, as an instance has at the target size.
+				// 25 requests a second correspond to one instance at the target
+				// load.
 				now += 40
 				s := servers[i%len(servers)]
 				r := wasabiridge.Request{
@@ -56,7 +57,7 @@
 	}
 }
 
-// BenchmarkNext releases from a long queue of many accounts.
+// BenchmarkNext measures releases from a long queue of many accounts.
 func BenchmarkNext(b *testing.B) {
 	for _, accounts := range []int{8, 80, 800} {
 		b.Run(fmt.Sprintf("accounts=%d", accounts), func(b *testing.B) {
@@ -82,8 +83,8 @@
 	}
 }
 
-// BenchmarkMemory tells how much heap a Limiter holds that knows servers and
-// active accounts.
+// BenchmarkMemory reports the heap size of a Limiter with the given numbers of
+// servers and active accounts.
 func BenchmarkMemory(b *testing.B) {
 	for _, size := range []struct{ servers, accounts int }{{16, 8}, {160, 8}, {1600, 8}, {16, 800}, {16, 4000}} {
 		b.Run(fmt.Sprintf("servers=%d/accounts=%d", size.servers, size.accounts), func(b *testing.B) {
--- a/internal/wasabilimit/budget.go
+++ b/internal/wasabilimit/budget.go
@@ -5,37 +5,37 @@
 )
 
 const (
-	// unreachedCost is what a retry costs when the attempt before it never
-	// reached a server and so caused no work there.
+	// unreachedCost is the cost of a retry whose previous attempt did not reach
+	// a server and therefore caused no work there.
 	unreachedCost = 0.25
 )
 
-// budget bounds retries to a part of the first attempts, so that servers that
-// fail do not get more work for it.
+// budget limits retries to a share of the first attempts, so that failing
+// servers do not receive more work because of their failures.
 type budget struct {
-	share  float64
-	burst  float64
-	saved  float64
-	before wasabiridge.AttemptEnded
+	share     float64
+	burst     float64
+	balance   float64
+	lastEnded wasabiridge.AttemptEnded
 }
 
 func newBudget(o Options) budget {
-	return budget{share: o.RetryShare, burst: o.RetryBurst, saved: o.RetryBurst}
+	return budget{share: o.RetryShare, burst: o.RetryBurst, balance: o.RetryBurst}
 }
 
-func (b *budget) earn() { b.saved = min(b.burst, b.saved+b.share) }
+func (b *budget) earn() { b.balance = min(b.burst, b.balance+b.share) }
 
-// ended remembers the attempt that a retry would follow.
-func (b *budget) ended(e wasabiridge.AttemptEnded) { b.before = e }
+// ended records the last attempt that ended, which the next retry would follow.
+func (b *budget) ended(e wasabiridge.AttemptEnded) { b.lastEnded = e }
 
 func (b *budget) spend(r wasabiridge.RequestID) bool {
 	cost := 1.0
-	if b.before.Request == r && b.before.Result == wasabiridge.AttemptNotRun && !b.before.Overloaded {
+	if b.lastEnded.Request == r && b.lastEnded.Result == wasabiridge.AttemptNotRun && !b.lastEnded.Overloaded {
 		cost = unreachedCost
 	}
-	if b.saved < cost {
+	if b.balance < cost {
 		return false
 	}
-	b.saved -= cost
+	b.balance -= cost
 	return true
 }
--- a/internal/wasabilimit/cost.go
+++ b/internal/wasabilimit/cost.go
@@ -7,20 +7,23 @@
 )
 
 const (
-	// firstMiss is the part of a prompt expected to be computed as long as
-	// nothing is known.
-	firstMiss = 0.3
-	// learnRate is the weight of one answer in what is learned.
-	learnRate = 0.05
-	// defaultOutput is the length of an answer without a bound.
+	// initialMissRate is the assumed share of a prompt that is not cached,
+	// before the first answer.
+	initialMissRate = 0.3
+	// averagingStep is the step of the moving averages of miss rates and costs.
+	averagingStep = 0.05
+	// defaultOutput is the assumed number of output tokens of a request without
+	// a maximum.
 	defaultOutput = 256
-	// maxLearned bounds how many pairs of account and rule are remembered.
-	maxLearned = 4096
-	// rateDecay is the time in which a remembered rate falls to about a third.
+	// maxMissRates bounds the number of account and rule pairs with a stored
+	// miss rate.
+	maxMissRates = 4096
+	// rateDecay is the time constant of rates.
 	rateDecay = 3 * wasabiridge.Second
-	// rateSettle is how long a rate must have been watched to say anything.
-	rateSettle = wasabiridge.Second
-	// idleDecay is the same for a capacity that nothing puts to the test.
+	// minRateWindow is the minimum observation time of a rate.
+	minRateWindow = wasabiridge.Second
+	// idleDecay is the time constant of a capacity estimate while no requests
+	// wait.
 	idleDecay = 10 * wasabiridge.Minute
 )
 
@@ -29,28 +32,29 @@
 	rule    wasabiridge.RuleID
 }
 
-// costs learns which part of its prompts an account makes engines compute.
+// costs estimates the cost of requests from the cache miss rates of their
+// accounts and rules.
 type costs struct {
 	miss map[costKey]float64
-	// typical is the mean cost of recent requests.
-	typical float64
+	// meanCost is the moving average of the cost of requests.
+	meanCost float64
 }
 
 func newCosts() costs { return costs{miss: make(map[costKey]float64)} }
 
-// expect returns the tokens that a request is expected to cost: those of the
-// prompt that are not cached, and those of the answer.
+// expect returns the expected cost of a request in tokens: the prompt tokens
+// that are not cached, and the output tokens.
 func (c *costs) expect(r wasabiridge.Request) float64 {
 	miss, ok := c.miss[costKey{r.Account, r.Rule}]
 	if !ok {
-		miss = firstMiss
+		miss = initialMissRate
 	}
 	output := r.MaxTokens
 	if output == 0 {
 		output = defaultOutput
 	}
 	cost := 1 + miss*float64(r.Chain.Tokens) + float64(output)
-	c.typical += learnRate * (cost - c.typical)
+	c.meanCost += averagingStep * (cost - c.meanCost)
 	return cost
 }
 
@@ -61,21 +65,22 @@
 	k := costKey{r.Account, r.Rule}
 	miss, ok := c.miss[k]
 	if !ok {
-		miss = firstMiss
+		miss = initialMissRate
 	}
 	seen := 1 - float64(u.CachedTokens)/float64(u.PromptTokens)
-	c.miss[k] = miss + learnRate*(seen-miss)
+	c.miss[k] = miss + averagingStep*(seen-miss)
 }
 
-// prune forgets everything when too much is remembered. It is learned again
+// prune drops all miss rates when there are too many. They are estimated anew
 // within a few answers.
 func (c *costs) prune() {
-	if len(c.miss) > maxLearned {
+	if len(c.miss) > maxMissRates {
 		clear(c.miss)
 	}
 }
 
-// rate is a decaying sum over time. The zero value has seen nothing.
+// rate is an exponentially decaying sum over time. The zero value has no
+// observations.
 type rate struct {
 	sum     float64
 	since   wasabiridge.Millis
@@ -83,8 +88,8 @@
 	started bool
 }
 
-// add counts an amount. The very first one only starts the clock, because
-// nothing is known of the time before it.
+// add adds an amount. The first one only starts the observation, because the
+// time before it is unknown.
 func (r *rate) add(now wasabiridge.Millis, amount float64) {
 	if !r.started {
 		r.started, r.since, r.at = true, now, now
@@ -94,34 +99,34 @@
 	r.at = now
 }
 
-// perMilli is the mean rate per millisecond. Early on it counts only the time
-// that was seen; it is 0 until enough was.
+// perMilli returns the mean rate per millisecond, over the observed time if
+// that is short. It returns 0 until minRateWindow has passed.
 func (r *rate) perMilli(now wasabiridge.Millis) float64 {
-	if !r.started || now < r.since+rateSettle {
+	if !r.started || now < r.since+minRateWindow {
 		return 0
 	}
 	seen := float64(rateDecay) * (1 - math.Exp(-float64(now-r.since)/float64(rateDecay)))
 	return r.sum * math.Exp(-float64(now-r.at)/float64(rateDecay)) / seen
 }
 
-// capacity remembers how fast a pool drains when requests wait. While none
-// do, the rate says how much was asked for and not how much is possible, so
-// what was seen before is kept.
+// capacity estimates the rate at which a pool drains its queue. While no
+// requests wait, the observed rate reflects the demand and not the capacity, so
+// the earlier estimate is kept.
 type capacity struct {
 	drain rate
-	// known is the rate per millisecond at which a line would drain.
-	known float64
-	at    wasabiridge.Millis
+	// estimate is the estimated drain rate per millisecond.
+	estimate float64
+	at       wasabiridge.Millis
 }
 
-// review takes the present rate into account. While requests wait, what was
-// known gives way to it.
+// review updates the estimate with the observed rate. While requests wait, the
+// estimate follows the observed rate quickly; otherwise it falls slowly.
 func (c *capacity) review(now wasabiridge.Millis, waiting bool) {
 	seen := c.drain.perMilli(now)
 	decay := idleDecay
-	if waiting || seen > c.known {
+	if waiting || seen > c.estimate {
 		decay = rateDecay
 	}
-	c.known = seen + (c.known-seen)*math.Exp(-float64(now-c.at)/float64(decay))
+	c.estimate = seen + (c.estimate-seen)*math.Exp(-float64(now-c.at)/float64(decay))
 	c.at = now
 }
--- a/internal/wasabilimit/deadline.go
+++ b/internal/wasabilimit/deadline.go
@@ -6,7 +6,7 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// deadlines is a heap of items by deadline.
+// deadlines is a heap of items, ordered by deadline.
 type deadlines []*item
 
 func (d *deadlines) push(it *item) {
@@ -15,8 +15,8 @@
 	}
 }
 
-// due takes an item out that is queued and past its deadline. Items that left
-// the queue are dropped on the way.
+// due removes and returns a queued item whose deadline has passed, or returns
+// nil. It also discards items that are no longer queued.
 func (d *deadlines) due(now wasabiridge.Millis) *item {
 	for len(*d) > 0 {
 		it := (*d)[0]
--- a/internal/wasabilimit/limit.go
+++ b/internal/wasabilimit/limit.go
@@ -1,24 +1,23 @@
 // Package wasabilimit decides when requests may be sent, in which order they
-// leave the queue, and which are turned down early.
+// leave the queue, and which are rejected.
 //
-// # Ways
+// # Admission
 //
-// Each backend server has a learned limit on the requests inside it, so that
-// what has to wait waits here, where shares and priorities count, and not
-// inside the server. A request that finds room goes at once. Otherwise it is
-// queued: priorities, and within a priority accounts, take turns by weighted
-// fair queueing over the tokens that their requests are expected to cost.
-// Each level of priority has four times the share of the one below, so that
-// none starves.
+// Each backend server has an adaptive limit on the requests that it holds, so
+// that requests wait in this process, where account shares and priorities
+// apply, and not inside the server. A request is admitted at once if there is
+// room. Otherwise it is queued: weighted fair queueing applies between
+// priorities and, within a priority, between accounts, over the expected cost
+// of the requests in tokens. Each priority has four times the share of the next
+// lower one, so that no priority starves.
 //
-// A request is refused at once, as not run, when its account's queue would
-// not drain within a part of the request's deadline. The refusal tells when
-// the queue is expected to be short enough.
+// A request is rejected as not run if its expected wait exceeds a share of its
+// deadline. The rejection carries the time after which the queue is expected to
+// be short enough.
 //
-// An account that asks for far more than its share gets no more than that as
-// soon as requests wait inside the servers, so that others do not wait longer
-// for its sake. Retries draw on a
-// budget that is earned by first attempts.
+// An account whose demand is far above its share is held to its share as soon
+// as requests wait inside the servers, so that it does not lengthen the waits
+// of other accounts. Retries are paid from a budget that first attempts fill.
 //
 // # Usage
 //
@@ -29,14 +28,14 @@
 //		// Place it, then call Sent.
 //	}
 //
-// A Limiter is deterministic and not safe for concurrent use.
+// A Limiter is deterministic. It is not safe for concurrent use.
 package wasabilimit
 
 import (
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Defaults of Options and of settings of rules.
+// Defaults of Options and of rule settings.
 const (
 	defaultQueueLimit    = 256
 	defaultDeadline      = 30 * wasabiridge.Second
@@ -49,26 +48,27 @@
 	defaultRetryBurst    = 10
 )
 
-// Options sets up a Limiter. The zero value of each field means its default.
+// Options configures a Limiter. The zero value of each field means its default.
 type Options struct {
-	// Instances is how many routers share the backend servers, until
-	// InstancesCounted says otherwise. Zero means 1.
+	// Instances is the number of instances that share the backend servers,
+	// until an InstancesCounted event changes it. Zero means 1.
 	Instances int
-	// TargetWaiting is how many requests may wait inside a backend server.
+	// TargetWaiting is the number of requests that may wait inside a backend
+	// server.
 	TargetWaiting int
-	// Overcommit is how many requests beyond its limit a server may get, for
-	// the sake of what it has cached.
+	// Overcommit is the number of requests beyond its limit that a server may
+	// receive, to make use of its cache.
 	Overcommit float64
-	// WaitShare is the part of a request's deadline that it may be expected
-	// to wait.
+	// WaitShare is the maximum expected wait of a request, as a share of the
+	// time until its deadline.
 	WaitShare float64
-	// Quiet and Reserve say when an account above its share may have more:
-	// while fewer than Quiet requests wait inside a server on average, and at
-	// least the part Reserve of all limits is free.
+	// Quiet and Reserve are the conditions under which an account may exceed
+	// its share: fewer than Quiet requests wait inside a server on average, and
+	// at least the share Reserve of the sum of all limits is free.
 	Quiet   float64
 	Reserve float64
-	// RetryShare is how many retries each first attempt earns; RetryBurst is
-	// how many may be saved up.
+	// RetryShare is the number of retries that each first attempt adds to the
+	// budget. RetryBurst is the maximum budget.
 	RetryShare float64
 	RetryBurst float64
 }
@@ -98,33 +98,36 @@
 	pools    map[wasabiridge.PoolID]*pool
 	shares   map[wasabiridge.ClientAccountID]float64
 	servers  map[wasabiridge.BackendServerID]*server
-	attempts map[wasabiridge.AttemptID]sending
-	// open holds requests that are queued, or released and not sent yet.
+	attempts map[wasabiridge.AttemptID]sentAttempt
+	// open holds the requests that are queued, or released and not yet sent.
 	open   map[wasabiridge.RequestID]*item
 	costs  costs
 	budget budget
 	queued map[wasabiridge.RuleID]int
-	// late is ordered by deadline. Items that left the queue stay in it until
-	// they come to the top.
-	late deadlines
-	// hopeless were found in the last review.
-	hopeless []*item
-	// order lists the pools by name, so that no iteration over a map decides.
+	// byDeadline is ordered by deadline. Items that left the queue stay in it
+	// until they reach the top.
+	byDeadline deadlines
+	// predictedLate are the requests that the last review predicted to miss
+	// their deadlines.
+	predictedLate []*item
+	// order lists the pools by name, so that decisions do not depend on map
+	// iteration order.
 	order    []*pool
-	turn     int
+	nextPool int
 	reviewed wasabiridge.Millis
-	// reviewedAccounts is when accounts were last compared with their shares.
+	// reviewedAccounts is when the demand of accounts was last compared with
+	// their shares.
 	reviewedAccounts wasabiridge.Millis
 }
 
 var _ wasabiridge.Limiter = (*Limiter)(nil)
 
-type sending struct {
+type sentAttempt struct {
 	backend wasabiridge.BackendServerID
 	request wasabiridge.Request
 }
 
-// New returns a Limiter that knows no pools yet.
+// New returns a Limiter without pools.
 func New(o Options) *Limiter {
 	o = o.withDefaults()
 	return &Limiter{
@@ -132,7 +135,7 @@
 		pools:    make(map[wasabiridge.PoolID]*pool),
 		shares:   make(map[wasabiridge.ClientAccountID]float64),
 		servers:  make(map[wasabiridge.BackendServerID]*server),
-		attempts: make(map[wasabiridge.AttemptID]sending),
+		attempts: make(map[wasabiridge.AttemptID]sentAttempt),
 		open:     make(map[wasabiridge.RequestID]*item),
 		queued:   make(map[wasabiridge.RuleID]int),
 		costs:    newCosts(),
@@ -140,7 +143,7 @@
 	}
 }
 
-// setInstances takes how many routers share the backend servers now.
+// setInstances sets the number of instances that share the backend servers.
 func (l *Limiter) setInstances(n int) {
 	l.options.Instances = max(1, n)
 	for _, p := range l.order {
@@ -148,17 +151,18 @@
 	}
 }
 
-// Offer admits a request that finds room, queues one that is worth its wait,
-// and rejects the rest.
+// Offer admits a request if there is room, queues it if its expected wait is
+// acceptable, and otherwise rejects it.
 func (l *Limiter) Offer(now wasabiridge.Millis, r wasabiridge.Request) wasabiridge.Admission {
 	p, ok := l.pools[r.Action.Pool]
 	if !ok || !p.serving() {
-		// Without a server to wait for, the caller's answer must not wait.
+		// Without a server to wait for, the request is admitted so that its
+		// caller is answered at once.
 		return wasabiridge.Admission{Verdict: wasabiridge.Admitted}
 	}
 	it := &item{request: r, cost: l.costs.expect(r), pool: p, account: p.account(r.Account, l.shares[r.Account])}
-	it.account.asked.add(now, it.cost)
-	if p.mayRelease(now, it.account) && p.turn(now) == nil {
+	it.account.demand.add(now, it.cost)
+	if p.mayRelease(now, it.account) && p.nextItem(now) == nil {
 		l.release(now, it)
 		return wasabiridge.Admission{Verdict: wasabiridge.Admitted}
 	}
@@ -166,21 +170,21 @@
 	if limit == 0 {
 		limit = defaultQueueLimit
 	}
-	wait := p.line.wait(now, it, p.capacity.known)
-	worth := l.worth(now, r)
-	if wait > worth || l.queued[r.Rule] >= limit {
+	wait := p.queue.wait(now, it, p.capacity.estimate)
+	maxWait := l.maxWait(now, r)
+	if wait > maxWait || l.queued[r.Rule] >= limit {
 		return wasabiridge.Admission{
 			Verdict:    wasabiridge.Rejected,
 			Reason:     wasabiridge.RefusedOverload,
-			RetryAfter: comeBack(wait, worth),
+			RetryAfter: retryAfter(wait, maxWait),
 		}
 	}
 	l.enqueue(now, it)
 	return wasabiridge.Admission{Verdict: wasabiridge.Queued}
 }
 
-// worth is how long a request may be expected to wait.
-func (l *Limiter) worth(now wasabiridge.Millis, r wasabiridge.Request) wasabiridge.Millis {
+// maxWait returns the maximum expected wait of a request.
+func (l *Limiter) maxWait(now wasabiridge.Millis, r wasabiridge.Request) wasabiridge.Millis {
 	left := r.Deadline - now
 	if r.Deadline == 0 {
 		left = defaultDeadline
@@ -188,26 +192,27 @@
 	return wasabiridge.Millis(l.options.WaitShare * float64(left))
 }
 
-// comeBack is when a queue that takes wait to drain is short enough again.
-func comeBack(wait, worth wasabiridge.Millis) wasabiridge.Millis {
-	return min(max(wasabiridge.Second, wait-worth/2), wasabiridge.Minute)
+// retryAfter returns when a queue with the given wait is expected to be short
+// enough.
+func retryAfter(wait, maxWait wasabiridge.Millis) wasabiridge.Millis {
+	return min(max(wasabiridge.Second, wait-maxWait/2), wasabiridge.Minute)
 }
 
 func (l *Limiter) enqueue(now wasabiridge.Millis, it *item) {
 	it.queued = true
 	l.open[it.request.ID] = it
 	l.queued[it.request.Rule]++
-	l.late.push(it)
-	it.pool.line.enqueue(now, it)
+	l.byDeadline.push(it)
+	it.pool.queue.enqueue(now, it)
 }
 
 func (l *Limiter) dequeue(it *item) {
 	it.queued = false
 	l.queued[it.request.Rule]--
-	it.pool.line.remove(it)
+	it.pool.queue.remove(it)
 }
 
-// release lets a request go. It counts against the room of its pool until it
+// release releases a request. It counts against the room of its pool until it
 // is sent or withdrawn.
 func (l *Limiter) release(now wasabiridge.Millis, it *item) {
 	it.pool.released++
@@ -215,27 +220,27 @@
 	l.open[it.request.ID] = it
 }
 
-// Next returns the queued request whose turn it is in a pool with room. Pools
-// take turns.
+// Next returns the next queued request of a pool with room. Pools are served
+// round-robin.
 func (l *Limiter) Next(now wasabiridge.Millis) (wasabiridge.Request, bool) {
 	for range l.order {
-		p := l.order[l.turn%len(l.order)]
-		if it := p.turn(now); it != nil {
+		p := l.order[l.nextPool%len(l.order)]
+		if it := p.nextItem(now); it != nil {
 			l.dequeue(it)
 			l.release(now, it)
 			return it.request, true
 		}
-		l.turn++
+		l.nextPool++
 	}
 	return wasabiridge.Request{}, false
 }
 
-// Expired returns a queued request whose deadline passed, or whose turn will
-// not come before it.
+// Expired removes and returns a queued request whose deadline has passed or is
+// predicted to be missed.
 func (l *Limiter) Expired(now wasabiridge.Millis) (wasabiridge.Request, bool) {
-	it := l.late.due(now)
-	for it == nil && len(l.hopeless) > 0 {
-		it, l.hopeless = l.hopeless[0], l.hopeless[1:]
+	it := l.byDeadline.due(now)
+	for it == nil && len(l.predictedLate) > 0 {
+		it, l.predictedLate = l.predictedLate[0], l.predictedLate[1:]
 		if !it.queued {
 			it = nil
 		}
@@ -248,7 +253,7 @@
 	return it.request, true
 }
 
-// Withdraw forgets a request that is queued, or released and not sent.
+// Withdraw removes a request that is queued, or released and not yet sent.
 func (l *Limiter) Withdraw(id wasabiridge.RequestID) {
 	it, ok := l.open[id]
 	if !ok {
@@ -262,15 +267,15 @@
 	it.pool.released--
 }
 
-// HasRoom reports whether a backend server may get one more attempt. A server
-// that is not known yet has room.
+// HasRoom reports whether a backend server may receive one more attempt. An
+// unknown server has room.
 func (l *Limiter) HasRoom(_ wasabiridge.Millis, b wasabiridge.BackendServer) bool {
 	s, ok := l.servers[b.ID]
 	return !ok || s.hasRoom()
 }
 
-// Sent counts an attempt against its backend server, and a first attempt
-// towards the retry budget.
+// Sent counts an attempt against the limit of its backend server. A first
+// attempt also adds to the retry budget.
 func (l *Limiter) Sent(now wasabiridge.Millis, r wasabiridge.Request, a wasabiridge.AttemptID, b wasabiridge.BackendServerID) {
 	if it, ok := l.open[r.ID]; ok && !it.queued {
 		delete(l.open, r.ID)
@@ -281,17 +286,17 @@
 	if !ok {
 		return
 	}
-	l.attempts[a] = sending{backend: b, request: r}
+	l.attempts[a] = sentAttempt{backend: b, request: r}
 	s.sent(now)
 }
 
-// MayRetry spends a retry of the budget when there is one.
+// MayRetry reports whether the budget allows a retry, and deducts it.
 func (l *Limiter) MayRetry(_ wasabiridge.Millis, r wasabiridge.Request) bool {
 	return l.budget.spend(r.ID)
 }
 
-// Limit returns the learned limit of a backend server, for status pages. It
-// is 0 for an unknown server.
+// Limit returns the current limit of a backend server, for status pages. It is
+// 0 for an unknown server.
 func (l *Limiter) Limit(b wasabiridge.BackendServerID) int {
 	if s, ok := l.servers[b]; ok {
 		return int(s.limit)
@@ -299,11 +304,11 @@
 	return 0
 }
 
-// Queued returns how many requests wait.
+// Queued returns the number of queued requests.
 func (l *Limiter) Queued() int {
 	sum := 0
 	for _, p := range l.order {
-		sum += p.line.length
+		sum += p.queue.length
 	}
 	return sum
 }
--- a/internal/wasabilimit/limit_test.go
+++ b/internal/wasabilimit/limit_test.go
@@ -20,20 +20,20 @@
 	wasabitest.Run(t, "limit")
 }
 
-// bench drives one Limiter in front of one server that runs one request after
-// another.
-type bench struct {
-	limiter *wasabilimit.Limiter
-	backend wasabiridge.BackendServer
-	now     wasabiridge.Millis
-	count   int
-	inside  []wasabiridge.Request
-	served  map[string]int
-	waits   map[string]wasabiridge.Millis
+// harness drives one Limiter for one server that finishes its requests in
+// order.
+type harness struct {
+	limiter  *wasabilimit.Limiter
+	backend  wasabiridge.BackendServer
+	now      wasabiridge.Millis
+	count    int
+	inFlight []wasabiridge.Request
+	served   map[string]int
+	waits    map[string]wasabiridge.Millis
 }
 
-func newBench(o wasabilimit.Options, slots int, shares map[wasabiridge.ClientAccountID]float64) *bench {
-	b := &bench{
+func newHarness(o wasabilimit.Options, slots int, shares map[wasabiridge.ClientAccountID]float64) *harness {
+	b := &harness{
 		limiter: wasabilimit.New(o),
 		backend: wasabiridge.BackendServer{ID: "b", Slots: slots},
 		served:  make(map[string]int), waits: make(map[string]wasabiridge.Millis),
@@ -46,7 +46,7 @@
 	return b
 }
 
-func (b *bench) request(account wasabiridge.ClientAccountID, p wasabiridge.Priority) wasabiridge.Request {
+func (b *harness) request(account wasabiridge.ClientAccountID, p wasabiridge.Priority) wasabiridge.Request {
 	b.count++
 	return wasabiridge.Request{
 		ID: wasabiridge.RequestID(fmt.Sprint(b.count)), Account: account, Rule: "r", MaxTokens: 100,
@@ -55,7 +55,7 @@
 	}
 }
 
-func (b *bench) offer(r wasabiridge.Request) wasabiridge.Admission {
+func (b *harness) offer(r wasabiridge.Request) wasabiridge.Admission {
 	a := b.limiter.Offer(b.now, r)
 	if a.Verdict == wasabiridge.Admitted {
 		b.send(r)
@@ -63,8 +63,8 @@
 	return a
 }
 
-func (b *bench) send(r wasabiridge.Request) {
-	b.inside = append(b.inside, r)
+func (b *harness) send(r wasabiridge.Request) {
+	b.inFlight = append(b.inFlight, r)
 	b.limiter.Sent(b.now, r, attemptOf(r), b.backend.ID)
 	b.waits[name(r)] = max(b.waits[name(r)], b.now-r.Arrived)
 }
@@ -77,12 +77,12 @@
 
 func name(r wasabiridge.Request) string { return fmt.Sprintf("%s/%d", r.Account, r.Action.Priority) }
 
-// step finishes the oldest request after some time and lets the next go.
-func (b *bench) step(after wasabiridge.Millis) {
+// step advances the time, finishes the oldest request and sends the next ones.
+func (b *harness) step(after wasabiridge.Millis) {
 	b.now += after
-	if len(b.inside) > 0 {
-		r := b.inside[0]
-		b.inside = b.inside[1:]
+	if len(b.inFlight) > 0 {
+		r := b.inFlight[0]
+		b.inFlight = b.inFlight[1:]
 		b.served[name(r)]++
 		b.limiter.Observe(b.now, wasabiridge.AttemptEnded{
 			Request: r.ID, Attempt: attemptOf(r), Backend: "b", Usage: wasabiridge.Usage{PromptTokens: 1},
@@ -94,17 +94,17 @@
 	}
 }
 
-func (b *bench) report(running, waiting int) {
+func (b *harness) report(running, waiting int) {
 	b.limiter.Observe(b.now, wasabiridge.LoadReported{Report: wasabiridge.LoadReport{
 		Backend: "b", Incarnation: 1, Taken: b.now, Running: running, Waiting: waiting,
 	}})
 }
 
 var _ = Describe("Limiter", func() {
-	// A large account floods the router. Callers of small accounts would see
-	// their requests wait behind the flood, if the queue went by arrival.
+	// A large account floods the router. If the queue were served in order of
+	// arrival, the requests of small accounts would wait behind the flood.
 	It("serves waiting accounts in proportion to their shares", func() {
-		b := newBench(wasabilimit.Options{}, 1, map[wasabiridge.ClientAccountID]float64{"large": 3, "small": 1})
+		b := newHarness(wasabilimit.Options{}, 1, map[wasabiridge.ClientAccountID]float64{"large": 3, "small": 1})
 		for range 120 {
 			b.offer(b.request("large", 0))
 		}
@@ -117,10 +117,10 @@
 		Expect(b.served["large/0"]).To(BeNumerically("~", 3*b.served["small/0"], 6))
 	})
 
-	// Urgent work never stops coming. Without a floor, callers of the lower
-	// priority would wait until their deadline.
+	// Requests of the higher priority never stop arriving. Without a minimum
+	// share, callers of the lower priority would wait until their deadline.
 	It("prefers the higher priority without starving the lower one", func() {
-		b := newBench(wasabilimit.Options{}, 1, nil)
+		b := newHarness(wasabilimit.Options{}, 1, nil)
 		for range 40 {
 			b.offer(b.request("a", 0))
 			b.offer(b.request("a", 1))
@@ -133,10 +133,10 @@
 		Expect(b.served["a/0"]).To(BeNumerically(">", 4))
 	})
 
-	// The queue is longer than a caller would wait. The refusal comes at
-	// once, and says when the queue will have drained far enough.
-	It("refuses at once what would wait too long, with a time to come back", func() {
-		b := newBench(wasabilimit.Options{}, 1, nil)
+	// The queue is longer than the maximum expected wait. The rejection must be
+	// immediate and carry the time until the queue is short enough.
+	It("rejects at once, with a retry time, requests that would wait too long", func() {
+		b := newHarness(wasabilimit.Options{}, 1, nil)
 		for range 20 {
 			b.offer(b.request("a", 0))
 			b.step(500)
@@ -147,14 +147,14 @@
 		}
 		Expect(last.Verdict).To(Equal(wasabiridge.Rejected))
 		Expect(last.Reason).To(Equal(wasabiridge.RefusedOverload))
-		// The part 0.3 of 30 s drains 18 requests of 500 ms each. The rate is
-		// an estimate from few requests, hence the room.
+		// The share 0.3 of 30 s drains 18 requests of 500 ms each. The drain
+		// rate is estimated from few requests, hence the tolerance.
 		Expect(b.limiter.Queued()).To(BeNumerically("~", 18, 6))
 		Expect(last.RetryAfter).To(BeNumerically("~", 4500, 2500))
 	})
 
 	It("bounds the queue of a rule", func() {
-		b := newBench(wasabilimit.Options{}, 1, nil)
+		b := newHarness(wasabilimit.Options{}, 1, nil)
 		verdicts := map[wasabiridge.Verdict]int{}
 		for range 10 {
 			r := b.request("a", 0)
@@ -166,8 +166,8 @@
 		}))
 	})
 
-	It("hands a queued request back when its deadline passes, once", func() {
-		b := newBench(wasabilimit.Options{}, 1, nil)
+	It("returns a queued request once when its deadline passes", func() {
+		b := newHarness(wasabilimit.Options{}, 1, nil)
 		b.offer(b.request("a", 0))
 		late := b.request("a", 0)
 		b.offer(late)
@@ -182,8 +182,8 @@
 	})
 
 	Describe("the limit of a server", func() {
-		It("rises while none wait inside, and falls when too many do", func() {
-			b := newBench(wasabilimit.Options{}, 32, nil)
+		It("rises while no requests wait inside, and falls when too many do", func() {
+			b := newHarness(wasabilimit.Options{}, 32, nil)
 			Expect(b.limiter.Limit("b")).To(Equal(8))
 			for range 30 {
 				b.now += 250
@@ -197,9 +197,10 @@
 			Expect(b.limiter.Limit("b")).To(BeNumerically("~", 15, 3))
 		})
 
-		// A server takes fewer requests than it states, and refuses the rest.
+		// A server accepts fewer requests than its declared slots, and refuses
+		// the rest.
 		It("falls when the server refuses", func() {
-			b := newBench(wasabilimit.Options{}, 32, nil)
+			b := newHarness(wasabilimit.Options{}, 32, nil)
 			r := b.request("a", 0)
 			b.offer(r)
 			b.limiter.Observe(b.now, wasabiridge.AttemptEnded{
@@ -208,41 +209,41 @@
 			Expect(b.limiter.Limit("b")).To(BeNumerically("<", 4))
 		})
 
-		// An engine dies and comes back with a cold cache. With its old limit,
-		// everything that waits would rush out at once, and callers would wait
-		// inside engines instead, behind each other's whole prompts.
-		It("starts small again when the server comes back cold", func() {
-			b := newBench(wasabilimit.Options{}, 32, nil)
+		// An engine fails and restarts with a cold cache. With its previous
+		// limit, the whole queue would be sent at once, and callers would wait
+		// inside the engine behind each other's complete prompts.
+		It("starts low again when the server restarts with a cold cache", func() {
+			b := newHarness(wasabilimit.Options{}, 32, nil)
 			for range 30 {
 				b.now += 250
 				b.report(b.limiter.Limit("b"), 0)
 			}
 			b.limiter.Observe(b.now, wasabiridge.BackendLost{Backend: "b"})
 			b.report(0, 0)
-			Expect(b.limiter.Limit("b")).To(BeNumerically(">=", 32), "a late report of the life before")
+			Expect(b.limiter.Limit("b")).To(BeNumerically(">=", 32), "a late report of the previous incarnation")
 			b.limiter.Observe(b.now, wasabiridge.LoadReported{Report: wasabiridge.LoadReport{
 				Backend: "b", Incarnation: 2, Taken: b.now,
 			}})
 			Expect(b.limiter.Limit("b")).To(Equal(8))
 		})
 
-		// Nine routers start where one was. Each takes no more than its part, as
-		// long as it does not know what the others send.
-		It("is shared with the other instances", func() {
-			b := newBench(wasabilimit.Options{}, 72, nil)
+		// Nine instances start where one ran before. Each uses no more than its
+		// share as long as it does not know what the others send.
+		It("is divided between the instances", func() {
+			b := newHarness(wasabilimit.Options{}, 72, nil)
 			b.limiter.Observe(b.now, wasabiridge.InstancesCounted{Count: 9})
 			for range 40 {
 				b.offer(b.request("a", 0))
 			}
-			Expect(b.inside).To(HaveLen(2))
+			Expect(b.inFlight).To(HaveLen(2))
 		})
 
-		It("is learned when the server states no slots", func() {
-			b := newBench(wasabilimit.Options{}, 0, nil)
+		It("adapts when the server has no declared slots", func() {
+			b := newHarness(wasabilimit.Options{}, 0, nil)
 			before := b.limiter.Limit("b")
 			for range 200 {
 				b.offer(b.request("a", 0))
-				if len(b.inside) > b.limiter.Limit("b")-1 {
+				if len(b.inFlight) > b.limiter.Limit("b")-1 {
 					b.step(10)
 				}
 			}
@@ -250,10 +251,10 @@
 		})
 	})
 
-	// Every attempt fails. A router without a budget would send each request
-	// several times, to servers that are in trouble already.
+	// Every attempt fails. Without a budget, the router would send each request
+	// several times to servers that are already failing.
 	It("allows retries for a tenth of the first attempts", func() {
-		b := newBench(wasabilimit.Options{RetryBurst: 2}, 5000, nil)
+		b := newHarness(wasabilimit.Options{RetryBurst: 2}, 5000, nil)
 		allowed := 0
 		for range 1000 {
 			r := b.request("a", 0)
@@ -265,18 +266,18 @@
 		Expect(allowed).To(BeNumerically("~", 101, 3))
 	})
 
-	It("admits when no server serves, so that the caller hears at once", func() {
-		b := newBench(wasabilimit.Options{}, 1, nil)
+	It("admits requests when no server is available, so that their callers are answered at once", func() {
+		b := newHarness(wasabilimit.Options{}, 1, nil)
 		b.offer(b.request("a", 0))
 		b.limiter.Observe(b.now, wasabiridge.BackendLost{Backend: "b"})
 		Expect(b.offer(b.request("a", 0)).Verdict).To(Equal(wasabiridge.Admitted))
 	})
 
-	// Requests wait for a server that takes two a second. Then it becomes
-	// ten times as slow. Those that can no longer make it would hear so only at
-	// their deadline.
-	It("gives up at once what cannot make its deadline any more", func() {
-		b := newBench(wasabilimit.Options{}, 1, nil)
+	// Requests wait for a server that serves two a second. Then it becomes ten
+	// times slower. Requests that can no longer meet their deadlines would
+	// otherwise be answered only at their deadlines.
+	It("expires at once requests that can no longer meet their deadlines", func() {
+		b := newHarness(wasabilimit.Options{}, 1, nil)
 		for range 12 {
 			b.offer(b.request("a", 0))
 			b.step(500)
@@ -284,21 +285,21 @@
 		for range 12 {
 			b.offer(b.request("a", 0))
 		}
-		gaveUp := 0
+		expired := 0
 		for start := b.now; b.now < start+12*wasabiridge.Second; {
 			b.step(5 * wasabiridge.Second)
 			for _, ok := b.limiter.Expired(b.now); ok; _, ok = b.limiter.Expired(b.now) {
-				gaveUp++
+				expired++
 			}
 		}
-		// Of 11 that waited, 3 went in 15 s; in the 15 s that are left 3 more
-		// would, and 6 if the rate is doubted by a factor of 2.
-		Expect(gaveUp).To(BeNumerically(">=", 2))
+		// Of the 11 waiting requests, 3 are sent within 15 s. In the remaining
+		// 15 s, 3 more would be sent, or 6 with a drain rate margin of 2.
+		Expect(expired).To(BeNumerically(">=", 2))
 		Expect(b.limiter.Queued()).To(BeNumerically(">", 0))
 	})
 
-	It("lets all go that wait when the last server is lost", func() {
-		b := newBench(wasabilimit.Options{}, 1, nil)
+	It("releases all queued requests when the last server is lost", func() {
+		b := newHarness(wasabilimit.Options{}, 1, nil)
 		for range 3 {
 			b.offer(b.request("a", 0))
 		}
@@ -309,9 +310,9 @@
 		Expect(b.limiter.Queued()).To(BeZero())
 	})
 
-	It("loses no request and forgets all that are done, whatever the order of events", func() {
+	It("loses no request and drops all finished ones, for any order of events", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			b := newBench(wasabilimit.Options{Instances: 2}, 2, map[wasabiridge.ClientAccountID]float64{"a": 1, "b": 5})
+			b := newHarness(wasabilimit.Options{Instances: 2}, 2, map[wasabiridge.ClientAccountID]float64{"a": 1, "b": 5})
 			state := map[wasabiridge.RequestID]string{}
 			leave := func(id wasabiridge.RequestID, as string) {
 				if state[id] != "queued" {
@@ -329,9 +330,9 @@
 						state[r.ID] = "queued"
 					}
 				case 3:
-					if len(b.inside) > 0 {
-						r := b.inside[0]
-						b.inside = b.inside[1:]
+					if len(b.inFlight) > 0 {
+						r := b.inFlight[0]
+						b.inFlight = b.inFlight[1:]
 						b.limiter.Observe(b.now, wasabiridge.AttemptEnded{Request: r.ID, Attempt: attemptOf(r), Backend: "b"})
 					}
 				case 4:
@@ -357,17 +358,18 @@
 					}
 				}
 				if queued != b.limiter.Queued() {
-					t.Fatalf("%d requests wait, the limiter says %d", queued, b.limiter.Queued())
+					t.Fatalf("%d requests are queued, the limiter reports %d", queued, b.limiter.Queued())
 				}
 			}
 		})
 	})
 })
 
-// A router restarts while an engine without stated slots runs a hundred
-// requests for the other routers. Its callers waited for half a minute, because
-// the limit began at eight and grew by a tenth with each load report.
-func TestRestartTakesUpFromWhatAServerRuns(t *testing.T) {
+// Guards against an instance that starts with a low limit for a busy server: it
+// restarts while an engine without declared slots runs a hundred requests of
+// the other instances. Its callers waited for half a minute, because the limit
+// began at eight and grew by a tenth with each load report.
+func TestRestartStartsFromReportedLoad(t *testing.T) {
 	RegisterTestingT(t)
 	limiter := wasabilimit.New(wasabilimit.Options{Instances: 9})
 	backend := wasabiridge.BackendServer{ID: "e1", Kind: wasabiridge.BackendEngine}
--- a/internal/wasabilimit/observe.go
+++ b/internal/wasabilimit/observe.go
@@ -7,14 +7,15 @@
 )
 
 const (
-	// reviewEvery is how often the load of pools is summed up.
-	reviewEvery = 250 * wasabiridge.Millis(1)
-	// reviewAccountsEvery is how often the demand of accounts is compared with
-	// their shares.
-	reviewAccountsEvery = wasabiridge.Second
+	// reviewInterval is how often the load of pools is summed up.
+	reviewInterval = 250 * wasabiridge.Millis(1)
+	// accountReviewInterval is how often the demand of accounts is compared
+	// with their shares.
+	accountReviewInterval = wasabiridge.Second
 )
 
-// Observe learns from every event of the decider.
+// Observe applies an event. It must be called for every event that the decider
+// receives.
 func (l *Limiter) Observe(now wasabiridge.Millis, e wasabiridge.Event) {
 	switch e := e.(type) {
 	case wasabiridge.ConfigAdopted:
@@ -27,11 +28,11 @@
 		l.ended(now, e)
 	case wasabiridge.BackendLost:
 		if s, ok := l.servers[e.Backend]; ok {
-			s.lose()
+			s.markLost()
 		}
 	case wasabiridge.BackendLeaving:
 		if s, ok := l.servers[e.Backend]; ok {
-			s.leave()
+			s.markLeaving()
 		}
 	case wasabiridge.InstancesCounted:
 		l.setInstances(e.Count)
@@ -40,8 +41,8 @@
 	}
 }
 
-// adopt takes the pools and shares of a configuration. What was learned of
-// servers that stay is kept.
+// adopt applies the pools and shares of a configuration. The state of servers
+// that remain is kept.
 func (l *Limiter) adopt(c wasabiridge.Config) {
 	clear(l.shares)
 	for _, a := range c.Accounts {
@@ -88,21 +89,21 @@
 }
 
 func (l *Limiter) review(now wasabiridge.Millis) {
-	if now < l.reviewed+reviewEvery {
+	if now < l.reviewed+reviewInterval {
 		return
 	}
 	l.reviewed = now
 	for _, p := range l.order {
 		p.review(now)
 	}
-	if now < l.reviewedAccounts+reviewAccountsEvery {
+	if now < l.reviewedAccounts+accountReviewInterval {
 		return
 	}
 	l.reviewedAccounts = now
-	l.hopeless = nil
+	l.predictedLate = nil
 	for _, p := range l.order {
-		p.reviewAccounts(now, l.costs.typical)
-		l.hopeless = append(l.hopeless, p.line.hopeless(now, p.capacity.known)...)
+		p.reviewAccounts(now, l.costs.meanCost)
+		l.predictedLate = append(l.predictedLate, p.queue.predictedLate(now, p.capacity.estimate)...)
 	}
 	l.costs.prune()
 }
--- a/internal/wasabilimit/pool.go
+++ b/internal/wasabilimit/pool.go
@@ -7,26 +7,27 @@
 )
 
 const (
-	// useDecay is the time in which remembered use falls to about a third.
+	// useDecay is the time constant of the use and demand of accounts.
 	useDecay = 20 * wasabiridge.Second
-	// overShare is how far above its fair share the demand of an account must
-	// be for it to be held to that share.
-	overShare = 4
-	// overRequests is how many requests it must be above on top, so that a
-	// few requests of a small account do not count as excess.
-	overRequests = 6
-	// extraReleases is how many requests accounts above their share may get
-	// beyond it between two reviews. Reports come about as often, and what
-	// goes out in between is not seen by other instances.
-	extraReleases = 1
-	// idleUse is the remembered demand below which an account is forgotten.
-	idleUse = 1.0
-	// busySmoothing is the weight of the newest reports in what is believed
-	// of how busy a pool is.
-	busySmoothing = 0.3
+	// overShareFactor is how many times its fair use the demand of an account
+	// must be for the account to be held to its share.
+	overShareFactor = 4
+	// overShareRequests is the number of requests by which it must be higher in
+	// addition, so that a few requests of a small account do not count as
+	// excess.
+	overShareRequests = 6
+	// maxExtraReleases is the number of requests that accounts above their
+	// share may send beyond it between two reviews. Load reports arrive about
+	// as often, and other instances do not see the requests sent in between.
+	maxExtraReleases = 1
+	// idleDemand is the demand below which an account is dropped.
+	idleDemand = 1.0
+	// waitingSmoothing is the weight of the latest reports in the average of
+	// waiting requests.
+	waitingSmoothing = 0.3
 )
 
-// usage is a sum that decays over time. The zero value is nothing.
+// usage is an exponentially decaying sum. The zero value is zero.
 type usage struct {
 	sum float64
 	at  wasabiridge.Millis
@@ -41,47 +42,48 @@
 	u.at = now
 }
 
-// account is what one client account asks of one pool and uses of it.
+// account is the demand and use of one client account at one pool.
 type account struct {
-	id    wasabiridge.ClientAccountID
-	share float64
-	asked usage
-	used  usage
-	// over says that the account asks for far more than its share; fair is
-	// the use that the share comes to.
-	over bool
-	fair float64
-	// open counts requests that are queued.
+	id     wasabiridge.ClientAccountID
+	share  float64
+	demand usage
+	used   usage
+	// exceedsShare is set if the account's demand is far above its share.
+	// fairUse is the use that corresponds to its share.
+	exceedsShare bool
+	fairUse      float64
+	// open counts the queued requests.
 	open int
 }
 
-// sum adds up servers that serve.
-type sum struct {
+// totals sums up the servers of a pool that accept requests.
+type totals struct {
 	limit float64
 	room  float64
 	own   int
 	count int
-	// waiting counts requests that wait inside, by the last reports.
+	// waiting counts the requests that wait inside, from the last reports.
 	waiting int
 }
 
-// pool shares the room of its servers out.
+// pool distributes the room of its servers among the accounts.
 type pool struct {
 	id       wasabiridge.PoolID
 	options  *Options
 	servers  []*server
 	accounts map[wasabiridge.ClientAccountID]*account
-	// visited lists the accounts in the order in which they came.
-	visited  []*account
-	line     line
-	released int
-	total    sum
-	capacity capacity
-	used     usage
-	// busy is how many requests wait inside a server, on average.
-	busy float64
-	// extra counts what accounts above their share got since the last review.
-	extra int
+	// accountOrder lists the accounts in order of arrival.
+	accountOrder []*account
+	queue        fairQueue
+	released     int
+	total        totals
+	capacity     capacity
+	used         usage
+	// meanWaiting is the average number of requests that wait inside a server.
+	meanWaiting float64
+	// extraReleased counts the requests that accounts above their share were
+	// granted since the last review.
+	extraReleased int
 }
 
 func newPool(o *Options) *pool {
@@ -90,19 +92,20 @@
 
 func (p *pool) serving() bool { return p.total.count > 0 }
 
-// refresh sums the servers up anew, which also drops rounding errors.
+// refresh recomputes the sums over the servers, which also removes rounding
+// errors.
 func (p *pool) refresh() {
-	p.total = sum{}
+	p.total = totals{}
 	for _, s := range p.servers {
-		s.counted = sum{}
+		s.counted = totals{}
 		p.changed(s)
 	}
 }
 
-// changed takes a change of one server into the sums.
+// changed updates the sums after a change of one server.
 func (p *pool) changed(s *server) {
-	now := s.sum()
-	p.total = sum{
+	now := s.totals()
+	p.total = totals{
 		limit: p.total.limit + now.limit - s.counted.limit,
 		room:  p.total.room + now.room - s.counted.room,
 		own:   p.total.own + now.own - s.counted.own,
@@ -118,7 +121,7 @@
 	if !ok {
 		a = &account{id: id}
 		p.accounts[id] = a
-		p.visited = append(p.visited, a)
+		p.accountOrder = append(p.accountOrder, a)
 	}
 	a.share = share
 	if share <= 0 {
@@ -127,68 +130,69 @@
 	return a
 }
 
-// mayRelease reports whether a request of the account may go now. An account
-// that asks for far more than its share gets no more than that, as soon as
-// more would make others wait. When no server is left, all go, so that their
-// callers hear at once or another pool takes them.
+// mayRelease reports whether a request of the account may be sent now. An
+// account far above its share is held to it as soon as more would make other
+// accounts wait. When no server is left, every request is released, so that its
+// caller is answered at once or another pool takes it.
 func (p *pool) mayRelease(now wasabiridge.Millis, a *account) bool {
 	if !p.serving() {
 		return true
 	}
 	others := max(1, float64(p.options.Instances)/2)
 	room := p.total.room - others*float64(p.released)
-	if a.over && a.used.now(now) > a.fair {
-		return p.busy < p.options.Quiet && p.extra < extraReleases && room >= p.options.Reserve*p.total.limit
+	if a.exceedsShare && a.used.now(now) > a.fairUse {
+		return p.meanWaiting < p.options.Quiet && p.extraReleased < maxExtraReleases && room >= p.options.Reserve*p.total.limit
 	}
 	return room >= 1 || float64(p.total.own+p.released) < p.total.limit/float64(p.options.Instances)
 }
 
-// turn returns the queued request that goes next, or nil when none may go.
-func (p *pool) turn(now wasabiridge.Millis) *item {
-	if p.line.length == 0 {
+// nextItem returns the queued request to release next, or nil if none may be
+// released.
+func (p *pool) nextItem(now wasabiridge.Millis) *item {
+	if p.queue.length == 0 {
 		return nil
 	}
-	return p.line.next(func(a *account) bool { return p.mayRelease(now, a) })
+	return p.queue.next(func(a *account) bool { return p.mayRelease(now, a) })
 }
 
-// charge notes the cost of a released request.
+// charge records the cost of a released request.
 func (p *pool) charge(now wasabiridge.Millis, it *item) {
-	p.line.charge(now, it)
-	if a := it.account; a.over && a.used.now(now) > a.fair {
-		p.extra++
+	p.queue.charge(now, it)
+	if a := it.account; a.exceedsShare && a.used.now(now) > a.fairUse {
+		p.extraReleased++
 	}
 	it.account.used.add(now, it.cost)
 	p.used.add(now, it.cost)
 	p.capacity.drain.add(now, it.cost)
 }
 
-// review takes new reports into account.
+// review applies the latest load reports.
 func (p *pool) review(now wasabiridge.Millis) {
-	p.extra = 0
-	p.capacity.review(now, p.line.length > 0)
+	p.extraReleased = 0
+	p.capacity.review(now, p.queue.length > 0)
 	p.refresh()
-	p.busy += busySmoothing * (float64(p.total.waiting)/float64(max(1, p.total.count)) - p.busy)
+	p.meanWaiting += waitingSmoothing * (float64(p.total.waiting)/float64(max(1, p.total.count)) - p.meanWaiting)
 }
 
-// reviewAccounts marks accounts that ask for far more than their share and
-// forgets idle ones. Accounts are visited in the order in which they came, so
-// that sums of rounded numbers repeat.
-func (p *pool) reviewAccounts(now wasabiridge.Millis, typical float64) {
-	kept, shares := p.visited[:0], 0.0
-	for _, a := range p.visited {
-		if a.asked.now(now) < idleUse && a.open == 0 {
+// reviewAccounts marks accounts whose demand is far above their share and drops
+// idle ones. Accounts are visited in order of arrival, so that sums of
+// floating-point numbers are reproducible.
+func (p *pool) reviewAccounts(now wasabiridge.Millis, meanCost float64) {
+	kept, shares := p.accountOrder[:0], 0.0
+	for _, a := range p.accountOrder {
+		if a.demand.now(now) < idleDemand && a.open == 0 {
 			delete(p.accounts, a.id)
 			continue
 		}
 		kept = append(kept, a)
 		shares += a.share
 	}
-	clear(p.visited[len(kept):])
-	p.visited = kept
+	clear(p.accountOrder[len(kept):])
+	p.accountOrder = kept
 	used := p.used.now(now)
 	for _, a := range kept {
-		a.fair = used * a.share / shares
-		a.over = a.asked.now(now) > overShare*a.fair+overRequests*typical
+		a.fairUse = used * a.share / shares
+		a.exceedsShare = a.demand.now(now) > overShareFactor*a.fairUse+overShareRequests*meanCost
 	}
-	p.line.prune(now)
+	p.queue.prune(now)
 }
