--- a/internal/wasabirollout/bench_test.go
+++ b/internal/wasabirollout/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabirollout"
 )
 
-// BenchmarkIdle reports what instances without a rollout to drive read of the
-// table in all.
+// BenchmarkIdle reports the total read rate of the rollout rows by instances
+// that drive no rollout.
 func BenchmarkIdle(b *testing.B) {
 	for _, n := range []int{9, 37, 370} {
 		b.Run(fmt.Sprintf("instances=%d", n), func(b *testing.B) {
--- a/internal/wasabirollout/doc.go
+++ b/internal/wasabirollout/doc.go
@@ -1,21 +1,23 @@
-// Package wasabirollout brings a new version of weights to the replicas of a
+// Package wasabirollout loads a new version of weights into the replicas of a
 // pool.
 //
-// A rollout is one row of the platform's table per pool. One instance, the
-// holder of the pool's lease, drives it: it reads the replicas, orders a few of
-// them to load, and reads them again. Nothing of the progress needs to be
-// kept, because every driver starts from what the replicas say of themselves.
+// A rollout is stored in one row of the platform's table per pool. The instance
+// that holds the lease of the pool drives it: it reads the state of the
+// replicas, sends load orders to a few of them, and reads their state again.
+// The progress of individual replicas is not stored, because every driver
+// starts from the state that the replicas report.
 //
 // # Limits
 //
 // At most MaxLoads replicas load at once, loads begin at least LoadInterval
-// apart, and no load begins when fewer than Pool.MinServing replicas would
-// serve meanwhile.
+// apart, and no load begins if fewer than Pool.MinServing replicas would then
+// be serving.
 //
 // # Rollback
 //
-// Versions only rise. A rollback is a rollout of the former weights under a new
-// number, which an operator publishes in the weight store first.
+// Versions never decrease. A rollback is a rollout of the former weights under
+// a new version number, which an operator has to publish in the weight store
+// first.
 //
 // # Usage
 //
--- a/internal/wasabirollout/driver.go
+++ b/internal/wasabirollout/driver.go
@@ -6,7 +6,7 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabiorder"
 )
 
-// States of a rollout.
+// States of a rollout, as stored in its row.
 const (
 	stateRunning    = "running"
 	statePaused     = "paused"
@@ -14,25 +14,26 @@
 	stateRolledBack = "rolled_back"
 )
 
-// Reasons why a rollout does not move.
+// Reasons why a rollout makes no progress, as stored in its row and shown to
+// operators.
 const (
-	blockedByPause   = "paused"
-	blockedByFloor   = "floor of serving replicas"
-	blockedByLost    = "replicas that do not answer"
-	blockedByLease   = "replicas that know a newer lease"
-	blockedByReading = "reading replicas"
+	blockedByPause       = "paused"
+	blockedByMinServing  = "floor of serving replicas"
+	blockedByUnreachable = "replicas that do not answer"
+	blockedByLease       = "replicas that know a newer lease"
+	blockedByReading     = "reading replicas"
 )
 
-// Limits bound what a rollout does to its pool. A zero field takes its
+// Limits are the limits on a rollout. The zero value of each field means its
 // default.
 type Limits struct {
-	// MaxLoads is how many replicas load at once, 2 by default: more make
-	// each load take longer.
+	// MaxLoads is the maximum number of replicas that load at once, 2 by
+	// default. With more, each load takes longer.
 	MaxLoads int
-	// LoadInterval is the pause between the beginnings of two loads, for the
-	// rate of the weight store. The default is one second.
+	// LoadInterval is the minimum time between the starts of two loads, which
+	// limits the read rate of the weight store. The default is one second.
 	LoadInterval wasabiridge.Millis
-	// Order sets the pace of orders.
+	// Order configures the timing of orders.
 	Order wasabiorder.Timing
 }
 
@@ -46,26 +47,26 @@
 	return l
 }
 
-// replica is one engine of the pool and the course that leads it to the
-// rollout's weights.
+// replica is one engine of the pool with the course of orders and reads that
+// brings it to the weights of the rollout.
 type replica struct {
 	server wasabiridge.BackendServer
 	course *wasabiorder.Course
 }
 
-// driver moves one rollout. It is deterministic and not safe for concurrent
-// use.
+// driver advances one rollout. It is deterministic. It is not safe for
+// concurrent use.
 type driver struct {
-	rollout  wasabiridge.Rollout
-	floor    int
-	limits   Limits
-	replicas []*replica
-	byID     map[wasabiridge.BackendServerID]*replica
-	fencing  wasabiridge.FencingNumber
-	since    wasabiridge.Millis
-	startAt  wasabiridge.Millis
-	lastLoad wasabiridge.Millis
-	effects  []courseEffect
+	rollout      wasabiridge.Rollout
+	minServing   int
+	limits       Limits
+	replicas     []*replica
+	byID         map[wasabiridge.BackendServerID]*replica
+	fencing      wasabiridge.FencingNumber
+	fencingSince wasabiridge.Millis
+	startAt      wasabiridge.Millis
+	lastLoad     wasabiridge.Millis
+	effects      []courseEffect
 }
 
 // courseEvent is an event for the course of one replica.
@@ -74,13 +75,13 @@
 	Event   wasabiorder.Event
 }
 
-// courseEffect is an effect of the course of one replica.
+// courseEffect is an effect that the course of one replica requests.
 type courseEffect struct {
 	Backend wasabiridge.BackendServerID
 	Effect  wasabiorder.Effect
 }
 
-// newDriver returns a driver that gives no order before startAt.
+// newDriver returns a driver that sends no order before startAt.
 func newDriver(r wasabiridge.Rollout, pool wasabiridge.Pool, l Limits, startAt wasabiridge.Millis) *driver {
 	l = l.withDefaults()
 	d := &driver{
@@ -91,8 +92,8 @@
 	return d
 }
 
-// setPool takes the pool as the configuration in force has it. Replicas that
-// are new begin their course; those that are gone are forgotten.
+// setPool updates the replicas from the current configuration of the pool. The
+// course of a new replica starts; those of removed replicas are dropped.
 func (d *driver) setPool(pool wasabiridge.Pool) {
 	before := d.byID
 	d.replicas, d.byID = nil, make(map[wasabiridge.BackendServerID]*replica)
@@ -108,39 +109,39 @@
 		d.replicas = append(d.replicas, r)
 		d.byID[server.ID] = r
 	}
-	d.floor = pool.MinServing
-	if d.floor == 0 {
-		// Without a floor in the configuration one replica keeps serving,
-		// unless the pool has no second.
-		d.floor = min(1, len(d.replicas)-1)
+	d.minServing = pool.MinServing
+	if d.minServing == 0 {
+		// Without MinServing in the configuration, one replica keeps serving,
+		// unless it is the only one in the pool.
+		d.minServing = min(1, len(d.replicas)-1)
 	}
 }
 
-// tick lets every course go on and returns what has to be done. The returned
-// slice is valid until the next call.
+// tick advances all courses and returns the effects to execute. The result is
+// valid until the next call.
 func (d *driver) tick(now wasabiridge.Millis, g wasabilease.Grant) []courseEffect {
 	d.effects = d.effects[:0]
 	if g.Fencing != d.fencing {
-		d.fencing, d.since = g.Fencing, now
+		d.fencing, d.fencingSince = g.Fencing, now
 	}
 	for _, r := range d.replicas {
-		d.feed(now, g, r, wasabiorder.Ticked{})
+		d.advance(now, g, r, wasabiorder.Ticked{})
 	}
 	return d.effects
 }
 
-// handle takes an event of one replica.
+// handle applies an event of one replica and returns the effects to execute.
 func (d *driver) handle(now wasabiridge.Millis, g wasabilease.Grant, e courseEvent) []courseEffect {
 	d.effects = d.effects[:0]
 	if r := d.byID[e.Backend]; r != nil {
-		d.feed(now, g, r, e.Event)
+		d.advance(now, g, r, e.Event)
 	}
 	return d.effects
 }
 
-func (d *driver) feed(now wasabiridge.Millis, g wasabilease.Grant, r *replica, e wasabiorder.Event) {
-	// A result may change what the replica needs, so it is taken in before
-	// the decision whether the replica may be ordered.
+func (d *driver) advance(now wasabiridge.Millis, g wasabilease.Grant, r *replica, e wasabiorder.Event) {
+	// A result may change what the replica needs, so it is applied before the
+	// decision whether an order may be sent.
 	if _, ok := e.(wasabiorder.Ticked); !ok {
 		d.collect(now, r, r.course.Handle(now, g, false, e))
 	}
@@ -156,7 +157,7 @@
 	}
 }
 
-// mayOrder reports whether the replica may be ordered now.
+// mayOrder reports whether an order may be sent to the replica now.
 func (d *driver) mayOrder(now wasabiridge.Millis, r *replica) bool {
 	if d.rollout.State != stateRunning || now < d.startAt || r.course.Status() != wasabiorder.Waiting {
 		return false
@@ -165,28 +166,29 @@
 		return true
 	}
 	c := d.count(now)
-	return c.loading < d.limits.MaxLoads && c.serving-1 >= d.floor && now-d.lastLoad >= d.limits.LoadInterval
+	return c.loading < d.limits.MaxLoads && c.serving-1 >= d.minServing && now-d.lastLoad >= d.limits.LoadInterval
 }
 
-// census counts the replicas of a pool.
-type census struct {
-	loading, serving, done, lost, fenced, unread int
+// counts holds the numbers of replicas by state.
+type counts struct {
+	loading, serving, done, unreachable, fenced, unread int
 }
 
-// count takes the census.
+// count counts the replicas by state.
 //
-// A driver that died may have left orders on their way. A replica that was not
-// read yet under this lease therefore counts as loading, for as long as a load
-// may take; otherwise its successor would let more replicas load than allowed.
-func (d *driver) count(now wasabiridge.Millis) census {
-	var c census
+// Orders of a failed driver may still be in flight. A replica whose state was
+// not read under the current lease therefore counts as loading for as long as a
+// load may take. Otherwise its successor would let more replicas load than
+// allowed.
+func (d *driver) count(now wasabiridge.Millis) counts {
+	var c counts
 	for _, r := range d.replicas {
 		switch course := r.course; {
 		case course.MayLoad():
 			c.loading++
 		case course.Known():
 			c.serving++
-		case now-d.since < wasabiorder.LoadPatience(d.limits.Order):
+		case now-d.fencingSince < wasabiorder.LoadPatience(d.limits.Order):
 			c.loading++
 		}
 		switch r.course.Status() {
@@ -198,13 +200,14 @@
 		if !r.course.Tried() {
 			c.unread++
 		} else if !r.course.Known() {
-			c.lost++
+			c.unreachable++
 		}
 	}
 	return c
 }
 
-// progress returns the rollout with what was reached and what blocks it.
+// progress returns the rollout with its current progress and the reason if it
+// is blocked.
 func (d *driver) progress(now wasabiridge.Millis) wasabiridge.Rollout {
 	c := d.count(now)
 	r := d.rollout
@@ -218,10 +221,10 @@
 		r.Blocked = blockedByReading
 	case c.fenced > 0:
 		r.Blocked = blockedByLease
-	case c.done+c.lost == r.Total:
-		r.Blocked = blockedByLost
-	case c.loading == 0 && c.serving-1 < d.floor:
-		r.Blocked = blockedByFloor
+	case c.done+c.unreachable == r.Total:
+		r.Blocked = blockedByUnreachable
+	case c.loading == 0 && c.serving-1 < d.minServing:
+		r.Blocked = blockedByMinServing
 	}
 	return r
 }
--- a/internal/wasabirollout/events.go
+++ b/internal/wasabirollout/events.go
@@ -5,71 +5,74 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabilease"
 )
 
-// fleetEvent is something that a fleet is told.
-type fleetEvent interface{ isFleetEvent() }
+// controllerEvent is an input of a controller.
+type controllerEvent interface{ isControllerEvent() }
 
-// fleetTicked says that time has passed.
-type fleetTicked struct {
+// ticked reports that time has passed.
+type ticked struct {
 	Config wasabiridge.Config
 	// Grants are the leases that this instance holds, by pool.
 	Grants map[wasabiridge.PoolID]wasabilease.Grant
 }
 
-// rowsListed answers a listRows.
+// rowsListed is the result of a listRows.
 type rowsListed struct {
 	Rows []wasabiridge.Row
 	Err  error
 }
 
-// callEnded answers a callEngine, under the grant of now.
+// callEnded is the result of a callEngine. Grant is the current lease, not that
+// of the call.
 type callEnded struct {
 	Pool  wasabiridge.PoolID
 	Grant wasabilease.Grant
 	Event courseEvent
 }
 
-// progressWritten answers a writeProgress, whatever its outcome.
+// progressWritten reports the end of a writeProgress, successful or not.
 type progressWritten struct{ Pool wasabiridge.PoolID }
 
-// changed says that an operator changed a rollout through this instance.
-type changed struct{}
+// rolloutChanged reports that an operator changed a rollout through this
+// instance.
+type rolloutChanged struct{}
 
-func (fleetTicked) isFleetEvent()     {}
-func (rowsListed) isFleetEvent()      {}
-func (callEnded) isFleetEvent()       {}
-func (progressWritten) isFleetEvent() {}
-func (changed) isFleetEvent()         {}
+func (ticked) isControllerEvent()          {}
+func (rowsListed) isControllerEvent()      {}
+func (callEnded) isControllerEvent()       {}
+func (progressWritten) isControllerEvent() {}
+func (rolloutChanged) isControllerEvent()  {}
 
-// fleetEffect is something that a fleet wants done.
-type fleetEffect interface{ isFleetEffect() }
+// controllerEffect is an effect that a controller requests.
+type controllerEffect interface{ isControllerEffect() }
 
-// listRows asks to read all rollout rows.
+// listRows reads all rollout rows.
 type listRows struct {
 	Prefix string
 	Limit  int
 }
 
-// callEngine asks to carry out the effect of a course.
+// callEngine executes the effect of a course.
 type callEngine struct {
 	Pool wasabiridge.PoolID
 	Call courseEffect
 }
 
-// writeProgress asks to carry out a transaction, once.
+// writeProgress commits a transaction, without retries.
 type writeProgress struct {
 	Pool        wasabiridge.PoolID
 	Transaction wasabiridge.Transaction
 	Rollout     wasabiridge.Rollout
 }
 
-// contend asks to contend for the lease of a pool, and leave to stop that.
+// contendLease starts contending for the lease of a pool, and leaveLease stops
+// it.
 type (
-	contend struct{ Pool wasabiridge.PoolID }
-	leave   struct{ Pool wasabiridge.PoolID }
+	contendLease struct{ Pool wasabiridge.PoolID }
+	leaveLease   struct{ Pool wasabiridge.PoolID }
 )
 
-func (listRows) isFleetEffect()      {}
-func (callEngine) isFleetEffect()    {}
-func (writeProgress) isFleetEffect() {}
-func (contend) isFleetEffect()       {}
-func (leave) isFleetEffect()         {}
+func (listRows) isControllerEffect()      {}
+func (callEngine) isControllerEffect()    {}
+func (writeProgress) isControllerEffect() {}
+func (contendLease) isControllerEffect()  {}
+func (leaveLease) isControllerEffect()    {}
--- a/internal/wasabirollout/export_test.go
+++ b/internal/wasabirollout/export_test.go
@@ -8,7 +8,7 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabiorder"
 )
 
-// The driver and the decoder of rows, for tests.
+// Unexported names for external tests.
 type (
 	Driver       = driver
 	CourseEvent  = courseEvent
@@ -31,12 +31,12 @@
 func (d *driver) Progress(now wasabiridge.Millis) wasabiridge.Rollout { return d.progress(now) }
 func (d *driver) SetPool(p wasabiridge.Pool)                          { d.setPool(p) }
 
-// IdleReads returns how often an instance without a rollout to drive reads the
-// rollout rows in the span.
+// IdleReads returns how often an instance that drives no rollout reads the
+// rollout rows within the span.
 func IdleReads(self wasabiridge.InstanceID, span wasabiridge.Millis) int {
-	f, reads := newFleet(self, 1, Limits{}), 0
+	f, reads := newController(self, 1, Limits{}), 0
 	for now := wasabiridge.Day; now < wasabiridge.Day+span; now += 100 {
-		for _, e := range append([]fleetEffect(nil), f.handle(now, fleetTicked{})...) {
+		for _, e := range append([]controllerEffect(nil), f.handle(now, ticked{})...) {
 			if _, ok := e.(listRows); ok {
 				reads++
 				f.handle(now, rowsListed{})
@@ -46,5 +46,5 @@
 	return reads
 }
 
-// Send gives an order as the workers do.
+// Send sends an order as the workers do.
 func (k *Keeper) Send(ctx context.Context, e wasabiorder.SendOrder) error { return k.send(ctx, e) }
--- a/internal/wasabirollout/keeper.go
+++ b/internal/wasabirollout/keeper.go
@@ -9,52 +9,54 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabitable"
 )
 
-// Options set up a Keeper.
+// Options configures a Keeper.
 type Options struct {
 	Self wasabiridge.InstanceID
-	// Incarnation must differ between all lives of the instance.
+	// Incarnation must be unique for each start of the instance.
 	Incarnation wasabiridge.Incarnation
 	Table       wasabiridge.Table
 	Clock       wasabiridge.Clock
 	Weights     wasabiridge.WeightStore
 	Engines     wasabiridge.EngineOperator
-	// Config returns the configuration in force.
+	// Config returns the current configuration.
 	Config func() wasabiridge.Config
-	// Members returns the instances that are known, this one among them or
-	// not. A few of them contend for the lease of each pool. Nil lets this
-	// instance contend for all.
+	// Members returns the instances in the membership view, with or without
+	// this one. A few of them contend for the lease of each pool. If it is nil,
+	// this instance contends for all leases.
 	Members func() []wasabiridge.InstanceID
-	// Recorder takes time line events. Nil records nothing.
+	// Recorder receives timeline events. Nil discards them.
 	Recorder wasabiridge.Recorder
 	Limits   Limits
 	Lease    wasabilease.Timing
 }
 
-// Keeper implements wasabiridge.RolloutKeeper and drives rollouts while Run
-// runs. It is safe for concurrent use.
+// Keeper implements wasabiridge.RolloutKeeper. It drives rollouts while Run is
+// running. It is safe for concurrent use.
 type Keeper struct {
 	options Options
 	writer  *wasabitable.Writer
-	// nudges tells the driving goroutine that a row changed. It holds one;
-	// further ones are dropped, because one reading sees all changes.
-	nudges chan struct{}
+	// rowChanges notifies the driving goroutine that a row has changed. It
+	// buffers one notification; further ones are dropped, because a single read
+	// sees all changes.
+	rowChanges chan struct{}
 }
 
 var _ wasabiridge.RolloutKeeper = (*Keeper)(nil)
 
-// New returns a keeper that does not drive yet.
+// New returns a Keeper. It drives no rollouts until Run is called.
 func New(o Options) *Keeper {
 	name := fmt.Sprintf("%s/%d/rollouts", o.Self, o.Incarnation)
 	return &Keeper{
-		options: o,
-		writer:  wasabitable.NewWriter(o.Table, wasabitable.WriterOptions{Name: name}),
-		nudges:  make(chan struct{}, 1),
+		options:    o,
+		writer:     wasabitable.NewWriter(o.Table, wasabitable.WriterOptions{Name: name}),
+		rowChanges: make(chan struct{}, 1),
 	}
 }
 
-// Start begins a rollout. It reports ErrInvalid for an unknown pool or
-// unpublished weights, ErrConflict when one is running on the pool, and
-// ErrOutcomeUnknown when the table gave no answer; then List tells.
+// Start starts a rollout. It returns ErrInvalid for an unknown pool or
+// unpublished weights, ErrConflict if a rollout is active on the pool, and
+// ErrOutcomeUnknown if the table did not answer; List then shows whether the
+// rollout was started.
 func (k *Keeper) Start(ctx context.Context, r wasabiridge.Rollout) (wasabiridge.Rollout, error) {
 	pool, ok := k.options.Config().Pool(r.Pool)
 	if !ok {
@@ -81,12 +83,13 @@
 		return wasabiridge.Rollout{}, wasabiridge.ErrInvalid.New(
 			"rollout: pool %q has version %d; publish the former weights under a new number", r.Pool, current.Current.Weights)
 	}
-	r = begun(r, len(pool.Backends))
+	r = startedRollout(r, len(pool.Backends))
 	return r, k.store(ctx, row, current.withNext(r))
 }
 
-// begun returns a rollout as it stands at its start.
-func begun(r wasabiridge.Rollout, total int) wasabiridge.Rollout {
+// startedRollout returns r with the initial values of its ID, state and
+// progress.
+func startedRollout(r wasabiridge.Rollout, total int) wasabiridge.Rollout {
 	if r.ID == "" {
 		r.ID = fmt.Sprintf("%s-%d", r.Pool, r.Weights)
 	}
@@ -94,9 +97,9 @@
 	return r
 }
 
-// Steer changes the state of the current rollout: "pause", "resume" or
-// "rollback". A rollback begins a rollout of the latest published version and
-// returns it; it reports ErrInvalid when none newer than the current one is
+// Steer applies an action to the current rollout: "pause", "resume" or
+// "rollback". A rollback starts a rollout of the latest published version and
+// returns it. It returns ErrInvalid if no version newer than the current one is
 // published.
 func (k *Keeper) Steer(ctx context.Context, id, action string) (wasabiridge.Rollout, error) {
 	row, current, err := k.find(ctx, id)
@@ -104,13 +107,13 @@
 		return wasabiridge.Rollout{}, err
 	}
 	var next record
-	if next, err = k.steered(ctx, current, action); err != nil {
+	if next, err = k.applyAction(ctx, current, action); err != nil {
 		return wasabiridge.Rollout{}, err
 	}
 	return next.Current, k.store(ctx, row, next)
 }
 
-func (k *Keeper) steered(ctx context.Context, r record, action string) (record, error) {
+func (k *Keeper) applyAction(ctx context.Context, r record, action string) (record, error) {
 	switch {
 	case action == "pause" && r.Current.State == stateRunning:
 		r.Current.State, r.Current.Blocked = statePaused, blockedByPause
@@ -119,7 +122,7 @@
 		r.Current.State, r.Current.Blocked = stateRunning, ""
 		return r, nil
 	case action == "rollback" && r.Current.State != stateRolledBack:
-		return k.rolledBack(ctx, r)
+		return k.applyRollback(ctx, r)
 	case action == "pause" || action == "resume" || action == "rollback":
 		return record{}, wasabiridge.ErrConflict.New("rollout: %s is %s", r.Current.ID, r.Current.State)
 	default:
@@ -127,7 +130,7 @@
 	}
 }
 
-func (k *Keeper) rolledBack(ctx context.Context, r record) (record, error) {
+func (k *Keeper) applyRollback(ctx context.Context, r record) (record, error) {
 	latest, err := k.options.Weights.Latest(ctx, r.Current.Model, r.Current.Adapter)
 	if err != nil {
 		return record{}, err
@@ -138,7 +141,7 @@
 	}
 	next := r.Current
 	next.ID, next.Weights = "", latest
-	next = begun(next, r.Current.Total)
+	next = startedRollout(next, r.Current.Total)
 	r.Current.State, r.Current.Blocked = stateRolledBack, ""
 	return r.withNext(next), nil
 }
@@ -190,7 +193,7 @@
 	}
 	k.record(r.Current)
 	select {
-	case k.nudges <- struct{}{}:
+	case k.rowChanges <- struct{}{}:
 	default:
 	}
 	return nil
--- a/internal/wasabirollout/keeper_test.go
+++ b/internal/wasabirollout/keeper_test.go
@@ -22,17 +22,17 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabiweights"
 )
 
-// garage is a pool of engines that load for a second each. It implements
-// wasabiridge.EngineOperator.
-type garage struct {
-	mu      sync.Mutex
-	engines map[wasabiridge.BackendServerID]wasabiridge.EngineState
-	loading int
-	most    int
-	orders  int
+// enginePool is a pool of engines whose loads take one second each. It
+// implements wasabiridge.EngineOperator.
+type enginePool struct {
+	mu         sync.Mutex
+	engines    map[wasabiridge.BackendServerID]wasabiridge.EngineState
+	loading    int
+	maxLoading int
+	orders     int
 }
 
-func (g *garage) SendOrder(_ context.Context, b wasabiridge.BackendServer, o wasabiridge.EngineOrder) error {
+func (g *enginePool) SendOrder(_ context.Context, b wasabiridge.BackendServer, o wasabiridge.EngineOrder) error {
 	time.Sleep(5 * time.Millisecond)
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -45,14 +45,14 @@
 	if o.Weights != s.Weights && !s.Loading {
 		s.Loading = true
 		g.loading++
-		g.most = max(g.most, g.loading)
+		g.maxLoading = max(g.maxLoading, g.loading)
 		time.AfterFunc(time.Second, func() { g.loaded(b.ID, o.Weights) })
 	}
 	g.engines[b.ID] = s
 	return nil
 }
 
-func (g *garage) loaded(id wasabiridge.BackendServerID, v wasabiridge.WeightsVersion) {
+func (g *enginePool) loaded(id wasabiridge.BackendServerID, v wasabiridge.WeightsVersion) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.engines[id]
@@ -61,39 +61,39 @@
 	g.loading--
 }
 
-func (g *garage) ReadState(_ context.Context, b wasabiridge.BackendServer) (wasabiridge.EngineState, error) {
+func (g *enginePool) ReadState(_ context.Context, b wasabiridge.BackendServer) (wasabiridge.EngineState, error) {
 	time.Sleep(5 * time.Millisecond)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.engines[b.ID], nil
 }
 
-// site is a few instances, one pool and the platform, in virtual time.
-type site struct {
+// cluster is a few instances, one pool and the platform, in virtual time.
+type cluster struct {
 	WithT
-	*garage
-	config  wasabiridge.Config
-	clock   wasabiridge.Clock
-	table   *wasabitable.Memory
-	weights *wasabiweights.Store
-	life    wasabiridge.Incarnation
+	*enginePool
+	config      wasabiridge.Config
+	clock       wasabiridge.Clock
+	table       *wasabitable.Memory
+	weights     *wasabiweights.Store
+	incarnation wasabiridge.Incarnation
 }
 
-func newSite(t *testing.T, n int) *site {
+func newCluster(t *testing.T, n int) *cluster {
 	clock := wasabiclock.System()
-	s := &site{
-		WithT: *NewWithT(t), garage: &garage{engines: map[wasabiridge.BackendServerID]wasabiridge.EngineState{}},
+	s := &cluster{
+		WithT: *NewWithT(t), enginePool: &enginePool{engines: map[wasabiridge.BackendServerID]wasabiridge.EngineState{}},
 		clock:   clock,
 		table:   wasabitable.NewMemory(wasabitable.MemoryOptions{Clock: clock}),
 		weights: wasabiweights.NewStore(wasabiobject.NewMemory(wasabiobject.MemoryOptions{Clock: clock})),
 	}
-	s.grow(n)
+	s.setPoolSize(n)
 	s.publish(2)
 	return s
 }
 
-// grow makes the pool one of n engines.
-func (s *site) grow(n int) {
+// setPoolSize replaces the pool by one of n engines.
+func (s *cluster) setPoolSize(n int) {
 	pool := wasabiridge.Pool{ID: "answers"}
 	for i := range n {
 		server := wasabiridge.BackendServer{
@@ -105,15 +105,16 @@
 	s.config.Pools = []wasabiridge.Pool{pool}
 }
 
-func (s *site) publish(v wasabiridge.WeightsVersion) {
+func (s *cluster) publish(v wasabiridge.WeightsVersion) {
 	s.Expect(s.weights.Publish(context.Background(), "large", "", v)).To(Succeed())
 }
 
-// boot starts an instance and returns it with its end.
-func (s *site) boot(id wasabiridge.InstanceID) (*wasabirollout.Keeper, func()) {
-	s.life++
+// startInstance starts an instance and returns its Keeper and a function that
+// stops it.
+func (s *cluster) startInstance(id wasabiridge.InstanceID) (*wasabirollout.Keeper, func()) {
+	s.incarnation++
 	k := wasabirollout.New(wasabirollout.Options{
-		Self: id, Incarnation: s.life, Table: s.table, Clock: s.clock, Weights: s.weights, Engines: s.garage,
+		Self: id, Incarnation: s.incarnation, Table: s.table, Clock: s.clock, Weights: s.weights, Engines: s.enginePool,
 		Config: func() wasabiridge.Config { return s.config },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -125,95 +126,96 @@
 	return k, func() { cancel(); <-done }
 }
 
-func (s *site) start(k *wasabirollout.Keeper) wasabiridge.Rollout {
+func (s *cluster) start(k *wasabirollout.Keeper) wasabiridge.Rollout {
 	r, err := k.Start(context.Background(), wasabiridge.Rollout{Pool: "answers", Model: "large", Weights: 2})
 	s.Expect(err).NotTo(HaveOccurred())
 	s.Expect(r.State).To(Equal("running"))
 	return r
 }
 
-func (s *site) current(k *wasabirollout.Keeper) wasabiridge.Rollout {
+func (s *cluster) current(k *wasabirollout.Keeper) wasabiridge.Rollout {
 	list, err := k.List(context.Background())
 	s.Expect(err).NotTo(HaveOccurred())
 	s.Expect(list).NotTo(BeEmpty())
 	return list[0]
 }
 
-func (s *site) expectAll(v wasabiridge.WeightsVersion) {
+func (s *cluster) expectAll(v wasabiridge.WeightsVersion) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range s.engines {
 		s.Expect(e.Weights).To(Equal(v))
 	}
-	s.Expect(s.most).To(BeNumerically("<=", 2))
+	s.Expect(s.maxLoading).To(BeNumerically("<=", 2))
 }
 
-// given returns how many orders reached the engines.
-func (s *site) given() int {
+// ordersReceived returns how many orders the engines received.
+func (s *cluster) ordersReceived() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.orders
 }
 
-func (s *site) fails(err error, want *errorx.Type) {
+func (s *cluster) expectError(err error, want *errorx.Type) {
 	s.Expect(errorx.IsOfType(err, want)).To(BeTrue(), "%v", err)
 }
 
-var sites = map[string]func(s *site){
-	// The second instance takes the lease when the first gives it back. It
-	// still remembers the rollout as running, and ordered all engines again.
-	"a rollout runs to its end, and nobody drives it after that": func(s *site) {
-		a, stopA := s.boot("a")
+var keeperCases = map[string]func(s *cluster){
+	// Guards against a second instance that acquires the lease when the first
+	// releases it, while its copy of the row still says that the rollout is
+	// running. It once sent orders to all engines again.
+	"a rollout completes, and no instance sends orders for it afterwards": func(s *cluster) {
+		a, stopA := s.startInstance("a")
 		defer stopA()
-		_, stopB := s.boot("b")
+		_, stopB := s.startInstance("b")
 		defer stopB()
 		s.start(a)
 		time.Sleep(40 * time.Second)
 		s.expectAll(2)
 		s.Expect(s.current(a)).To(And(HaveField("State", "done"), HaveField("Done", 6)))
-		s.Expect(s.given()).To(Equal(6))
+		s.Expect(s.ordersReceived()).To(Equal(6))
 	},
-	// The instance that drives a rollout dies in the middle of it. The other
-	// takes the lease over and goes on from what the engines say.
-	"a rollout survives its driver": func(s *site) {
-		a, stopA := s.boot("a")
+	// The instance that drives a rollout fails in the middle of it. Another
+	// acquires the lease and continues from the state that the engines report.
+	"a rollout survives a failure of its driver": func(s *cluster) {
+		a, stopA := s.startInstance("a")
 		s.start(a)
 		time.Sleep(2500 * time.Millisecond)
 		stopA()
-		b, stopB := s.boot("b")
+		b, stopB := s.startInstance("b")
 		defer stopB()
 		time.Sleep(time.Minute)
 		s.expectAll(2)
 		s.Expect(s.current(b).State).To(Equal("done"))
 	},
-	"a pause, a resume and a second start": func(s *site) {
-		a, stop := s.boot("a")
+	"a rollout can be paused and resumed, and not started twice": func(s *cluster) {
+		a, stop := s.startInstance("a")
 		defer stop()
 		r := s.start(a)
 		time.Sleep(2 * time.Second)
 		_, err := a.Steer(context.Background(), r.ID, "pause")
 		s.Expect(err).NotTo(HaveOccurred())
 		time.Sleep(3 * time.Second)
-		before := s.given()
+		before := s.ordersReceived()
 		time.Sleep(30 * time.Second)
-		s.Expect(s.given()).To(Equal(before))
+		s.Expect(s.ordersReceived()).To(Equal(before))
 		s.Expect(s.current(a)).To(And(HaveField("State", "paused"), HaveField("Blocked", "paused")))
 		_, err = a.Start(context.Background(), r)
-		s.fails(err, wasabiridge.ErrConflict)
+		s.expectError(err, wasabiridge.ErrConflict)
 		_, err = a.Steer(context.Background(), r.ID, "pause")
-		s.fails(err, wasabiridge.ErrConflict)
+		s.expectError(err, wasabiridge.ErrConflict)
 		_, err = a.Steer(context.Background(), r.ID, "resume")
 		s.Expect(err).NotTo(HaveOccurred())
 		time.Sleep(time.Minute)
 		s.expectAll(2)
 	},
-	"a rollback is a new version, published first": func(s *site) {
-		a, stop := s.boot("a")
+	"a rollback requires a newer published version": func(s *cluster) {
+		a, stop := s.startInstance("a")
 		defer stop()
 		r := s.start(a)
 		time.Sleep(2 * time.Second)
 		_, err := a.Steer(context.Background(), r.ID, "rollback")
-		s.fails(err, wasabiridge.ErrInvalid)
+		s.expectError(err, wasabiridge.ErrInvalid)
 		s.publish(3)
 		var back wasabiridge.Rollout
 		back, err = a.Steer(context.Background(), r.ID, "rollback")
@@ -226,37 +228,37 @@
 		s.Expect(list).To(HaveLen(2))
 		s.Expect(list[1].State).To(Equal("rolled_back"))
 	},
-	// The table is down for a minute in the middle. The driver's lease ends
-	// and it gives no order, until the table is back.
-	"the table is down in the middle": func(s *site) {
-		s.grow(40)
-		a, stop := s.boot("a")
+	// The table is unavailable for 80 seconds during a rollout. The driver's
+	// lease expires, and no order is sent until the table is available again.
+	"no order is sent while the table is down": func(s *cluster) {
+		s.setPoolSize(40)
+		a, stop := s.startInstance("a")
 		defer stop()
 		s.start(a)
 		time.Sleep(2 * time.Second)
 		s.table.Faults().SetPlan(wasabifault.Plan{Unavailable: 1})
 		time.Sleep(20 * time.Second)
-		before := s.given()
+		before := s.ordersReceived()
 		time.Sleep(time.Minute)
-		s.Expect(s.given()).To(Equal(before))
+		s.Expect(s.ordersReceived()).To(Equal(before))
 		s.Expect(before).To(BeNumerically("<", 30))
 		s.table.Faults().SetPlan(wasabifault.Plan{})
 		time.Sleep(2 * time.Minute)
 		s.expectAll(2)
 		s.Expect(s.current(a).State).To(Equal("done"))
 	},
-	// The driver decides on an order, and the process stands still for longer
-	// than the order may take. Its lease may be over by then.
-	"an order that waited too long is not sent": func(s *site) {
-		a, stop := s.boot("a")
+	// The driver decides on an order, and the process is paused for longer than
+	// the order may take. Its lease may have expired by then.
+	"an expired order is not sent": func(s *cluster) {
+		a, stop := s.startInstance("a")
 		defer stop()
 		order := wasabiorder.SendOrder{Server: s.config.Pools[0].Backends[0], Before: s.clock.Now() + wasabiridge.Second}
 		time.Sleep(time.Second)
-		s.fails(a.Send(context.Background(), order), wasabiridge.ErrUnavailable)
-		s.Expect(s.given()).To(BeZero())
+		s.expectError(a.Send(context.Background(), order), wasabiridge.ErrUnavailable)
+		s.Expect(s.ordersReceived()).To(BeZero())
 	},
-	"what cannot be started": func(s *site) {
-		a, stop := s.boot("a")
+	"invalid rollouts and actions are rejected": func(s *cluster) {
+		a, stop := s.startInstance("a")
 		defer stop()
 		for _, r := range []wasabiridge.Rollout{
 			{Pool: "nowhere", Model: "large", Weights: 2},
@@ -264,23 +266,23 @@
 			{Pool: "answers", Model: "large"},
 		} {
 			_, err := a.Start(context.Background(), r)
-			s.fails(err, wasabiridge.ErrInvalid)
+			s.expectError(err, wasabiridge.ErrInvalid)
 		}
 		s.start(a)
 		time.Sleep(40 * time.Second)
 		_, err := a.Start(context.Background(), wasabiridge.Rollout{Pool: "answers", Model: "large", Weights: 1})
-		s.fails(err, wasabiridge.ErrInvalid)
+		s.expectError(err, wasabiridge.ErrInvalid)
 		_, err = a.Steer(context.Background(), "nothing", "pause")
-		s.fails(err, wasabiridge.ErrNotFound)
+		s.expectError(err, wasabiridge.ErrNotFound)
 		_, err = a.Steer(context.Background(), "answers-2", "explode")
-		s.fails(err, wasabiridge.ErrInvalid)
+		s.expectError(err, wasabiridge.ErrInvalid)
 	},
 }
 
 func TestRolloutsOfInstances(t *testing.T) {
-	for _, name := range wasabitest.Names(sites) {
+	for _, name := range wasabitest.Names(keeperCases) {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { sites[name](newSite(t, 6)) })
+			synctest.Test(t, func(t *testing.T) { keeperCases[name](newCluster(t, 6)) })
 		})
 	}
 }
--- a/internal/wasabirollout/record.go
+++ b/internal/wasabirollout/record.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	// rowPrefix starts the keys of all rollout rows, one per pool.
+	// rowPrefix is the prefix of the keys of rollout rows. There is one row per
+	// pool.
 	rowPrefix = "rollout/"
-	// maxPast is how many former rollouts a row keeps.
+	// maxPast is the maximum number of past rollouts in a row.
 	maxPast = 8
 )
 
 // record is the value of a rollout row.
 type record struct {
 	Current wasabiridge.Rollout `json:"current"`
-	// Past holds former rollouts, newest first.
+	// Past holds the past rollouts, newest first.
 	Past []wasabiridge.Rollout `json:"past,omitempty"`
 }
 
@@ -23,8 +24,8 @@
 
 func encodeRecord(r record) []byte { return wasabirecord.Encode(r) }
 
-// decodeRecord reads the value of a rollout row. It reports ErrInvalid for a
-// row without a pool, weights or a known state.
+// decodeRecord decodes the value of a rollout row. It returns ErrInvalid for a
+// row without a pool or weights, or with an unknown state.
 func decodeRecord(value []byte) (record, error) {
 	var r record
 	if err := wasabirecord.Decode("rollout", value, &r); err != nil {
@@ -41,12 +42,13 @@
 	}
 }
 
-// isActive reports whether the current rollout may still give orders.
+// isActive reports whether the current rollout may still send orders.
 func (r record) isActive() bool {
 	return r.Current.State == stateRunning || r.Current.State == statePaused
 }
 
-// withNext returns the record with another current rollout.
+// withNext returns the record with a new current rollout; the previous one
+// becomes the newest past rollout.
 func (r record) withNext(next wasabiridge.Rollout) record {
 	var past []wasabiridge.Rollout
 	if r.Current.Pool != "" {
@@ -56,7 +58,7 @@
 	return record{Current: next, Past: past[:min(len(past), maxPast)]}
 }
 
-// withCurrent returns the record with the current rollout changed.
+// withCurrent returns the record with the current rollout replaced.
 func (r record) withCurrent(current wasabiridge.Rollout) record {
 	r.Current = current
 	return r
--- a/internal/wasabirollout/run.go
+++ b/internal/wasabirollout/run.go
@@ -11,41 +11,42 @@
 )
 
 const (
-	// workers is how many goroutines call engines and the table.
+	// workers is the number of goroutines that call engines and the table.
 	workers = 8
-	// jobsSize bounds the ring to the workers. When it is full, the driving
-	// goroutine keeps the work in its own list; there is at most one call
-	// per replica and two per pool.
-	jobsSize = 64
-	// candidates is how many instances contend for the lease of a pool.
-	candidates = 3
-	// tickEvery is the pause between two ticks.
-	tickEvery = 100 * time.Millisecond
-	// tableTimeout bounds one call to the table.
+	// jobQueueSize is the capacity of the channel to the workers. When it is
+	// full, the driving goroutine keeps the jobs in its own list, which is
+	// bounded by one call per replica and two per pool.
+	jobQueueSize = 64
+	// leaseCandidates is the number of instances that contend for the lease of
+	// a pool.
+	leaseCandidates = 3
+	// tickInterval is the interval between ticks.
+	tickInterval = 100 * time.Millisecond
+	// tableTimeout is the time-out of one call to the table.
 	tableTimeout = 5 * time.Second
 )
 
-// contest is a lease that this instance contends for while it is active. It is
-// kept for the life of the instance: two leases of one name would give two
-// writes the same identifier.
-type contest struct {
+// contender is a lease that this instance contends for while active is set. It
+// is kept until the instance ends: two leases with the same name would create
+// two writes with the same identifier.
+type contender struct {
 	lease  *wasabilease.Lease
 	active bool
 }
 
-// Run drives rollouts until the context ends. It returns after all goroutines
-// that it started have ended.
+// Run drives rollouts until ctx is done. It returns after all goroutines that
+// it started have ended.
 func (k *Keeper) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
-	start := func(duty func()) {
+	start := func(task func()) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			duty()
+			task()
 		}()
 	}
-	jobs, results := make(chan fleetEffect, jobsSize), make(chan fleetEvent, jobsSize)
+	jobs, results := make(chan controllerEffect, jobQueueSize), make(chan controllerEvent, jobQueueSize)
 	for range workers {
 		start(func() { k.work(ctx, jobs, results) })
 	}
@@ -54,45 +55,45 @@
 	wg.Wait()
 }
 
-// decide owns the fleet.
-func (k *Keeper) decide(ctx context.Context, start func(func()), jobs chan<- fleetEffect, results <-chan fleetEvent) {
-	f := newFleet(k.options.Self, k.options.Incarnation, k.options.Limits)
-	contests := make(map[wasabiridge.PoolID]*contest)
-	ticker := time.NewTicker(tickEvery)
+// decide runs the controller. It is the only goroutine that uses it.
+func (k *Keeper) decide(ctx context.Context, start func(func()), jobs chan<- controllerEffect, results <-chan controllerEvent) {
+	f := newController(k.options.Self, k.options.Incarnation, k.options.Limits)
+	contenders := make(map[wasabiridge.PoolID]*contender)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	var pending []fleetEffect
+	var pending []controllerEffect
 	for {
-		var out chan<- fleetEffect
-		var next fleetEffect
+		var out chan<- controllerEffect
+		var next controllerEffect
 		if len(pending) > 0 {
 			next, out = pending[0], jobs
 		}
-		var event fleetEvent
+		var event controllerEvent
 		select {
 		case out <- next:
 			pending = pending[1:]
 			continue
 		case event = <-results:
 			if e, ok := event.(callEnded); ok {
-				e.Grant = grantOf(contests, e.Pool)
+				e.Grant = grantOf(contenders, e.Pool)
 				event = e
 			}
-		case <-k.nudges:
-			event = changed{}
+		case <-k.rowChanges:
+			event = rolloutChanged{}
 		case <-ticker.C:
-			event = fleetTicked{Config: k.options.Config(), Grants: k.grants(contests)}
+			event = ticked{Config: k.options.Config(), Grants: k.grants(contenders)}
 		case <-ctx.Done():
 			return
 		}
 		for _, effect := range f.handle(k.options.Clock.Now(), event) {
 			switch e := effect.(type) {
-			case contend:
-				if contests[e.Pool] == nil {
-					contests[e.Pool] = k.contest(ctx, start, e.Pool)
+			case contendLease:
+				if contenders[e.Pool] == nil {
+					contenders[e.Pool] = k.startContender(ctx, start, e.Pool)
 				}
-				contests[e.Pool].active = true
-			case leave:
-				contests[e.Pool].active = false
+				contenders[e.Pool].active = true
+			case leaveLease:
+				contenders[e.Pool].active = false
 			default:
 				pending = append(pending, effect)
 			}
@@ -100,48 +101,49 @@
 	}
 }
 
-// contest begins to contend for the lease of a pool.
-func (k *Keeper) contest(ctx context.Context, start func(func()), pool wasabiridge.PoolID) *contest {
+// startContender starts a contender for the lease of a pool.
+func (k *Keeper) startContender(ctx context.Context, start func(func()), pool wasabiridge.PoolID) *contender {
 	o := k.options
 	lease := wasabilease.New(wasabilease.Options{
 		Name: rowPrefix + string(pool), Self: o.Self, Incarnation: o.Incarnation, Table: o.Table,
 		Clock: o.Clock, Recorder: o.Recorder, Timing: o.Lease,
 	})
 	start(func() { lease.Run(ctx) })
-	return &contest{lease: lease}
+	return &contender{lease: lease}
 }
 
-// grants returns the leases that are held, and lets candidates contend.
-func (k *Keeper) grants(contests map[wasabiridge.PoolID]*contest) map[wasabiridge.PoolID]wasabilease.Grant {
-	grants := make(map[wasabiridge.PoolID]wasabilease.Grant, len(contests))
+// grants returns the leases that this instance holds, and updates for which of
+// them it contends.
+func (k *Keeper) grants(contenders map[wasabiridge.PoolID]*contender) map[wasabiridge.PoolID]wasabilease.Grant {
+	grants := make(map[wasabiridge.PoolID]wasabilease.Grant, len(contenders))
 	var members []wasabiridge.InstanceID
 	if k.options.Members != nil {
 		members = k.options.Members()
 	}
-	for pool, c := range contests {
+	for pool, c := range contenders {
 		grants[pool] = c.lease.Grant()
-		// A holder stays one, so that a change of candidates does not move
-		// a rollout from instance to instance.
+		// A holder remains a candidate, so that a change of candidates does not
+		// move a rollout between instances.
 		candidate := grants[pool].Fencing != 0 ||
-			wasabilease.IsCandidate(rowPrefix+string(pool), k.options.Self, members, candidates)
+			wasabilease.IsCandidate(rowPrefix+string(pool), k.options.Self, members, leaseCandidates)
 		c.lease.Contend(c.active && candidate)
 	}
 	return grants
 }
 
-func grantOf(contests map[wasabiridge.PoolID]*contest, pool wasabiridge.PoolID) wasabilease.Grant {
-	if c, ok := contests[pool]; ok {
+func grantOf(contenders map[wasabiridge.PoolID]*contender, pool wasabiridge.PoolID) wasabilease.Grant {
+	if c, ok := contenders[pool]; ok {
 		return c.lease.Grant()
 	}
 	return wasabilease.Grant{}
 }
 
-func (k *Keeper) work(ctx context.Context, jobs <-chan fleetEffect, results chan<- fleetEvent) {
+func (k *Keeper) work(ctx context.Context, jobs <-chan controllerEffect, results chan<- controllerEvent) {
 	for {
-		var result fleetEvent
+		var result controllerEvent
 		select {
 		case job := <-jobs:
-			result = k.carryOut(ctx, job)
+			result = k.execute(ctx, job)
 		case <-ctx.Done():
 			return
 		}
@@ -153,7 +155,7 @@
 	}
 }
 
-func (k *Keeper) carryOut(ctx context.Context, job fleetEffect) fleetEvent {
+func (k *Keeper) execute(ctx context.Context, job controllerEffect) controllerEvent {
 	switch j := job.(type) {
 	case callEngine:
 		return callEnded{Pool: j.Pool, Event: courseEvent{Backend: j.Call.Backend, Event: k.call(ctx, j.Call.Effect)}}
@@ -173,7 +175,7 @@
 	}
 }
 
-// call carries out the effect of a course.
+// call executes the effect of a course.
 func (k *Keeper) call(ctx context.Context, e wasabiorder.Effect) wasabiorder.Event {
 	switch e := e.(type) {
 	case wasabiorder.SendOrder:
@@ -187,14 +189,14 @@
 	}
 }
 
-// send gives an order, unless its time was used up on the way here. The lease
-// covers an order only until then.
+// send sends an order, unless its time has expired before it could be sent. The
+// lease covers an order only until then.
 func (k *Keeper) send(ctx context.Context, e wasabiorder.SendOrder) error {
-	rest := e.Before - k.options.Clock.Now()
-	if rest <= 0 {
-		return wasabiridge.ErrUnavailable.New("rollout: order to %s waited too long", e.Server.ID)
+	remaining := e.Before - k.options.Clock.Now()
+	if remaining <= 0 {
+		return wasabiridge.ErrUnavailable.New("rollout: order to %s expired before it was sent", e.Server.ID)
 	}
-	ctx, cancel := context.WithTimeout(ctx, rest.Duration())
+	ctx, cancel := context.WithTimeout(ctx, remaining.Duration())
 	defer cancel()
 	return k.options.Engines.SendOrder(ctx, e.Server, e.Order)
 }
