--- a/internal/wasabigateway/outputbuffer.go
+++ b/internal/wasabigateway/outputbuffer.go
@@ -25,8 +25,8 @@
 	return &outputBuffer{limit: limit, hasData: make(chan struct{}, 1), hasSpace: make(chan struct{}, 1)}
 }
 
-// write appends the parts as one unit, even if they exceed the limit and the
-// buffer is empty. It blocks until there is space or ctx is done.
+// write appends the parts as one unit. It blocks until there is space or ctx is
+// done. A unit larger than the limit is appended once the buffer is empty.
 func (o *outputBuffer) write(ctx context.Context, parts ...[]byte) error {
 	size := 0
 	for _, p := range parts {
--- a/internal/wasabiplace/homes.go
+++ b/internal/wasabiplace/homes.go
@@ -24,9 +24,9 @@
 	// preferredBonus is subtracted from the score of the preferred holder, in
 	// milliseconds, beyond what it may have cached.
 	preferredBonus = 20
-	// burstHeadroom scales the number of homes of a hot level in proportion to
-	// its share of the work.
-	burstHeadroom = 0.75
+	// homesPerShare is the number of homes of a hot level for bursts, relative
+	// to the number of servers that its share of the work corresponds to.
+	homesPerShare = 0.75
 	// addCopyMaxQueue is the mean queue length up to which additional copies of
 	// hot levels are made. One in addCopyOdds requests for a level makes a
 	// copy, so that only about one of all instances does.
@@ -73,7 +73,7 @@
 	}
 	work := heat * float64(len(c.Blocks))
 	share := work / max(work, p.decayedRecentBlocks(now, t))
-	return min(max(1, int(math.Ceil(share*burstHeadroom*float64(len(t.members))))), p.opts.MaxHomes)
+	return min(max(1, int(math.Ceil(share*homesPerShare*float64(len(t.members))))), p.opts.MaxHomes)
 }
 
 // decayedRecentBlocks returns the number of blocks in the pool's recent
