--- /dev/null
+++ b/internal/wasabinode/background.go
@@ -0,0 +1,129 @@
+package wasabinode
+
+import (
+	"context"
+	"net/http"
+	"slices"
+	"time"
+
+	"github.com/go-chi/chi/v5"
+
+	"github.com/wasabiridge/wasabiridge"
+	"github.com/wasabiridge/wasabiridge/internal/wasabiconn"
+	"github.com/wasabiridge/wasabiridge/internal/wasabikept"
+)
+
+const (
+	// countInterval is how often the instances are counted.
+	countInterval = time.Second
+	// cacheStoreDialTimeout bounds opening a connection to a KV cache store, and
+	// cacheStoreAckTimeout how long sent bytes may stay unacknowledged on one.
+	// Within a region a round trip takes milliseconds.
+	cacheStoreDialTimeout = 300 * wasabiridge.Millis(1)
+	cacheStoreAckTimeout  = wasabiridge.Second
+)
+
+// startBackgroundTasks starts the goroutines of the controllers and of the
+// periodic tasks. They end with the context.
+func (n *Node) startBackgroundTasks(ctx context.Context) {
+	go n.members.Run(ctx)
+	go n.catalog.Run(ctx)
+	go n.upgrade.Run(ctx)
+	go n.countInstances(ctx)
+	go n.watchCacheStores(ctx)
+	go n.publishPlacements(ctx)
+	go n.quarantine.Run(ctx)
+	go n.quota.Run(ctx)
+	go n.migrateRequests(ctx)
+	go n.restore(ctx)
+	go n.roster.register(ctx, n.incarnation)
+	if s, ok := n.options.Platform.Runner.(interface{ Sweep(context.Context) }); ok {
+		go s.Sweep(ctx)
+	}
+}
+
+// countInstances posts to the decision loop how many instances share the
+// backend servers, and which of them serve callers, whenever either changes.
+func (n *Node) countInstances(ctx context.Context) {
+	ticker := time.NewTicker(countInterval)
+	defer ticker.Stop()
+	var posted wasabiridge.InstancesCounted
+	for {
+		counted := n.counted()
+		if counted.Count != posted.Count {
+			n.log.Info().Int("instances", counted.Count).Int("serving", len(counted.Serving)).Msg("Number of instances changed.")
+		}
+		if counted.Count != posted.Count || !slices.Equal(counted.Serving, posted.Serving) {
+			posted = counted
+			n.loop.Post(counted)
+		}
+		select {
+		case <-ticker.C:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// counted returns the number of instances in the membership view, this one
+// included, and the sorted identifiers of those that callers are sent to.
+func (n *Node) counted() wasabiridge.InstancesCounted {
+	out := wasabiridge.InstancesCounted{Count: len(n.members.Members()) + 1}
+	for _, e := range n.activeEntries() {
+		out.Serving = append(out.Serving, e.ID)
+	}
+	slices.Sort(out.Serving)
+	return out
+}
+
+// watchCacheStores polls the KV cache stores and reports to the decision loop
+// which of them can be reached. An engine that is sent to an unreachable store
+// loses some hundred milliseconds.
+func (n *Node) watchCacheStores(ctx context.Context) {
+	if !n.waitFor(ctx, wasabiridge.Day, n.hasConfig) {
+		return
+	}
+	pool := wasabiconn.New(wasabiconn.Options{Clock: n.options.Clock, DialTimeout: cacheStoreDialTimeout, Silence: cacheStoreAckTimeout})
+	defer pool.Close()
+	settled := false
+	watch := wasabikept.New(wasabikept.Options{Reacher: pool, Active: func() bool { return settled && n.isActive() }})
+	ticker := time.NewTicker(wasabikept.Interval)
+	defer ticker.Stop()
+	for {
+		for _, polled := range watch.Look(ctx, n.activeConfig.Load().config.KeptCaches) {
+			if polled.Changed {
+				n.log.Info().Str("address", polled.Address).Bool("up", polled.Up).Msg("Reachability of KV cache store changed.")
+			}
+			n.loop.Observe(polled.KeptCacheSeen)
+		}
+		if !settled {
+			// With the first configuration all stores count as reachable. Otherwise an
+			// instance that has just started would let engines compute prefix segments
+			// that a store holds. The next poll waits for other instances, because only
+			// then is it known whether callers are sent to this one.
+			n.waitFor(ctx, restoreWait, func() bool { return !n.isAlone() })
+			settled = true
+			continue
+		}
+		select {
+		case <-ticker.C:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// metricsHandler serves the metrics, the quarantine and the quotas of this
+// instance to operators.
+func (n *Node) metricsHandler() http.Handler {
+	router := chi.NewRouter()
+	router.Mount("/quarantine", n.quarantine.Handler())
+	router.Mount("/quotas", n.quota.Handler())
+	router.NotFound(n.serveMetrics)
+	return router
+}
+
+func (n *Node) serveMetrics(w http.ResponseWriter, _ *http.Request) {
+	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
+	n.writeMetrics(w)
+}
--- a/internal/wasabinode/force.go
+++ b/internal/wasabinode/config.go
@@ -13,24 +13,26 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabirelay"
 )
 
-// inForce is the configuration with its backend servers. It is an immutable
-// value.
-type inForce struct {
-	config  *wasabiridge.Config
+// activeConfig is the configuration by which requests are handled, with the
+// backend servers filled in. It is immutable.
+type activeConfig struct {
+	config *wasabiridge.Config
+	// sharing is the result of sharingScope for the accounts of config.
 	sharing string
 }
 
-// adopt puts what the catalog knows in force.
+// adopt makes the configuration and the backend servers of a catalog view the
+// active ones, and posts what changed to the decision loop.
 func (n *Node) adopt(v wasabicatalog.View) {
 	if !v.ConfigKnown {
 		return
 	}
 	cfg := withBackends(v.Snapshot.Config, v.Backends.Entries)
-	before := n.inForce.Load()
-	n.inForce.Store(&inForce{config: &cfg, sharing: sharingOf(cfg.Accounts)})
+	before := n.activeConfig.Load()
+	n.activeConfig.Store(&activeConfig{config: &cfg, sharing: sharingScope(cfg.Accounts)})
 	n.loop.Post(wasabiridge.ConfigAdopted{Config: cfg})
-	for _, named := range v.Namings {
-		n.loop.Post(wasabiridge.WeightsNamed{Model: named.Model, Weights: named.Weights, At: n.namedAt(named)})
+	for _, target := range v.Namings {
+		n.loop.Post(wasabiridge.WeightsNamed{Model: target.Model, Weights: target.Weights, At: n.targetSetAt(target)})
 	}
 	for _, e := range v.Backends.Entries {
 		for _, model := range sortedModels(e.Weights) {
@@ -45,39 +47,43 @@
 	}
 }
 
-// logRestarts tells of backend servers that started again under their names.
+// logRestarts logs the backend servers whose incarnation rose between two
+// configurations.
 func (n *Node) logRestarts(before, now *wasabiridge.Config) {
-	lives := map[wasabiridge.BackendServerID]wasabiridge.Incarnation{}
+	incarnations := map[wasabiridge.BackendServerID]wasabiridge.Incarnation{}
 	for _, pool := range before.Pools {
 		for _, b := range pool.Backends {
-			lives[b.ID] = b.Incarnation
+			incarnations[b.ID] = b.Incarnation
 		}
 	}
 	for _, pool := range now.Pools {
 		for _, b := range pool.Backends {
-			if life := lives[b.ID]; life != 0 && b.Incarnation > life {
+			if previous := incarnations[b.ID]; previous != 0 && b.Incarnation > previous {
 				n.log.Info().Str(wasabilog.BackendField, string(b.ID)).Uint64("incarnation", uint64(b.Incarnation)).
-					Uint64("incarnation_before", uint64(life)).Msg("Backend server has restarted.")
+					Uint64("incarnation_before", uint64(previous)).Msg("Backend server has restarted.")
 			}
 		}
 	}
 }
 
-// freshStart is for how long after its start an instance that found a version
-// named, and nobody who knows since when, lets older weights answer. Without
-// that time nothing could be served until the first replicas are upgraded.
-const freshStart = 2500 * wasabiridge.Millis(1)
+// unknownAgeGrace is how long older weights still serve requests after this
+// instance first read a target version that no instance saw being set. Without
+// it an instance that has just started could serve nothing until the first
+// replicas are upgraded.
+const unknownAgeGrace = 2500 * wasabiridge.Millis(1)
 
-// namedAt is since when a version counts as named. One of unknown age may be
-// nearly due.
-func (n *Node) namedAt(v wasabicatalog.Named) wasabiridge.Millis {
+// targetSetAt returns the time at which a target version of weights counts as
+// set. When no instance saw it being set, the bound on older weights may be
+// nearly reached, so all but unknownAgeGrace of it counts as used up.
+func (n *Node) targetSetAt(v wasabicatalog.Named) wasabiridge.Millis {
 	if v.Witnessed {
 		return v.At
 	}
-	return v.At - (n.bounds.WeightsLife - weightsMargin) + freshStart
+	return v.At - (n.bounds.WeightsLife - weightsMargin) + unknownAgeGrace
 }
 
-// withBackends fills the pools with the backend servers that may get work.
+// withBackends returns the configuration with each pool's backend servers,
+// without those that are leaving.
 func withBackends(cfg wasabiridge.Config, entries []wasabiridge.BackendEntry) wasabiridge.Config {
 	byPool := map[wasabiridge.PoolID][]wasabiridge.BackendServer{}
 	for _, e := range entries {
@@ -94,13 +100,14 @@
 	return cfg
 }
 
-// sharingOf names the set of accounts that share cached parts, by those that
-// do not.
+// sharingScope names the set of accounts that share cached prefix segments. The
+// name is a hash of the isolated accounts, which are not in the set.
 //
 // The failure it guards against: an account becomes isolated, or stops being
-// so, and requests of others find parts that it left in a cache. With every
-// change of the set all accounts look under a new name.
-func sharingOf(accounts []wasabiridge.ClientAccount) string {
+// isolated, and requests of other accounts hit segments that it left in a
+// cache. The name enters the cache keys, so every change of the set makes the
+// earlier entries unreachable to all accounts.
+func sharingScope(accounts []wasabiridge.ClientAccount) string {
 	var isolated []string
 	for _, a := range accounts {
 		if a.Isolated {
@@ -120,26 +127,29 @@
 	return out
 }
 
-// view is what the relay needs to know.
+// view returns the active configuration for the relay, with the time at which
+// it was last confirmed to be current.
 func (n *Node) view() wasabirelay.View {
-	f := n.inForce.Load()
-	return wasabirelay.View{Config: f.config, Proven: n.catalog.View().ConfigProven, Sharing: f.sharing}
+	active := n.activeConfig.Load()
+	return wasabirelay.View{Config: active.config, Proven: n.catalog.View().ConfigProven, Sharing: active.sharing}
 }
 
-// wantedWeights is what the upgrade needs to know.
+// wantedWeights returns the backend servers and the target version of each
+// model's weights, for the upgrade.
 func (n *Node) wantedWeights() ([]wasabiridge.BackendEntry, map[wasabiridge.ModelID]wasabiridge.WeightsVersion) {
 	v := n.catalog.View()
 	return v.Backends.Entries, v.Snapshot.Weights
 }
 
-// connectionShare is the part of a backend server's connections that all
-// instances use. The rest is for instances that are not known here yet.
+// connectionShare is the fraction of a backend server's connections that the
+// instances in the membership view divide between them. The rest is reserved for
+// instances that are not in the view yet.
 const connectionShare = 0.8
 
 // ConnectionLimit returns how many connections this instance may have to a
 // backend server, or zero for any number.
 func (n *Node) ConnectionLimit(b wasabiridge.BackendServer) int {
-	for _, pool := range n.inForce.Load().config.Pools {
+	for _, pool := range n.activeConfig.Load().config.Pools {
 		if pool.Connections == 0 {
 			continue
 		}
@@ -153,11 +163,13 @@
 	return 0
 }
 
-// Observe takes what answers tell of their backend servers. News that finds
-// the loop full is lost; the next answer brings newer.
+// Observe takes an event that was read from a response of a backend server,
+// such as its load or its limit. It does not block: when the queue of the
+// decision loop is full the event is dropped, and the next response brings newer
+// values.
 func (n *Node) Observe(e wasabiridge.Event) {
-	if named, ok := e.(wasabiridge.LimitNamed); ok {
-		n.limits.note(named, n.options.Clock.Now())
+	if limit, ok := e.(wasabiridge.LimitNamed); ok {
+		n.limits.record(limit, n.options.Clock.Now())
 	}
 	n.loop.Observe(e)
 }
--- a/internal/wasabinode/crash_test.go
+++ b/internal/wasabinode/crash_test.go
@@ -11,10 +11,10 @@
 	"github.com/wasabiridge/wasabiridge/platform/standin"
 )
 
-// fatal is the body of a request that ends every engine that runs it.
+// fatal is the body of a request that crashes every engine that runs it.
 const fatal = "ends engines"
 
-// crashRig is a platform with engines that some request ends.
+// crashRig is a platform with engines that crash on the body fatal.
 type crashRig struct {
 	*rig
 	engines []*standin.Replica
@@ -33,15 +33,15 @@
 	return g
 }
 
-// begin starts a node and waits until it serves.
-func (g *crashRig) begin() *running {
+// startServing starts a node and waits until it serves.
+func (g *crashRig) startServing() *running {
 	n := g.start()
 	Eventually(status(n.caller, "/chat/x", "k"), "5s").Should(Equal(http.StatusOK))
 	return n
 }
 
-// ended counts the engines that ended.
-func (g *crashRig) ended() int {
+// crashes returns how often engines crashed.
+func (g *crashRig) crashes() int {
 	n := 0
 	for _, e := range g.engines {
 		n += e.Ends()
@@ -49,65 +49,63 @@
 	return n
 }
 
-// send sends the request that ends engines under a new identifier.
+// send sends the request that crashes engines, under a new identifier.
 func (g *crashRig) send(n *running) (int, http.Header) {
 	g.sent++
-	code, header, _, _ := askBody(n.caller, "/chat/x", fmt.Sprint("again", g.sent), "k", "", fatal)
+	code, header, _, _ := sendBody(n.caller, "/chat/x", fmt.Sprint("again", g.sent), "k", "", fatal)
 	return code, header
 }
 
-// Story: an engine ends, and its callers' streams are cut; a moment later the next one
-// ends, and so on through the whole pool. One request ends every engine that runs it.
-// Its caller sends it again, each time under another identifier and at another
-// instance. The cause: nothing was remembered of a request beyond its identifier, and
-// no instance told the others, so each send was a new request. Proof: logs show the
-// same account, rule, size and shared part right before each end, and with one body
-// that ends what runs it, twelve sends end an engine each, and more with retries.
-var _ = Describe("A request that ends every engine that runs it", func() {
-	// allowed is how many engines may end under it, and how often it may be sent on
-	// after that.
+// Guards against a request that crashes the engines of a whole pool one after the other,
+// and with each of them aborts the streams of other callers. Its caller sends it again,
+// each time under another identifier and to another instance. If instances recognise a
+// request by its identifier only and send each other no updates on crashes, each send
+// counts as a new request: twelve sends crash an engine each, and more with retries. In
+// the logs the same account, rule, size and shared prefix segment precede each crash.
+var _ = Describe("A request that crashes every engine that runs it", func() {
+	// allowed is how many engines it may crash, and further how often it may be sent to an
+	// engine after that.
 	const allowed, further = 3, 3
 	const sends = 12
 
-	It("is not sent on from engine to engine, and is said not to have run", func() {
+	It("is not sent from engine to engine, and is refused as not run", func() {
 		g := newCrashRig(8)
-		nodes := []*running{g.begin(), g.begin(), g.begin()}
+		nodes := []*running{g.startServing(), g.startServing(), g.startServing()}
 		var last int
 		var header http.Header
 		for i := range sends {
 			last, header = g.send(nodes[i%len(nodes)])
-			// Instances hear of each other within this time.
+			// Updates on crashes reach the other instances within this time.
 			time.Sleep(150 * time.Millisecond)
 		}
-		Expect(g.ended()).To(BeNumerically("<=", allowed+further))
+		Expect(g.crashes()).To(BeNumerically("<=", allowed+further))
 		Expect(last).To(Equal(http.StatusServiceUnavailable))
-		Expect(header.Get("Retry-After")).To(BeEmpty(), "it is not invited back")
+		Expect(header.Get("Retry-After")).To(BeEmpty(), "the caller must not be asked to retry")
 		for _, n := range nodes {
 			Eventually(status(n.caller, "/chat/x", "k"), "5s").Should(Equal(http.StatusOK), "other requests")
 		}
 	})
 
-	// Story: all instances are replaced at once, and the request comes again. It ends
-	// three more engines, as if it had never been seen. The cause: what is held against it
-	// was known to the instances only, and they keep nothing. Proof: with every instance
-	// new, the engines that end are counted anew.
-	It("is known to instances that have all started since", func() {
+	// Guards against a block that does not survive the replacement of all instances at
+	// once. If only the instances' memory holds the evidence, new instances count the
+	// crashes of the request from zero, and it crashes three more engines.
+	It("stays blocked after all instances were replaced", func() {
 		g := newCrashRig(8)
-		first := g.begin()
+		first := g.startServing()
 		Eventually(func() int { code, _ := g.send(first); return code }, "10s", "200ms").Should(Equal(http.StatusServiceUnavailable))
-		before := g.ended()
-		// The row is written behind the decision.
+		before := g.crashes()
+		// The row is written asynchronously, after the request was refused.
 		time.Sleep(300 * time.Millisecond)
 		first.node.Drain()
 		Eventually(first.done, "8s").Should(Receive())
 		first.done <- nil
 		g.nodes = nil
-		second := g.begin()
+		second := g.startServing()
 		Eventually(second.log.String, "5s").Should(ContainSubstring("Bars read."))
 		for range 3 {
 			code, _ := g.send(second)
 			Expect(code).To(Equal(http.StatusServiceUnavailable))
 		}
-		Expect(g.ended()).To(Equal(before))
+		Expect(g.crashes()).To(Equal(before))
 	})
 })
--- a/internal/wasabinode/export_test.go
+++ b/internal/wasabinode/export_test.go
@@ -6,11 +6,12 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// AcceptFor is acceptFor.
+// AcceptFor exports acceptFor to the tests.
 var AcceptFor = acceptFor
 
-// ReadRoster returns the instances that one finds that knows nobody.
+// ReadRoster returns the instances that an instance finds in the table when its
+// membership view holds no other.
 func ReadRoster(ctx context.Context, table wasabiridge.Table) ([]wasabiridge.InstanceEntry, error) {
-	r := &roster{table: table, asked: true, alone: func() bool { return true }}
+	r := &roster{table: table, queried: true, alone: func() bool { return true }}
 	return r.Instances(ctx)
 }
--- a/internal/wasabinode/lifecycle.go
+++ b/internal/wasabinode/lifecycle.go
@@ -12,7 +12,8 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabisettings"
 )
 
-// listen opens the listeners for callers, the directory and the checks.
+// listen opens the listeners for callers, readiness checks, metrics and the
+// directory of addresses.
 func (n *Node) listen() error {
 	h := n.options.Settings.Hosted
 	if err := n.serve("caller", n.options.Settings.Caller.Listen, n.relay); err != nil {
@@ -27,7 +28,8 @@
 	return n.serve("directory", h.Directory, n.options.Platform.Directory(n.nearest))
 }
 
-// serve opens a listener, unless its address is empty.
+// serve opens a listener for a handler, unless the address is empty. Run starts
+// serving on it.
 func (n *Node) serve(part, address string, h http.Handler) error {
 	if address == "" {
 		return nil
@@ -44,17 +46,19 @@
 	return nil
 }
 
-// ready reports whether requests are taken.
+// ready reports whether this instance accepts requests: it has a configuration
+// and is not draining.
 func (n *Node) ready() bool {
-	return !n.leaving.Load() && n.inForce.Load().config.Version > 0
+	return !n.leaving.Load() && n.activeConfig.Load().config.Version > 0
 }
 
-// Run serves until the node is drained. It returns nil when no request was
-// cut.
+// Run serves until the node is drained. It returns nil when all requests were
+// completed, and ErrUnavailable when a listener failed or requests were still
+// open at the end of the grace period.
 func (n *Node) Run() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	n.startDuties(ctx)
+	n.startBackgroundTasks(ctx)
 	failed := make(chan error, len(n.servers))
 	for i, server := range n.servers {
 		go func() { failed <- server.Serve(n.sockets[i]) }()
@@ -69,11 +73,12 @@
 	return n.finish()
 }
 
-// Reload takes the bounds of new settings. What only counts at the start, such
-// as addresses, stays as it is, and the log says so.
+// Reload applies the bounds of new settings. Settings that are read only at the
+// start, such as addresses, keep their values; the log line reports whether a
+// restart is needed for them.
 func (n *Node) Reload(s wasabisettings.Settings) {
 	if s.Hosted == nil {
-		n.log.Error().Msg("Settings without a section hosted are not taken.")
+		n.log.Error().Msg("Settings not applied: they have no section hosted.")
 		return
 	}
 	terms := s.Hosted.Bounds.Terms()
@@ -83,8 +88,9 @@
 		Msg("Settings reloaded.")
 }
 
-// Drain makes the node leave. It returns at once; Run returns when the last
-// request is answered. A second call changes nothing.
+// Drain starts to shut the node down. It returns at once; Run returns when the
+// last request is completed or the grace period is over. Further calls have no
+// effect.
 func (n *Node) Drain() {
 	n.once.Do(func() {
 		n.leaving.Store(true)
@@ -96,31 +102,33 @@
 	})
 }
 
-// acceptFor is how long after it began to leave a node takes requests, of the time that
-// it has to end.
+// acceptFor returns how long a draining node keeps accepting requests, given the
+// grace period in which the process must end.
 //
-// The failure it guards against: a long request comes late, is taken, and is cut when the
-// process must end. Its caller would have been served elsewhere.
+// The failure it guards against: a long request arrives late, is accepted, and is
+// aborted when the process must end. Another instance could have completed it.
 func acceptFor(grace wasabiridge.Millis) wasabiridge.Millis {
-	return min(acceptMost, wasabiridge.Millis(drainShare*float64(grace)))
+	return min(maxAccept, wasabiridge.Millis(drainShare*float64(grace)))
 }
 
-// finish ends the process after its last request.
+// finish waits for the open requests within the grace period and then closes the
+// node.
 func (n *Node) finish() error {
-	rest := n.bounds.Grace - acceptFor(n.bounds.Grace) - endMargin
-	ctx, cancel := context.WithTimeout(context.Background(), rest.Duration())
+	remaining := n.bounds.Grace - acceptFor(n.bounds.Grace) - endMargin
+	ctx, cancel := context.WithTimeout(context.Background(), remaining.Duration())
 	defer cancel()
 	var err error
 	if failed := n.servers[0].Shutdown(ctx); failed != nil {
-		n.log.Error().Int("open", n.relay.Open()).Msg("Time to end passed; open requests are cut.")
-		err = wasabiridge.ErrUnavailable.Wrap(failed, "node: ended with open requests")
+		n.log.Error().Int("open", n.relay.Open()).Msg("Grace period over; aborting open requests.")
+		err = wasabiridge.ErrUnavailable.Wrap(failed, "node: grace period ended with open requests")
 	}
 	n.close()
 	n.log.Info().Msg("Ended.")
 	return err
 }
 
-// close ends what holds goroutines or connections.
+// close closes the listeners, the peer connections and the decision loop. Parts
+// that New did not reach are nil and skipped.
 func (n *Node) close() {
 	for _, server := range n.servers {
 		_ = server.Close()
--- a/internal/wasabinode/limit.go
+++ b/internal/wasabinode/limit.go
@@ -11,72 +11,77 @@
 )
 
 const (
-	// limitLineInterval is how often the limit of a server is told at most while only its
-	// rate changes.
-	limitLineInterval = wasabiridge.Second
-	// limitMemory is how long a server that names no limit any more is kept, and
-	// limitsMost how many servers are.
-	limitMemory = wasabiridge.Minute
-	limitsMost  = 4096
+	// limitLogInterval is the shortest time between two log lines on the limit of one
+	// server while only its rate changes.
+	limitLogInterval = wasabiridge.Second
+	// limitRetention is how long a server that reports no limit any more is remembered,
+	// and maxLimits bounds how many servers are.
+	limitRetention = wasabiridge.Minute
+	maxLimits      = 4096
 )
 
-// serverLimit is what a server said last of its limit, to this instance.
+// serverLimit is the limit that a backend server last reported to this instance.
 type serverLimit struct {
 	wasabiridge.LimitNamed
-	since, told, heard wasabiridge.Millis
+	// since is when the server began to be limited or ceased to be, loggedAt when a
+	// line on it was last logged, and receivedAt when it was last received.
+	since, loggedAt, receivedAt wasabiridge.Millis
 }
 
-// serverLimits writes down which servers name a limit. It is safe for concurrent use.
+// serverLimits records and logs which backend servers report a limit. It is safe for
+// concurrent use.
 type serverLimits struct {
 	log zerolog.Logger
 
-	mu    sync.Mutex
-	named map[wasabiridge.BackendServerID]serverLimit
+	mu       sync.Mutex
+	byServer map[wasabiridge.BackendServerID]serverLimit
 }
 
-// note takes what an answer says.
-func (l *serverLimits) note(e wasabiridge.LimitNamed, now wasabiridge.Millis) {
+// record takes the limit that a response reported. One that belongs to an older request
+// than the limit on record is ignored.
+func (l *serverLimits) record(e wasabiridge.LimitNamed, now wasabiridge.Millis) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	before, known := l.named[e.Backend]
-	if !known && (!e.Limited && e.Fault == "" || len(l.named) >= limitsMost) {
+	before, known := l.byServer[e.Backend]
+	if !known && (!e.Limited && e.Fault == "" || len(l.byServer) >= maxLimits) {
 		return
 	}
 	if known && e.Asked < before.Asked {
 		return
 	}
-	after := serverLimit{LimitNamed: e, since: before.since, told: before.told, heard: now}
+	after := serverLimit{LimitNamed: e, since: before.since, loggedAt: before.loggedAt, receivedAt: now}
 	if !known || before.Limited != e.Limited {
 		after.since = now
 	}
 	changed := !known || before.Limited != e.Limited || before.Fault != e.Fault
-	if changed || before.Rate != e.Rate && now-before.told >= limitLineInterval {
-		after.told = now
+	if changed || before.Rate != e.Rate && now-before.loggedAt >= limitLogInterval {
+		after.loggedAt = now
 		l.log.Info().Str(wasabilog.BackendField, string(e.Backend)).Bool("limited", e.Limited).Float64("rate", e.Rate).
 			Str("error", e.Fault).Int64("asked_ms_ago", int64(now-e.Asked)).Int64("since_ms", int64(now-after.since)).
-			Msg("Server names its limit.")
+			Msg("Backend server reported its limit.")
 	}
-	l.named[e.Backend] = after
+	l.byServer[e.Backend] = after
 	if !e.Limited && e.Fault == "" {
-		l.drop(now)
+		l.evictStale(now)
 	}
 }
 
-// drop forgets servers that have named no limit for long.
-func (l *serverLimits) drop(now wasabiridge.Millis) {
-	for id, s := range l.named {
-		if now-s.heard > limitMemory {
-			delete(l.named, id)
+// evictStale removes servers that were not recorded within limitRetention.
+func (l *serverLimits) evictStale(now wasabiridge.Millis) {
+	for id, s := range l.byServer {
+		if now-s.receivedAt > limitRetention {
+			delete(l.byServer, id)
 		}
 	}
 }
 
-// lines tells which servers name a limit now.
+// lines returns one metrics line for each server that is limited now, in thousandths of
+// requests a second.
 func (l *serverLimits) lines() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []string
-	for id, s := range l.named {
+	for id, s := range l.byServer {
 		if s.Limited {
 			out = append(out, line("server_limit_milli{backend=\""+string(id)+"\"}", int64(1000*min(s.Rate, 1e9))))
 		}
--- a/internal/wasabinode/limit_test.go
+++ b/internal/wasabinode/limit_test.go
@@ -22,9 +22,10 @@
 	return string(body)
 }
 
-// Guards against servers in need that get what they got before.
-var _ = Describe("A server that names its limit", func() {
-	It("gets no more than it takes, until it names none", func() {
+// Guards against an overloaded backend server that reports a limit and is still sent as
+// many requests as before.
+var _ = Describe("A backend server that reports a limit", func() {
+	It("is sent no more than the limit until it reports none", func() {
 		g := newRig()
 		engines := map[string]*standin.Replica{}
 		for _, id := range []string{"e1", "e2"} {
@@ -34,33 +35,33 @@
 		g.configure(1, "k")
 		n := g.start()
 		sent := 0
-		send := func(count int) {
+		sendMany := func(count int) {
 			for range count {
 				sent++
-				status, _, err := ask(n.caller, "/chat/x", fmt.Sprint("a", sent), "k")
+				status, _, err := send(n.caller, "/chat/x", fmt.Sprint("a", sent), "k")
 				Expect(err).NotTo(HaveOccurred())
 				Expect(status).To(Equal(http.StatusOK))
 			}
 		}
 		Eventually(status(n.caller, "/chat/x", "k"), "5s").Should(Equal(http.StatusOK))
-		send(20)
-		Expect(engines["e1"].Runs()).NotTo(BeEmpty(), "both get work")
+		sendMany(20)
+		Expect(engines["e1"].Runs()).NotTo(BeEmpty(), "both engines receive requests")
 		engines["e1"].SetLimits("2")
 		Eventually(func() string {
-			send(1)
+			sendMany(1)
 			return n.log.String()
 		}, "5s").Should(ContainSubstring(`"rate":2`))
 		Eventually(func() string { return metricsOf(n) }).Should(ContainSubstring(`server_limit_milli{backend="e1"} 2000`))
 		began, before := time.Now(), len(engines["e1"].Runs())
-		send(100)
+		sendMany(100)
 		took := time.Since(began).Seconds()
 		Expect(float64(len(engines["e1"].Runs())-before)).To(BeNumerically("<=", 1+2*took), "100 requests in %.2f s", took)
 
 		engines["e1"].SetLimits()
 		Eventually(func() string {
-			send(5)
+			sendMany(5)
 			return metricsOf(n)
 		}, "10s").ShouldNot(ContainSubstring("server_limit_milli"))
-		Expect(strings.Count(n.log.String(), "Server names its limit.")).To(Equal(2))
+		Expect(strings.Count(n.log.String(), "Backend server reported its limit.")).To(Equal(2))
 	})
 })
--- a/internal/wasabinode/metrics.go
+++ b/internal/wasabinode/metrics.go
@@ -8,11 +8,11 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabireplica"
 )
 
-// writeMetrics writes counters, ages and times, one a line, ordered by name.
+// writeMetrics writes counters, ages and latencies, one a line, sorted by name.
 func (n *Node) writeMetrics(w io.Writer) {
 	now := n.options.Clock.Now()
 	v := n.catalog.View()
-	reads, failed, asked := n.catalog.Calls()
+	reads, failed, queries := n.catalog.Calls()
 	dropped := uint64(0)
 	if n.options.LinesDropped != nil {
 		dropped = n.options.LinesDropped()
@@ -26,7 +26,7 @@
 		line("members", int64(len(n.members.Members()))),
 		line("platform_reads_total", int64(reads)),
 		line("platform_reads_failed_total", int64(failed)),
-		line("peers_asked_total", int64(asked)),
+		line("peers_asked_total", int64(queries)),
 		line("events_dropped_total", int64(n.loop.Dropped())),
 		line("log_lines_dropped_total", int64(dropped)),
 	}
@@ -48,7 +48,7 @@
 			line("upgrades_ms{phase=\""+p.Name+"\",quantile=\"0.95\"}", p.P95),
 		)
 	}
-	lines = append(lines, n.learnedLines()...)
+	lines = append(lines, n.engineLines()...)
 	lines = append(lines, n.retryLines()...)
 	lines = append(lines, n.limits.lines()...)
 	lines = append(lines, n.quarantineLines()...)
@@ -59,12 +59,13 @@
 	}
 }
 
-// learnedLines tells what was learned of the engines, times in microseconds.
-func (n *Node) learnedLines() []string {
-	var learned []wasabireplica.Learned
-	n.loop.Inspect(func() { learned = n.placer.Learned() })
+// engineLines returns the estimated speed of the engines, by pool and model, with
+// times in microseconds.
+func (n *Node) engineLines() []string {
+	var estimates []wasabireplica.Learned
+	n.loop.Inspect(func() { estimates = n.placer.Learned() })
 	var lines []string
-	for _, l := range learned {
+	for _, l := range estimates {
 		labels := "{pool=\"" + string(l.Pool) + "\",model=\"" + string(l.Model) + "\"}"
 		lines = append(lines,
 			line("engine_first_token_us"+labels, int64(1000*l.FirstToken)),
@@ -76,7 +77,8 @@
 	return lines
 }
 
-// retryLines tells of further attempts and of the budget that bounds them.
+// retryLines returns the retries that the retry budget of each pool granted and
+// denied, and the number of instances by which the budget is divided.
 func (n *Node) retryLines() []string {
 	var retries []wasabireplica.Retries
 	n.loop.Inspect(func() { retries = n.placer.Retries(n.options.Clock.Now()) })
@@ -92,20 +94,21 @@
 	return lines
 }
 
-// quarantineLines tells of requests under which servers ended.
+// quarantineLines returns the counts of requests that are suspected of crashing
+// backend servers, and of those that are blocked for it.
 func (n *Node) quarantineLines() []string {
 	entries, counts := n.quarantine.Snapshot()
-	suspects, barred := 0, 0
+	suspects, blocked := 0, 0
 	for _, e := range entries {
 		if e.Barred {
-			barred++
+			blocked++
 		} else {
 			suspects++
 		}
 	}
 	return []string{
 		line("quarantine_suspects", int64(suspects)),
-		line("quarantine_barred", int64(barred)),
+		line("quarantine_barred", int64(blocked)),
 		line("quarantine_barred_total", int64(counts.Barred)),
 		line("quarantine_lifted_total", int64(counts.Lifted)),
 		line("quarantine_refused_total", int64(counts.Refused)),
@@ -114,7 +117,8 @@
 	}
 }
 
-// quotaLines tells of the limits of client accounts.
+// quotaLines returns this instance's quota share, the state of the quota owners,
+// and the level and use of each client account that was used here.
 func (n *Node) quotaLines() []string {
 	s := n.quota.Snapshot()
 	lines := []string{
--- a/internal/wasabinode/node.go
+++ b/internal/wasabinode/node.go
@@ -1,14 +1,15 @@
-// Package wasabinode joins the parts of a router that runs on a platform whose
-// operators write the configuration into its store: the listeners, the loop of
-// decisions, the relay, the catalog, the membership and the upgrade of weights.
+// Package wasabinode assembles a router instance for a platform whose operators
+// write the configuration into the platform's store: the listeners, the decision
+// loop, the relay, the catalog, the membership and the upgrade of weights.
 //
-// # Life
+// # Lifecycle
 //
-// A node listens at once. It refuses requests as not run until it knows a
-// configuration, from the platform or from another instance, whichever answers
-// first. On Drain it is neither ready nor named any more, goes on accepting
-// for a while what callers with older answers send, then finishes what it has
-// and ends well before the platform would kill it.
+// A node listens as soon as it is created. Until it has a configuration, from the
+// platform or from another instance, whichever responds first, it refuses requests
+// and reports them as not run. After Drain it reports that it is not ready and is
+// left out of the addresses that callers are given. For a while it still accepts
+// requests of callers that hold older addresses; then it completes the open
+// requests and ends well before the platform would kill it.
 //
 // # Usage
 //
@@ -51,44 +52,49 @@
 )
 
 const (
-	// keyMargin is how much earlier than the bound a key is not used any more.
-	// It covers the way of a request to a backend server.
+	// keyMargin is how long before its bound an API key is no longer accepted. It
+	// covers the transit of a request to a backend server.
 	keyMargin = 500 * wasabiridge.Millis(1)
-	// weightsMargin is the same for the begin of answers on older weights.
+	// weightsMargin is how long before their bound older weights are no longer
+	// used. It covers the time to the first byte of a response.
 	weightsMargin = 400 * wasabiridge.Millis(1)
-	// denyShare is the part, in hundredths, of the time in which a
-	// configuration must be in force after which a caller is not told any more
-	// that its route or key does not exist.
-	denyShare = 75
-	// drainShare is the part of the grace time in which requests are still
-	// accepted after the node began to leave.
+	// denyPercent is the percentage of the bound on the age of a configuration
+	// after which a caller is no longer told that its route or key does not exist:
+	// a newer configuration may hold it.
+	denyPercent = 75
+	// drainShare is the fraction of the grace period in which a draining node
+	// still accepts requests.
 	drainShare = 0.4
-	// acceptMost is how long that is at most, so that a long request that came late can
-	// still end.
-	acceptMost = 2800 * wasabiridge.Millis(1)
-	// endMargin is how long before the end of the grace time the process ends.
+	// maxAccept bounds that time, so that a long request that arrives late can
+	// still be completed.
+	maxAccept = 2800 * wasabiridge.Millis(1)
+	// endMargin is how long before the end of the grace period the process ends.
 	endMargin = 400 * wasabiridge.Millis(1)
-	// addressShare is the part of the longest time that address answers hold.
-	// Some callers keep them three times as long, and an instance that leaves
-	// should not be among them for longer than it accepts requests.
+	// addressShare is the fraction of the configured lifetime of addresses that
+	// callers are given. Some callers keep addresses three times as long as they
+	// are told, and they should not hold those of a draining instance for longer
+	// than it accepts requests.
 	addressShare = 0.4
-	// attemptBits leaves room for the attempts of one life.
+	// attemptBits is the number of low bits of an attempt identifier that count the
+	// attempts of one incarnation.
 	attemptBits = 20
-	// ringSize bounds the events that wait for the decisions.
+	// ringSize bounds the events that are queued for the decision loop.
 	ringSize = 4096
-	// openPeerKey stands for the secret of instances whose listener nobody
-	// else can reach.
+	// openPeerKey takes the place of the shared secret where no other process can
+	// reach the peer listener.
 	openPeerKey = "wasabiridge: open peer network"
-	// idleTimeout is how long a caller's connection may wait for its next
-	// request. It is longer than callers keep connections: a request that
-	// crosses the closing of its connection is lost to its caller.
+	// idleTimeout is how long a caller's connection may be idle. It is longer than
+	// callers keep connections: a request that is sent while the server closes its
+	// connection is lost.
 	idleTimeout = 2 * time.Minute
-	// headerTimeout bounds the time to read a request's header.
+	// headerTimeout bounds the time to read a request's header, and maxHeader the
+	// header's size in bytes.
 	headerTimeout = 5 * time.Second
 	maxHeader     = 64 << 10
 )
 
-// Platform is how the platform speaks. All fields are needed.
+// Platform holds the adapters to the platform: its protocol, store and engines.
+// All fields but Mover are required.
 type Platform struct {
 	Protocol wasabiridge.CallerProtocol
 	Runner   wasabiridge.AttemptRunner
@@ -96,60 +102,64 @@
 	Table    wasabiridge.Table
 	Engines  wasabiridge.EngineOperator
 	Caches   wasabiridge.CacheReader
-	// Mover moves running answers. Nil means that none are moved.
+	// Mover migrates in-flight requests between backend servers. With nil none are
+	// migrated.
 	Mover wasabiridge.RunMover
-	// Directory makes the handler that tells callers where to connect, Ready
-	// the one that tells the platform whether requests are taken.
+	// Directory returns the handler that gives callers the addresses of instances.
+	// Ready returns the handler of the platform's readiness check.
 	Directory func(nearest func(wasabiridge.AvailabilityZone) ([]string, wasabiridge.Millis)) http.Handler
 	Ready     func(ready func() bool) http.Handler
 }
 
-// Options are the parts of a node. All but Log are needed.
+// Options configure a node. All fields but Log and LinesDropped are required.
 type Options struct {
 	Settings wasabisettings.Settings
 	Clock    wasabiridge.Clock
 	Platform Platform
-	// Log is where log lines go. Nil drops them. It must not block.
+	// Log receives the log lines. With nil they are discarded. It must not block.
 	Log io.Writer
-	// LinesDropped counts the lines that Log has lost. Nil means none.
+	// LinesDropped returns the number of lines that Log has dropped. Nil means none.
 	LinesDropped func() uint64
 }
 
-// Node is one router. It is safe for concurrent use.
+// Node is one router instance. It is safe for concurrent use.
 type Node struct {
 	options Options
 	bounds  wasabisettings.Terms
-	// terms are the bounds by the newest settings. Those that only count at the
-	// start are taken from bounds.
+	// terms are the bounds of the last settings that were applied. Bounds that are
+	// used only at the start are read from bounds.
 	terms       atomic.Pointer[wasabisettings.Terms]
 	log         zerolog.Logger
 	incarnation wasabiridge.Incarnation
 	timeline    *wasabitimeline.Log
 	loop        *wasabiloop.Loop
 	placer      *wasabireplica.Placer
-	placed      chan struct{}
-	limits      serverLimits
-	emptied     chan wasabiridge.BackendServerID
-	quarantine  *wasabiquarantine.Keeper
-	quota       *wasabiquota.Keeper
-	relay       *wasabirelay.Relay
-	catalog     *wasabicatalog.Keeper
-	upgrade     *wasabiupgrade.Keeper
-	client      *wasabipeer.Client
-	server      *wasabipeer.Server
-	members     *wasabimember.Keeper
-	book        *wasabiaddress.Book
-	roster      *roster
-	inForce     atomic.Pointer[inForce]
-	sockets     []net.Listener
-	servers     []*http.Server
-	leaving     atomic.Bool
-	once        sync.Once
-	drained     chan struct{}
+	// placed wakes publishPlacements.
+	placed chan struct{}
+	limits serverLimits
+	// migrationQueue holds the backend servers whose requests wait for migration.
+	migrationQueue chan wasabiridge.BackendServerID
+	quarantine     *wasabiquarantine.Keeper
+	quota          *wasabiquota.Keeper
+	relay          *wasabirelay.Relay
+	catalog        *wasabicatalog.Keeper
+	upgrade        *wasabiupgrade.Keeper
+	client         *wasabipeer.Client
+	server         *wasabipeer.Server
+	members        *wasabimember.Keeper
+	book           *wasabiaddress.Book
+	roster         *roster
+	activeConfig   atomic.Pointer[activeConfig]
+	sockets        []net.Listener
+	servers        []*http.Server
+	leaving        atomic.Bool
+	once           sync.Once
+	drained        chan struct{}
 }
 
-// New opens the listeners and joins the parts. It reports ErrInvalid for
-// settings that cannot be used and ErrUnavailable for an address that is taken.
+// New opens the listeners and assembles the node; Run serves. It returns
+// ErrInvalid for settings that cannot be used and ErrUnavailable for an address
+// on which it cannot listen.
 func New(o Options) (*Node, error) {
 	if o.Settings.Hosted == nil {
 		return nil, wasabiridge.ErrInvalid.New("node: the settings have no section hosted")
@@ -158,31 +168,32 @@
 		o.Log = io.Discard
 	}
 	n := &Node{
-		options:     o,
-		bounds:      o.Settings.Hosted.Bounds.Terms(),
-		incarnation: wasabiridge.Incarnation(o.Clock.Now()),
-		drained:     make(chan struct{}),
-		placed:      make(chan struct{}, 1),
-		emptied:     make(chan wasabiridge.BackendServerID, emptiedSize),
+		options:        o,
+		bounds:         o.Settings.Hosted.Bounds.Terms(),
+		incarnation:    wasabiridge.Incarnation(o.Clock.Now()),
+		drained:        make(chan struct{}),
+		placed:         make(chan struct{}, 1),
+		migrationQueue: make(chan wasabiridge.BackendServerID, migrationQueueSize),
 	}
 	n.log = wasabilog.New(o.Log, o.Settings.LogLevel).With().Str(wasabilog.InstanceField, string(o.Settings.Instance)).Logger()
-	n.inForce.Store(&inForce{config: &wasabiridge.Config{}})
+	n.activeConfig.Store(&activeConfig{config: &wasabiridge.Config{}})
 	n.terms.Store(&n.bounds)
-	if err := n.join(); err != nil {
+	if err := n.assemble(); err != nil {
 		n.close()
 		return nil, err
 	}
 	return n, nil
 }
 
-// join makes the parts and lets them know each other.
-func (n *Node) join() error {
+// assemble creates the components, connects them to each other and opens the
+// listeners.
+func (n *Node) assemble() error {
 	o, s := n.options, n.options.Settings
 	seed := uint64(s.Seed)
 	if seed == 0 {
 		seed = rand.Uint64()
 	}
-	n.limits = serverLimits{log: wasabilog.Part(n.log, "limit"), named: map[wasabiridge.BackendServerID]serverLimit{}}
+	n.limits = serverLimits{log: wasabilog.Part(n.log, "limit"), byServer: map[wasabiridge.BackendServerID]serverLimit{}}
 	n.timeline = wasabitimeline.New(wasabitimeline.Options{Instance: s.Instance, Clock: o.Clock})
 	n.placer = wasabireplica.New(wasabireplica.Options{
 		Seed: seed, Self: s.Instance, Zone: s.Zone, WeightsBound: n.bounds.WeightsLife - weightsMargin,
@@ -191,15 +202,15 @@
 	n.quarantine = wasabiquarantine.NewKeeper(wasabiquarantine.KeeperOptions{
 		Self: s.Instance, Incarnation: n.incarnation, Clock: o.Clock, Seed: seed, Log: wasabilog.Part(n.log, "quarantine"),
 		Members: func() []wasabiridge.Member { return n.members.Members() }, Active: n.activeEntries, Rows: o.Platform.Table,
-		Tell: func(ctx context.Context, address string, news wasabiridge.News) error {
-			return n.client.TellNews(ctx, address, news)
+		Tell: func(ctx context.Context, address string, update wasabiridge.News) error {
+			return n.client.TellNews(ctx, address, update)
 		},
 	})
 	n.quota = wasabiquota.NewKeeper(wasabiquota.KeeperOptions{
 		Self: s.Instance, Incarnation: n.incarnation, Clock: o.Clock, Log: wasabilog.Part(n.log, "quota"), Rows: o.Platform.Table,
 		Members: func() []wasabiridge.Member { return n.members.Members() }, Active: n.activeEntries,
-		Tell: func(ctx context.Context, address string, news wasabiridge.News) error {
-			return n.client.TellNews(ctx, address, news)
+		Tell: func(ctx context.Context, address string, update wasabiridge.News) error {
+			return n.client.TellNews(ctx, address, update)
 		},
 	})
 	core := wasabicore.New(wasabicore.Options{
@@ -207,27 +218,27 @@
 		FirstAttempt: wasabiridge.AttemptID(n.incarnation) << attemptBits,
 	})
 	n.loop = wasabiloop.New(wasabiloop.Options{
-		Decider: core, Clock: o.Clock, Recorder: placements{next: n.timeline, wake: n.placed}, Ring: ringSize,
+		Decider: core, Clock: o.Clock, Recorder: placementRecorder{next: n.timeline, wake: n.placed}, Ring: ringSize,
 	})
 	n.quarantine.Join(n.loop)
 	n.quota.Join(n.loop)
-	if err := n.joinPeers(seed); err != nil {
+	if err := n.assemblePeers(seed); err != nil {
 		return err
 	}
 	n.catalog = wasabicatalog.NewKeeper(wasabicatalog.Options{
 		Self: n.self(), Clock: o.Clock, Source: o.Platform.Source, Peers: n.client, Members: n.members.Members, Active: n.activeEntries,
-		Log: wasabilog.Part(n.log, "catalog"), Changed: n.adopt, News: n.takeNews,
+		Log: wasabilog.Part(n.log, "catalog"), Changed: n.adopt, News: n.applyUpdate,
 	})
 	n.upgrade = wasabiupgrade.NewKeeper(wasabiupgrade.Options{
 		Self: s.Instance, Address: s.Peer.Address, Incarnation: n.incarnation, Clock: o.Clock, Table: o.Platform.Table, Engines: o.Platform.Engines,
-		Recorder: n.timeline, Catalog: n.wantedWeights, Rank: n.rank, Leaving: n.leaving.Load, Tell: n.tell, Log: wasabilog.Part(n.log, "upgrade"),
+		Recorder: n.timeline, Catalog: n.wantedWeights, Rank: n.rank, Leaving: n.leaving.Load, Tell: n.sendBackoffs, Log: wasabilog.Part(n.log, "upgrade"),
 		Timing: wasabiupgrade.Timing{Turn: n.bounds.Turn},
 	})
 	n.relay = wasabirelay.New(wasabirelay.Options{
 		Instance: s.Instance, Clock: o.Clock, Log: wasabilog.Part(n.log, "relay"), Loop: n.loop,
 		Runner: o.Platform.Runner, Protocol: o.Platform.Protocol, View: n.view,
 		KeyLife:  func() wasabiridge.Millis { return n.terms.Load().KeyLife - keyMargin },
-		DenyLife: func() wasabiridge.Millis { return n.terms.Load().ConfigLife * denyShare / 100 },
+		DenyLife: func() wasabiridge.Millis { return n.terms.Load().ConfigLife * denyPercent / 100 },
 		Leaving:  n.leaving.Load, Mover: o.Platform.Mover, Names: wasabifingerprint.New([]byte(openPeerKey)),
 	})
 	n.book = wasabiaddress.New(wasabiaddress.Options{
@@ -236,10 +247,11 @@
 	return n.listen()
 }
 
-// Entry describes this instance as the other instances know it.
+// Entry returns this instance's identity, addresses and capacity as other
+// instances receive them.
 func (n *Node) Entry() wasabiridge.InstanceEntry { return n.self() }
 
-// self describes this instance to callers and to other instances.
+// self returns the entry of this instance in the membership and in the directory.
 func (n *Node) self() wasabiridge.InstanceEntry {
 	s := n.options.Settings
 	return wasabiridge.InstanceEntry{
@@ -248,7 +260,9 @@
 	}
 }
 
-func (n *Node) joinPeers(seed uint64) error {
+// assemblePeers creates the peer client and listener, the roster and the
+// membership.
+func (n *Node) assemblePeers(seed uint64) error {
 	s := n.options.Settings.Peer
 	o := wasabipeer.Options{Clock: n.options.Clock, Key: []byte(openPeerKey)}
 	var err error
--- a/internal/wasabinode/node_test.go
+++ b/internal/wasabinode/node_test.go
@@ -36,11 +36,11 @@
 	address string
 	nodes   []*running
 	started int
-	// taken is the caller address of the next node. Empty means a free one.
-	taken string
+	// callerAddress is the caller address of the next node. Empty means a free one.
+	callerAddress string
 }
 
-// running is one node and where it listens.
+// running is one node, with the addresses on which it listens.
 type running struct {
 	node                     *wasabinode.Node
 	caller, ready, directory string
@@ -49,7 +49,7 @@
 	log                      *buffer
 }
 
-// buffer takes log lines of many goroutines.
+// buffer collects log lines. It is safe for concurrent use.
 type buffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -81,8 +81,8 @@
 	return socket.Addr().String()
 }
 
-// startTries is how often a node is started anew whose address another process
-// of the machine took between its choice and its use.
+// startTries bounds the attempts to start a node. Another process of the machine may
+// listen on an address between its choice and its use.
 const startTries = 5
 
 // addressTaken reports whether an address could not be listened on because
@@ -92,13 +92,13 @@
 	return failed != nil && errors.Is(failed.Cause(), syscall.EADDRINUSE)
 }
 
-var _ = It("tells an address that is taken from other errors of a start", func() {
+var _ = It("distinguishes an address in use from other start errors", func() {
 	g := newRig()
 	n := g.start()
-	g.taken = n.caller
+	g.callerAddress = n.caller
 	_, err := g.tryStart()
 	Expect(err).To(Satisfy(addressTaken))
-	g.taken = "192.0.2.1:1"
+	g.callerAddress = "192.0.2.1:1"
 	_, err = g.tryStart()
 	Expect(err).To(HaveOccurred())
 	Expect(err).NotTo(Satisfy(addressTaken))
@@ -125,8 +125,8 @@
 func (g *rig) tryStart() (*running, error) {
 	g.started++
 	r := &running{caller: address(), ready: address(), directory: address(), metrics: address(), done: make(chan error, 1), log: &buffer{}}
-	if g.taken != "" {
-		r.caller = g.taken
+	if g.callerAddress != "" {
+		r.caller = g.callerAddress
 	}
 	peer := address()
 	seeds := ""
@@ -175,18 +175,19 @@
 	return r
 }
 
-func ask(caller, path, id, key string) (int, string, error) {
-	return askPrompt(caller, path, id, key, "")
+func send(caller, path, id, key string) (int, string, error) {
+	return sendPrompt(caller, path, id, key, "")
 }
 
-// askPrompt asks with the parts of a prompt, given as ID:TOKENS.
-func askPrompt(caller, path, id, key, prompt string) (int, string, error) {
-	code, _, body, err := askBody(caller, path, id, key, prompt, "q")
+// sendPrompt sends a request with the segments of its prompt, each as ID:TOKENS and
+// separated by commas.
+func sendPrompt(caller, path, id, key, prompt string) (int, string, error) {
+	code, _, body, err := sendBody(caller, path, id, key, prompt, "q")
 	return code, body, err
 }
 
-// askBody asks with a body, and returns the header of the answer as well.
-func askBody(caller, path, id, key, prompt, text string) (int, http.Header, string, error) {
+// sendBody sends a request with a body. It also returns the response's header.
+func sendBody(caller, path, id, key, prompt, text string) (int, http.Header, string, error) {
 	r, err := http.NewRequest(http.MethodPost, "http://"+caller+path, strings.NewReader(text))
 	Expect(err).NotTo(HaveOccurred())
 	r.Host = "h"
@@ -208,13 +209,13 @@
 
 func status(caller, path, key string) func() int {
 	return func() int {
-		s, _, _ := ask(caller, path, fmt.Sprint(time.Now().UnixNano()), key)
+		s, _, _ := send(caller, path, fmt.Sprint(time.Now().UnixNano()), key)
 		return s
 	}
 }
 
 var _ = Describe("A node", func() {
-	It("refuses as not run until it knows a configuration, and then serves", func() {
+	It("refuses requests as not run until it has a configuration, and then serves", func() {
 		g := newRig()
 		n := g.start()
 		Expect(status(n.caller, "/book/x", "k")()).To(Equal(http.StatusServiceUnavailable))
@@ -225,8 +226,9 @@
 		Expect(status(n.caller, "/book/x", "other")()).To(Equal(http.StatusUnauthorized))
 	})
 
-	// Story: every machine that the settings name was replaced.
-	It("that finds none of its seeds finds the others in the store", func() {
+	// Guards against an instance that serves alone because every machine that its
+	// settings name as a seed was replaced.
+	It("that reaches none of its seeds finds the other instances in the store", func() {
 		g := newRig()
 		g.start()
 		first := g.nodes
@@ -246,9 +248,9 @@
 		}, "20s").Should(ContainSubstring(first[0].caller))
 	})
 
-	// Story: the store is down and a node restarts. The others serve, and know
-	// all that it needs.
-	It("learns what it needs from another one while the store is away", func() {
+	// Guards against a node that restarts while the store is down and then refuses all
+	// requests, although the other instances hold the catalog and serve.
+	It("receives the catalog from another instance while the store is down", func() {
 		g := newRig()
 		first := g.start()
 		g.replica(standin.ReplicaOptions{ID: "s1", Service: "app"})
@@ -259,9 +261,10 @@
 		Eventually(status(second.caller, "/open/x", ""), "3s").Should(Equal(http.StatusOK))
 	})
 
-	// Story: a key is taken away while nobody can reach the store. What was
-	// proven before lasts for a while and no longer.
-	It("lets no key in that was not proven lately, but those in that need none", func() {
+	// Guards against a revoked key that stays valid because no instance can reach the
+	// store. A key is accepted only for a bounded time after the store last confirmed
+	// the configuration that holds it.
+	It("refuses keys that were not confirmed recently, and still serves anonymous routes", func() {
 		g := newRig()
 		n := g.start()
 		g.replica(standin.ReplicaOptions{ID: "s1", Service: "app"})
@@ -275,7 +278,7 @@
 		Eventually(status(n.caller, "/book/x", "k"), "3s").Should(Equal(http.StatusUnauthorized))
 	})
 
-	It("gives a replica that leaves nothing new", func() {
+	It("sends no new requests to a replica that is leaving", func() {
 		g := newRig()
 		n := g.start()
 		first := g.replica(standin.ReplicaOptions{ID: "s1", Service: "app"})
@@ -291,7 +294,7 @@
 		Expect(first.Runs()).To(HaveLen(before))
 	})
 
-	It("brings engines to new weights, under one holder, and asks for the version it counts on", func() {
+	It("upgrades engines to new weights under one lease holder, and keeps cache salts of versions apart", func() {
 		g := newRig()
 		n := g.start()
 		g.start()
@@ -325,16 +328,17 @@
 		for _, e := range engines {
 			for _, run := range e.Runs() {
 				if before, ok := salts[run.Salt]; ok {
-					Expect(before).To(Equal(run.Weights), "a cache of older weights was looked at")
+					Expect(before).To(Equal(run.Weights), "two versions of weights shared a cache salt")
 				}
 				salts[run.Salt] = run.Weights
 			}
 		}
 	})
 
-	// Story: all instances are restarted at once. They know nothing of what was
-	// sent where, so prompts that one engine holds are computed again at others.
-	It("asks after its start what the engines hold", func() {
+	// Guards against repeated computation after a restart of all instances at once. They
+	// lose their record of which engine received which prompt, so prompts that one engine
+	// has cached would be sent to others.
+	It("queries the engines for their cache contents after its start", func() {
 		g := newRig()
 		for i := range 4 {
 			g.replica(standin.ReplicaOptions{ID: fmt.Sprint("e", i), Service: "lm", Model: "m"})
@@ -343,25 +347,26 @@
 		g.configure(1, "k")
 		before := g.start()
 		Eventually(status(before.caller, "/chat/x", "k"), "3s").Should(Equal(http.StatusOK))
-		code, _, err := askPrompt(before.caller, "/chat/x", "first", "k", "ab:4000,1:10")
+		code, _, err := sendPrompt(before.caller, "/chat/x", "first", "k", "ab:4000,1:10")
 		Expect(code, err).To(Equal(http.StatusOK))
 		after := g.start()
 		Eventually(after.log.String, "3s").Should(ContainSubstring("Caches listed."))
 		Eventually(status(after.caller, "/chat/x", "k"), "3s").Should(Equal(http.StatusOK))
-		code, _, err = askPrompt(after.caller, "/chat/x", "second", "k", "ab:4000,2:10")
+		code, _, err = sendPrompt(after.caller, "/chat/x", "second", "k", "ab:4000,2:10")
 		Expect(code, err).To(Equal(http.StatusOK))
 		Eventually(after.log.String).Should(MatchRegexp(`"request_id":"second".*"why":"held"`))
 	})
 
-	// Story: a process gets SIGTERM. Callers that ask for addresses must not be
-	// sent to it, those that come all the same are served, and nobody is cut.
-	It("that leaves is not named, serves what comes, and cuts nothing", func() {
+	// Guards against requests that are lost when a process receives SIGTERM: new address
+	// answers must not list it, requests that arrive nevertheless must be served, and none
+	// may be aborted.
+	It("that drains is not listed, serves requests that arrive, and aborts none", func() {
 		g := newRig()
 		leaving, staying := g.start(), g.start()
 		g.replica(standin.ReplicaOptions{ID: "s1", Service: "app", Work: 700 * time.Millisecond})
 		g.configure(1, "k")
 		Eventually(status(leaving.caller, "/open/x", ""), "5s").Should(Equal(http.StatusOK))
-		named := func(at, who string) func() bool {
+		listed := func(at, caller string) func() bool {
 			return func() bool {
 				response, err := http.Get("http://" + at + "/api/resolve?zone=z")
 				if err != nil {
@@ -369,14 +374,14 @@
 				}
 				defer response.Body.Close()
 				body, _ := io.ReadAll(response.Body)
-				return strings.Contains(string(body), who)
+				return strings.Contains(string(body), caller)
 			}
 		}
-		Eventually(named(staying.directory, leaving.caller), "5s").Should(BeTrue())
+		Eventually(listed(staying.directory, leaving.caller), "5s").Should(BeTrue())
 		answers := make(chan string, 20)
 		for i := range 10 {
 			go func() {
-				_, body, err := ask(leaving.caller, "/open/x", fmt.Sprint("r", i), "")
+				_, body, err := send(leaving.caller, "/open/x", fmt.Sprint("r", i), "")
 				answers <- fmt.Sprint(body, err)
 			}()
 		}
@@ -384,14 +389,14 @@
 		leaving.node.Drain()
 		for i := range 10 {
 			go func() {
-				_, body, err := ask(leaving.caller, "/open/x", fmt.Sprint("l", i), "")
+				_, body, err := send(leaving.caller, "/open/x", fmt.Sprint("l", i), "")
 				answers <- fmt.Sprint(body, err)
 			}()
 		}
 		response, err := http.Get("http://" + leaving.ready + "/api/readyz")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(http.StatusServiceUnavailable))
-		Eventually(named(staying.directory, leaving.caller), "5s").Should(BeFalse())
+		Eventually(listed(staying.directory, leaving.caller), "5s").Should(BeFalse())
 		for range 20 {
 			Expect(<-answers).To(MatchRegexp(`^answer to [rl]\d<nil>$`))
 		}
@@ -399,13 +404,13 @@
 		leaving.done <- nil
 	})
 
-	It("says in its log what it decided, by the request's identifier", func() {
+	It("logs its decisions with the request's identifier, and never a key", func() {
 		g := newRig()
 		n := g.start()
 		g.replica(standin.ReplicaOptions{ID: "s1", Service: "app"})
 		g.configure(1, "secret-key")
 		Eventually(status(n.caller, "/book/x", "secret-key"), "3s").Should(Equal(http.StatusOK))
-		_, _, err := ask(n.caller, "/book/x", "told", "secret-key")
+		_, _, err := send(n.caller, "/book/x", "told", "secret-key")
 		Expect(err).NotTo(HaveOccurred())
 		Eventually(n.log.String).Should(ContainSubstring(`"request_id":"told"`))
 		lines := slices.DeleteFunc(strings.Split(n.log.String(), "\n"), func(l string) bool { return !strings.Contains(l, `"request_id":"told"`) })
@@ -413,7 +418,7 @@
 		Expect(n.log.String()).NotTo(ContainSubstring("secret-key"))
 	})
 
-	It("tells counters, ages and times on its metrics address", func() {
+	It("serves counters, ages and latencies on its metrics address", func() {
 		g := newRig()
 		n := g.start()
 		g.replica(standin.ReplicaOptions{ID: "s1", Service: "app"})
@@ -434,17 +439,17 @@
 		want   string
 	}{
 		"with bounds":  {&wasabisettings.Hosted{Bounds: wasabisettings.Bounds{KeyLife: 9000}}, `"key_life_ms":9000`},
-		"without them": {nil, "not taken"},
+		"without them": {nil, "not applied"},
 	}
 	for _, name := range slices.Sorted(maps.Keys(reloads)) {
-		It("takes new settings "+name, func() {
+		It("reloads settings "+name, func() {
 			n := newRig().start()
 			n.node.Reload(wasabisettings.Settings{Hosted: reloads[name].hosted})
 			Expect(n.log.String()).To(ContainSubstring(reloads[name].want))
 		})
 	}
 
-	It("needs to be told of the platform", func() {
+	It("refuses settings without the section hosted", func() {
 		_, err := wasabinode.New(wasabinode.Options{Clock: wasabiclock.System()})
 		Expect(err).To(MatchError(ContainSubstring("hosted")))
 	})
--- a/internal/wasabinode/peers.go
+++ b/internal/wasabinode/peers.go
@@ -9,58 +9,62 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabicatalog"
 )
 
-// rank is this instance's place among the living ones.
+// rank returns this instance's place in the order of the instances in the
+// membership view, from zero.
 func (n *Node) rank() int {
 	return wasabicatalog.RankOf(n.self(), n.members.Members())
 }
 
-// nextHolders is how many of the lowest ranks are told of replicas that rest
-// although callers are not sent to them: one of them gives the orders next.
-const nextHolders = 5
+// leaseCandidates is how many instances of the lowest ranks receive the backoffs
+// of replicas although callers are not sent to them: the next holder of the
+// upgrade lease is one of them.
+const leaseCandidates = 5
 
-// tell hands hints on replicas to this instance first, and then to those that
-// place requests and those that may give orders next.
+// sendBackoffs applies backoffs of replicas at this instance first, and then
+// sends them to the instances that place requests and to those that may hold the
+// upgrade lease next.
 //
-// The failure it guards against: the holder of the lease tells all of many
-// instances of each replica. It does nothing else for seconds, and the replicas
-// wait for their orders.
-func (n *Node) tell(rests []wasabiridge.RestNews) {
-	news := wasabiridge.News{From: n.options.Settings.Instance, Rests: rests}
-	n.takeNews(news)
+// The failure it guards against: the holder of the lease sends an update on each
+// replica to every one of many instances. It does nothing else for seconds, and
+// the replicas wait for their orders.
+func (n *Node) sendBackoffs(backoffs []wasabiridge.RestNews) {
+	update := wasabiridge.News{From: n.options.Settings.Instance, Rests: backoffs}
+	n.applyUpdate(update)
 	peers := n.active()
-	for _, p := range n.catalog.LowestRanks(nextHolders) {
+	for _, p := range n.catalog.LowestRanks(leaseCandidates) {
 		if !slices.Contains(peers, p) {
 			peers = append(peers, p)
 		}
 	}
-	n.catalog.TellSome(context.Background(), peers, news)
+	n.catalog.TellSome(context.Background(), peers, update)
 }
 
-// takeNews hands hints of an instance to the decisions. Those that find the
-// loop full are lost.
-func (n *Node) takeNews(news wasabiridge.News) {
+// applyUpdate posts a state update of an instance to the decision loop. Events
+// that find the queue of the loop full are dropped.
+func (n *Node) applyUpdate(update wasabiridge.News) {
 	now := n.options.Clock.Now()
-	for _, r := range news.Rests {
-		if news.From != n.options.Settings.Instance {
+	for _, r := range update.Rests {
+		if update.From != n.options.Settings.Instance {
 			n.upgrade.Hear(r.Backend)
 		}
 		n.loop.Observe(wasabiridge.BackendResting{Backend: r.Backend, Until: now + r.Resting})
 		if r.Resting > 0 {
-			n.empty(r.Backend)
+			n.queueMigration(r.Backend)
 		}
 		n.loop.Observe(wasabiridge.BackendEasing{Backend: r.Backend, Until: now + r.Easing})
 		if r.Weights > 0 {
 			n.loop.Observe(wasabiridge.WeightsReported{Backend: r.Backend, Model: r.Model, Weights: r.Weights, Incarnation: r.Incarnation})
 		}
 	}
-	n.quarantine.Hear(news)
-	n.quota.Hear(news)
-	if len(news.Loads) > 0 || len(news.Parts) > 0 {
-		n.loop.Observe(wasabiridge.PeerPlaced{From: news.From, Loads: news.Loads, Parts: news.Parts})
+	n.quarantine.Hear(update)
+	n.quota.Hear(update)
+	if len(update.Loads) > 0 || len(update.Parts) > 0 {
+		n.loop.Observe(wasabiridge.PeerPlaced{From: update.From, Loads: update.Loads, Parts: update.Parts})
 	}
 }
 
-// nearest returns the addresses for a caller of a zone.
+// nearest returns the host and port of the instances for a caller in a zone, and
+// how long the caller may keep them.
 func (n *Node) nearest(zone wasabiridge.AvailabilityZone) ([]string, wasabiridge.Millis) {
 	var out []string
 	for _, e := range n.book.Nearest(zone) {
@@ -69,7 +73,7 @@
 	return out, n.book.Lifetime()
 }
 
-// peerHandler answers other instances with the parts of this one.
+// peerHandler handles the calls of other instances.
 type peerHandler struct{ node *Node }
 
 var (
@@ -77,17 +81,17 @@
 	_ wasabiridge.CatalogHandler = peerHandler{}
 )
 
-var errNotKept = wasabiridge.ErrUnavailable.New("node: not kept here")
+var errNotServed = wasabiridge.ErrUnavailable.New("node: this instance does not serve the call")
 
 // HandleExchange implements wasabiridge.PeerHandler.
 func (h peerHandler) HandleExchange(ctx context.Context, b wasabiridge.Heartbeat) (wasabiridge.Heartbeat, error) {
 	return h.node.members.HandleExchange(ctx, b)
 }
 
-// HandleFetchConfig implements wasabiridge.PeerHandler. The configuration goes
-// with the catalog.
+// HandleFetchConfig implements wasabiridge.PeerHandler. It always returns
+// ErrUnavailable, because instances receive the configuration with the catalog.
 func (h peerHandler) HandleFetchConfig(context.Context) (wasabiridge.ConfigDocument, error) {
-	return wasabiridge.ConfigDocument{}, errNotKept
+	return wasabiridge.ConfigDocument{}, errNotServed
 }
 
 // HandleQueryTimeline implements wasabiridge.PeerHandler.
@@ -95,29 +99,30 @@
 	return h.node.timeline.Page(q), nil
 }
 
-// HandleClaim implements wasabiridge.PeerHandler. Callers name every try
-// anew, so there is nothing to claim.
+// HandleClaim implements wasabiridge.PeerHandler. It always returns
+// ErrUnavailable: callers of this platform send every try under a new
+// identifier, so there is nothing to claim.
 func (h peerHandler) HandleClaim(context.Context, wasabiridge.ClaimQuery) (wasabiridge.ClaimOutcome, error) {
-	return wasabiridge.ClaimOutcome{State: wasabiridge.ClaimUnavailable}, errNotKept
+	return wasabiridge.ClaimOutcome{State: wasabiridge.ClaimUnavailable}, errNotServed
 }
 
 // HandleFinishClaim implements wasabiridge.PeerHandler.
 func (h peerHandler) HandleFinishClaim(context.Context, wasabiridge.ClaimResult) error {
-	return errNotKept
+	return errNotServed
 }
 
 // HandleAskCatalog implements wasabiridge.CatalogHandler.
 func (h peerHandler) HandleAskCatalog(ctx context.Context, q wasabiridge.CatalogQuery) (wasabiridge.CatalogAnswer, error) {
 	if h.node.catalog == nil {
-		return wasabiridge.CatalogAnswer{}, errNotKept
+		return wasabiridge.CatalogAnswer{}, errNotServed
 	}
 	return h.node.catalog.HandleAskCatalog(ctx, q)
 }
 
 // HandleTellNews implements wasabiridge.CatalogHandler.
-func (h peerHandler) HandleTellNews(ctx context.Context, news wasabiridge.News) error {
+func (h peerHandler) HandleTellNews(ctx context.Context, update wasabiridge.News) error {
 	if h.node.catalog == nil {
-		return errNotKept
+		return errNotServed
 	}
-	return h.node.catalog.HandleTellNews(ctx, news)
+	return h.node.catalog.HandleTellNews(ctx, update)
 }
--- /dev/null
+++ b/internal/wasabinode/publish.go
@@ -0,0 +1,79 @@
+package wasabinode
+
+import (
+	"context"
+	"time"
+
+	"github.com/wasabiridge/wasabiridge"
+	"github.com/wasabiridge/wasabiridge/internal/wasabicatalog"
+	"github.com/wasabiridge/wasabiridge/internal/wasabireplica"
+)
+
+const (
+	// publishDelay is how long the first of several placements in close succession
+	// waits, so that one message carries them all.
+	publishDelay = 4 * time.Millisecond
+	// publishInterval is how often the other instances are sent loads when no long
+	// prompt was placed.
+	publishInterval = 100 * time.Millisecond
+)
+
+// placementRecorder passes timeline events on to next. When a prompt is placed for
+// a reason other than load, it also wakes publishPlacements: such a prompt is long,
+// and the other instances should receive its load at once.
+type placementRecorder struct {
+	next wasabiridge.Recorder
+	wake chan struct{}
+}
+
+// Record implements wasabiridge.Recorder.
+func (p placementRecorder) Record(e wasabiridge.TimelineEvent) {
+	p.next.Record(e)
+	if e.Kind != wasabiridge.EventPlaced || e.Cause == wasabireplica.WhyLoad {
+		return
+	}
+	select {
+	case p.wake <- struct{}{}:
+	default:
+	}
+}
+
+// publishPlacements sends the other instances what this one placed on which backend
+// server, with the use of quotas.
+func (n *Node) publishPlacements(ctx context.Context) {
+	ticker := time.NewTicker(publishInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-n.placed:
+			time.Sleep(publishDelay)
+		case <-ticker.C:
+		case <-ctx.Done():
+			return
+		}
+		var update wasabiridge.News
+		n.loop.Inspect(func() {
+			update.Loads, update.Parts = n.placer.TakeNews(n.options.Clock.Now())
+			n.quota.Add(n.options.Clock.Now(), &update)
+		})
+		if len(update.Loads) > 0 || len(update.Parts) > 0 || len(update.Uses) > 0 {
+			n.quota.Tell(ctx, update, n.activeEntries())
+		}
+	}
+}
+
+// active returns the other instances that callers are sent to. Only they place
+// requests, so only they need updates on placements.
+func (n *Node) active() []wasabicatalog.Peer {
+	var peers []wasabicatalog.Peer
+	for _, e := range n.book.Active() {
+		if e.ID != n.options.Settings.Instance && e.PeerAddress != "" {
+			peers = append(peers, wasabicatalog.PeerOf(e))
+		}
+	}
+	return peers
+}
+
+// activeEntries returns all instances that callers are sent to, in the order of the
+// address book. This instance may be one of them.
+func (n *Node) activeEntries() []wasabiridge.InstanceEntry { return n.book.Active() }
--- a/internal/wasabinode/restore.go
+++ b/internal/wasabinode/restore.go
@@ -13,23 +13,24 @@
 )
 
 const (
-	// restorePoll is the time between two looks for what a restore needs.
+	// restorePoll is the interval at which waitFor checks its condition.
 	restorePoll = 20 * time.Millisecond
-	// restoreWait is how long after the first configuration the restore waits
-	// for other instances, to know whether callers are sent here at all. They
-	// are known about 300 ms after a start.
+	// restoreWait is how long after the first configuration restore waits for
+	// other instances, to know whether callers are sent to this one at all. The
+	// membership has them about 300 ms after a start.
 	restoreWait = 300 * wasabiridge.Millis(1)
-	// restoreTimeout bounds one question to a cache.
+	// restoreTimeout bounds one query to a cache.
 	restoreTimeout = 2 * time.Second
 )
 
-// restore asks after the start what the caches hold, with one short call a cache.
+// restore queries after the start which prefix segments the engines and the KV
+// cache stores hold, with one short call for each.
 //
-// The failure it guards against: all instances are restarted at once. None of
-// them knows any more what was sent where, so prompts that engines hold are
-// computed again at other ones, just when all callers come back.
+// The failure it guards against: all instances are restarted at once and lose
+// their record of which engine received which prompt. Prompts that one engine has
+// cached are then computed again at others, just when all callers come back.
 func (n *Node) restore(ctx context.Context) {
-	if !n.waitFor(ctx, wasabiridge.Day, n.knowsConfig) {
+	if !n.waitFor(ctx, wasabiridge.Day, n.hasConfig) {
 		return
 	}
 	n.waitFor(ctx, restoreWait, func() bool { return !n.isAlone() })
@@ -38,28 +39,28 @@
 	}
 	began := n.options.Clock.Now()
 	var wg sync.WaitGroup
-	var parts, failed atomic.Int64
-	for address, id := range cachesOf(n.inForce.Load().config) {
+	var segments, failed atomic.Int64
+	for address, id := range cachesOf(n.activeConfig.Load().config) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			held, err := n.restoreCache(ctx, id, address)
 			if err != nil {
 				failed.Add(1)
-				n.log.Debug().Err(err).Str("address", address).Msg("Cache not listed.")
+				n.log.Debug().Err(err).Str("address", address).Msg("Query of cache contents failed.")
 			}
-			parts.Add(int64(held))
+			segments.Add(int64(held))
 		}()
 	}
 	wg.Wait()
-	n.log.Info().Int64("parts", parts.Load()).Int64("failed", failed.Load()).
+	n.log.Info().Int64("parts", segments.Load()).Int64("failed", failed.Load()).
 		Int64("took_ms", int64(n.options.Clock.Now()-began)).Msg("Caches listed.")
 }
 
-// waitFor waits until something holds. It reports false when the time or the
-// context ended before.
-func (n *Node) waitFor(ctx context.Context, most wasabiridge.Millis, holds func() bool) bool {
-	for end := n.options.Clock.Now() + most; !holds(); {
+// waitFor waits until a condition is met. It returns false when the time-out
+// passes or the context ends first.
+func (n *Node) waitFor(ctx context.Context, timeout wasabiridge.Millis, condition func() bool) bool {
+	for end := n.options.Clock.Now() + timeout; !condition(); {
 		select {
 		case <-time.After(restorePoll):
 		case <-ctx.Done():
@@ -72,8 +73,8 @@
 	return true
 }
 
-// knowsConfig reports whether a configuration is in force.
-func (n *Node) knowsConfig() bool { return n.inForce.Load().config.Version > 0 }
+// hasConfig reports whether a configuration was adopted.
+func (n *Node) hasConfig() bool { return n.activeConfig.Load().config.Version > 0 }
 
 // isActive reports whether callers are sent to this instance.
 func (n *Node) isActive() bool {
@@ -82,8 +83,8 @@
 	})
 }
 
-// cachesOf returns which engine, or store of kept cache if it is empty, tells at
-// which address what it holds.
+// cachesOf returns the addresses at which caches can be queried, each with the
+// identifier of its engine. For a KV cache store the identifier is empty.
 func cachesOf(cfg *wasabiridge.Config) map[string]wasabiridge.BackendServerID {
 	out := map[string]wasabiridge.BackendServerID{}
 	for _, pool := range cfg.Pools {
@@ -100,8 +101,8 @@
 	return out
 }
 
-// restoreCache hands what one cache holds to the decisions, as if another
-// instance had told of it. It returns how many parts that are.
+// restoreCache posts the prefix segments that one cache holds to the decision
+// loop, in the form of an update from an instance. It returns their number.
 func (n *Node) restoreCache(ctx context.Context, id wasabiridge.BackendServerID, address string) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, restoreTimeout)
 	defer cancel()
@@ -109,14 +110,14 @@
 	if err != nil {
 		return 0, err
 	}
-	parts := make([]wasabiridge.PartNews, len(held))
+	segments := make([]wasabiridge.PartNews, len(held))
 	for i, h := range held {
-		parts[i] = wasabiridge.PartNews{Backend: id, Key: wasabiprefix.PartKey(h.Salt, h.Part), Tokens: h.Tokens, Ready: true}
+		segments[i] = wasabiridge.PartNews{Backend: id, Key: wasabiprefix.PartKey(h.Salt, h.Part), Tokens: h.Tokens, Ready: true}
 	}
 	if id == "" {
-		n.loop.Observe(wasabiridge.KeptCacheListed{Address: address, Parts: parts})
-		return len(parts), nil
+		n.loop.Observe(wasabiridge.KeptCacheListed{Address: address, Parts: segments})
+		return len(segments), nil
 	}
-	n.loop.Observe(wasabiridge.PeerPlaced{From: n.options.Settings.Instance, Parts: parts})
-	return len(parts), nil
+	n.loop.Observe(wasabiridge.PeerPlaced{From: n.options.Settings.Instance, Parts: segments})
+	return len(segments), nil
 }
--- a/internal/wasabinode/roster.go
+++ b/internal/wasabinode/roster.go
@@ -14,51 +14,54 @@
 
 const (
 	rosterPrefix = "member/"
-	// rosterMost bounds the rows of one call and those that are used, rosterPages the
-	// calls.
-	rosterMost  = 500
+	// rosterRows bounds the rows of one page and the rows that are used, and
+	// rosterPages the pages that are read.
+	rosterRows  = 500
 	rosterPages = 20
-	// rosterTimeout bounds one call, signInterval is the time between two
-	// tries to write the own row.
-	rosterTimeout = 2 * time.Second
-	signInterval  = 3 * time.Second
-	// signDelay is how long after its start an instance knows its rank, and signers
-	// is how many of the lowest ranks write their rows. One living instance is
-	// enough to find all others; the rest is for those that go at once.
-	signDelay = 2 * time.Second
-	signers   = 12
+	// rosterTimeout bounds a read or write of the roster, and registerInterval is the
+	// time between two attempts to write this instance's row.
+	rosterTimeout    = 2 * time.Second
+	registerInterval = 3 * time.Second
+	// registerDelay is how long after its start an instance knows its rank, and
+	// registeredRanks is how many of the lowest ranks write their rows. One live
+	// instance is enough to find all others; the further rows allow for several that
+	// go away at once.
+	registerDelay   = 2 * time.Second
+	registeredRanks = 12
 )
 
-// roster is the list of instances: those that the settings name, and for an
-// instance that reaches none of them the rows that instances of the lowest ranks
-// write. Rows of all would cost two calls for each of hundreds of instances that
-// start at once.
+// roster lists the instances by which a starting instance joins the membership:
+// the seeds of the settings, and, while none of those is reached, the rows that
+// the instances of the lowest ranks wrote to the platform's table. If every
+// instance wrote a row, hundreds that start at once would make two calls each.
 //
-// The failure it guards against: the machines that the settings name were
-// replaced, and an instance that starts finds nobody. It would serve alone,
-// unknown to the others and to callers.
+// The failure it guards against: all machines that the settings name as seeds
+// were replaced, and a starting instance reaches no other. It would serve alone,
+// and neither the other instances nor callers would have its address.
 type roster struct {
 	seeds []wasabisettings.Seed
 	table wasabiridge.Table
 	self  wasabiridge.InstanceEntry
-	// alone reports whether no other instance is known, rank is this one's place
-	// among those that are.
+	// alone reports whether the membership view has no other instance, and rank
+	// returns this instance's place in the view.
 	alone func() bool
 	rank  func() int
-	asked bool
+	// queried is set by the first call of Instances.
+	queried bool
 }
 
 var _ wasabiridge.InstanceList = (*roster)(nil)
 
-// Instances implements wasabiridge.InstanceList for one goroutine. The rows
-// are read only by an instance that is still alone when it asks again.
+// Instances implements wasabiridge.InstanceList. It is not safe for concurrent
+// use. The first call returns the seeds only; later ones also read the rows, as
+// long as the membership view has no other instance.
 func (r *roster) Instances(ctx context.Context) ([]wasabiridge.InstanceEntry, error) {
 	entries := make([]wasabiridge.InstanceEntry, 0, len(r.seeds))
 	for _, s := range r.seeds {
 		entries = append(entries, wasabiridge.InstanceEntry{ID: s.Instance, PeerAddress: s.Address})
 	}
-	first := !r.asked
-	r.asked = true
+	first := !r.queried
+	r.queried = true
 	if first || !r.alone() {
 		return entries, nil
 	}
@@ -77,48 +80,49 @@
 	return entries, nil
 }
 
-// latest returns the rows that were written last. Nobody deletes those of instances that
-// are gone.
+// latest returns the most recently written rows, newest first. Rows of instances that
+// are gone are never deleted, so older ones are likely to be useless.
 func (r *roster) latest(ctx context.Context) ([]wasabiridge.Row, error) {
 	var rows []wasabiridge.Row
 	after := ""
 	for range rosterPages {
-		page, err := r.table.List(ctx, rosterPrefix, after, rosterMost)
+		page, err := r.table.List(ctx, rosterPrefix, after, rosterRows)
 		if err != nil {
 			return nil, err
 		}
 		rows = append(rows, page...)
-		if len(page) < rosterMost {
+		if len(page) < rosterRows {
 			break
 		}
 		after = page[len(page)-1].Key
 	}
 	slices.SortStableFunc(rows, func(a, b wasabiridge.Row) int { return cmp.Compare(b.Revision, a.Revision) })
-	return rows[:min(len(rows), rosterMost)], nil
+	return rows[:min(len(rows), rosterRows)], nil
 }
 
-// sign writes the own row, once this instance has a low rank and the store takes it.
-func (r *roster) sign(ctx context.Context, incarnation wasabiridge.Incarnation) {
+// register writes this instance's row once its rank is below registeredRanks. It
+// retries until the write succeeds or the context ends.
+func (r *roster) register(ctx context.Context, incarnation wasabiridge.Incarnation) {
 	value, err := json.Marshal(r.self)
 	if err != nil {
 		return
 	}
-	key, life := rosterPrefix+string(r.self.ID), string(r.self.ID)+"/"+strconv.FormatUint(uint64(incarnation), 36)
-	wait := signDelay
+	key, writer := rosterPrefix+string(r.self.ID), string(r.self.ID)+"/"+strconv.FormatUint(uint64(incarnation), 36)
+	wait := registerDelay
 	for try := 0; ; try++ {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(wait):
 		}
-		wait = signInterval
-		if r.rank() < signers && r.write(ctx, key, value, life+"/"+strconv.Itoa(try)) == nil {
+		wait = registerInterval
+		if r.rank() < registeredRanks && r.write(ctx, key, value, writer+"/"+strconv.Itoa(try)) == nil {
 			return
 		}
 	}
 }
 
-// write makes the row say what it should, if it does not yet.
+// write stores a value in a row, unless the row holds it already.
 func (r *roster) write(ctx context.Context, key string, value []byte, id string) error {
 	ctx, cancel := context.WithTimeout(ctx, rosterTimeout)
 	defer cancel()
@@ -131,5 +135,5 @@
 	})
 }
 
-// isAlone reports whether no other instance is known.
+// isAlone reports whether the membership view has no other instance.
 func (n *Node) isAlone() bool { return len(n.members.Members()) == 0 }
--- a/internal/wasabinode/roster_test.go
+++ b/internal/wasabinode/roster_test.go
@@ -23,9 +23,10 @@
 	})).To(Succeed())
 }
 
-// Guards against an instance that finds nobody among the rows of those that are gone.
-var _ = Describe("The rows of instances", func() {
-	It("name those that wrote last, however many are gone", func() {
+// Guards against a starting instance that reads only rows of instances that are gone, and
+// so reaches no other. Those rows are never deleted and outnumber the others in time.
+var _ = Describe("The roster", func() {
+	It("lists the instances that wrote their rows last, however many rows there are", func() {
 		table := wasabitable.NewMemory(wasabitable.MemoryOptions{Clock: wasabiclock.System()})
 		for i := range 1200 {
 			register(table, fmt.Sprintf("a%04d", i))
