--- a/internal/wasabiclaim/bench_test.go
+++ b/internal/wasabiclaim/bench_test.go
@@ -12,45 +12,48 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabitest"
 )
 
-// rowRun counts what claims by row cost, in virtual time.
-type rowRun struct {
-	books                        []*wasabiclaim.RowBook
+// rowSimulation measures the table calls and the latency of claims by row, in
+// virtual time.
+type rowSimulation struct {
+	machines                     []*wasabiclaim.RowMachine
 	rows                         map[string]wasabiridge.Row
 	agenda                       wasabitest.Agenda
 	now                          wasabiridge.Millis
-	asked                        map[uint64]wasabiridge.Millis
+	requestedAt                  map[uint64]wasabiridge.Millis
 	queries                      map[uint64]wasabiridge.ClaimQuery
 	transactions, changes, reads int
 	granted                      int
 	waited                       wasabiridge.Millis
 }
 
+// tableDelay is the latency of a table call in milliseconds.
 const tableDelay = 8
 
-func (r *rowRun) schedule(at wasabiridge.Millis, book int, e wasabiclaim.RowEvent) {
-	r.agenda.Add(at, func() { r.step(book, e) })
+func (r *rowSimulation) schedule(at wasabiridge.Millis, machine int, e wasabiclaim.RowEvent) {
+	r.agenda.Add(at, func() { r.step(machine, e) })
 }
 
-func (r *rowRun) step(book int, e wasabiclaim.RowEvent) {
-	for _, effect := range r.books[book].Handle(r.now, e) {
+func (r *rowSimulation) step(machine int, e wasabiclaim.RowEvent) {
+	for _, effect := range r.machines[machine].Handle(r.now, e) {
 		switch e := effect.(type) {
 		case wasabiclaim.CommitBatch:
 			r.commit(e)
-			r.schedule(r.now+tableDelay, book, wasabiclaim.BatchCommitted{ID: e.Transaction.ID})
+			r.schedule(r.now+tableDelay, machine, wasabiclaim.BatchCommitted{ID: e.Transaction.ID})
 		case wasabiclaim.ReadRow:
 			r.reads++
-			r.schedule(r.now+tableDelay, book, wasabiclaim.RowRead{Key: e.Key, Number: e.Number, Row: r.rows[e.Key]})
+			r.schedule(r.now+tableDelay, machine, wasabiclaim.RowRead{Key: e.Key, Number: e.Number, Row: r.rows[e.Key]})
 		case wasabiclaim.ReplyClaim:
 			r.granted++
-			r.waited += r.now - r.asked[e.Ask]
-			result := wasabiridge.ClaimResult{Query: r.queries[e.Ask], Disposition: wasabiridge.Ran}
-			r.schedule(r.now+300, book, wasabiclaim.ClaimEnded{Result: result})
+			r.waited += r.now - r.requestedAt[e.Call]
+			result := wasabiridge.ClaimResult{Query: r.queries[e.Call], Disposition: wasabiridge.Ran}
+			r.schedule(r.now+300, machine, wasabiclaim.ClaimEnded{Result: result})
 		}
 	}
 }
 
-// commit has no conflicts: every key of the run is new.
-func (r *rowRun) commit(c wasabiclaim.CommitBatch) {
+// commit writes the rows of a transaction. There are no conflicts, because every key
+// of the simulation is new.
+func (r *rowSimulation) commit(c wasabiclaim.CommitBatch) {
 	r.transactions++
 	r.changes += len(c.Transaction.Changes)
 	for _, change := range c.Transaction.Changes {
@@ -58,25 +61,26 @@
 	}
 }
 
-// runRows lets each of n instances claim at a rate a second for a while.
-func runRows(n int, perInstance float64, span wasabiridge.Millis) *rowRun {
-	r := &rowRun{
-		rows: map[string]wasabiridge.Row{}, asked: map[uint64]wasabiridge.Millis{},
+// simulateRows simulates n instances for a time span. Each claims perInstance keys a
+// second, at random times.
+func simulateRows(n int, perInstance float64, span wasabiridge.Millis) *rowSimulation {
+	r := &rowSimulation{
+		rows: map[string]wasabiridge.Row{}, requestedAt: map[uint64]wasabiridge.Millis{},
 		queries: map[uint64]wasabiridge.ClaimQuery{},
 	}
 	rng := rand.New(rand.NewPCG(wasabitest.Seed, 0))
-	ask := uint64(0)
+	call := uint64(0)
 	for i := range n {
 		self := wasabiridge.InstanceID(fmt.Sprint(i))
-		r.books = append(r.books, wasabiclaim.NewRowBook(self, n))
+		r.machines = append(r.machines, wasabiclaim.NewRowMachine(self, n))
 		for at := rng.ExpFloat64() * 1000 / perInstance; at < float64(span); at += rng.ExpFloat64() * 1000 / perInstance {
-			ask++
+			call++
 			q := wasabiridge.ClaimQuery{
-				Account: "lifts", Key: fmt.Sprint(ask), Request: wasabiridge.RequestID(fmt.Sprint(ask)),
+				Account: "lifts", Key: fmt.Sprint(call), Request: wasabiridge.RequestID(fmt.Sprint(call)),
 				Holder: self, Incarnation: 1,
 			}
-			r.asked[ask], r.queries[ask] = wasabiridge.Millis(at), q
-			r.schedule(wasabiridge.Millis(at), i, wasabiclaim.Asked(ask, q))
+			r.requestedAt[call], r.queries[call] = wasabiridge.Millis(at), q
+			r.schedule(wasabiridge.Millis(at), i, wasabiclaim.Requested(call, q))
 		}
 		for at := wasabiridge.Millis(i % 20); at < span; at += 20 {
 			r.schedule(at, i, wasabiclaim.Ticked(n))
@@ -86,8 +90,9 @@
 	return r
 }
 
-// BenchmarkRows reports what claims by row cost the table in all, and how long
-// a claim waits, for shares of the target's 9,300 requests a second.
+// BenchmarkRows reports the table calls of all instances for claims by row, and the
+// mean latency of a claim, when various shares of the target of 9,300 requests a
+// second claim a row.
 func BenchmarkRows(b *testing.B) {
 	const span = 20 * wasabiridge.Second
 	for _, n := range []int{9, 37, 370} {
@@ -95,7 +100,7 @@
 			rate := 9300.0 / 370 * share
 			b.Run(fmt.Sprintf("instances=%d/share=%g", n, share), func(b *testing.B) {
 				for range b.N {
-					r := runRows(n, rate, span)
+					r := simulateRows(n, rate, span)
 					if r.granted == 0 {
 						b.Skip("no request in the span")
 					}
@@ -111,7 +116,7 @@
 	}
 }
 
-// BenchmarkTicket is the whole life of a ticket at its issuer.
+// BenchmarkTicket issues, claims and finishes a ticket at its issuer.
 func BenchmarkTicket(b *testing.B) {
 	k := wasabiclaim.New(wasabiclaim.Options{
 		Self: "a", Incarnation: 1, Secret: []byte("secret"), Clock: wasabiclock.NewVirtual(start),
@@ -131,8 +136,8 @@
 	}
 }
 
-// BenchmarkTicketMemory reports the memory of used tickets that are
-// remembered, without the answers that are kept.
+// BenchmarkTicketMemory reports the memory for each used ticket that is
+// remembered, without cached answers.
 func BenchmarkTicketMemory(b *testing.B) {
 	for _, n := range []int{1000, 10_000, 40_000} {
 		b.Run(fmt.Sprintf("tickets=%d", n), func(b *testing.B) {
--- a/internal/wasabiclaim/cluster_test.go
+++ b/internal/wasabiclaim/cluster_test.go
@@ -14,22 +14,22 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabitable"
 )
 
-// callFate is what happens to one call between instances.
-type callFate struct {
+// callFault is the fault of one call between instances. The zero value is none.
+type callFault struct {
 	delay      time.Duration
 	lostCall   bool
 	lostAnswer bool
-	// lateCopy delivers the call again, after that time.
+	// lateCopy, if positive, delivers the call a second time after that time.
 	lateCopy time.Duration
 }
 
-// network joins keepers by plain calls. An instance that crashed takes none.
+// network connects Keepers by direct calls. Calls to a crashed instance fail.
 type network struct {
 	wasabiridge.PeerClient
 	mu      sync.Mutex
 	keepers map[string]*wasabiclaim.Keeper
-	// fate decides on each call. It is called with mu held.
-	fate func() callFate
+	// nextFault returns the fault of the next call. It is called with mu held.
+	nextFault func() callFault
 }
 
 func (n *network) keeper(address string) *wasabiclaim.Keeper {
@@ -39,10 +39,10 @@
 }
 
 func (n *network) call(address string, deliver func(*wasabiclaim.Keeper) error) error {
-	var f callFate
+	var f callFault
 	n.mu.Lock()
-	if n.fate != nil {
-		f = n.fate()
+	if n.nextFault != nil {
+		f = n.nextFault()
 	}
 	n.mu.Unlock()
 	time.Sleep(f.delay)
@@ -61,7 +61,7 @@
 		return err
 	}
 	if f.lostAnswer {
-		return wasabiridge.ErrOutcomeUnknown.New("answer lost")
+		return wasabiridge.ErrOutcomeUnknown.New("response lost")
 	}
 	return nil
 }
@@ -85,18 +85,20 @@
 	return n.call(address, func(k *wasabiclaim.Keeper) error { return k.HandleFinishClaim(ctx, r) })
 }
 
-// cluster is a few instances before one table.
+// cluster is a few instances that share one table.
 type cluster struct {
 	clock *wasabiclock.Virtual
 	table *wasabitable.Memory
 	net   *network
-	life  wasabiridge.Incarnation
-	stop  map[wasabiridge.InstanceID]context.CancelFunc
-	// members are the latest lives, under the network's lock.
+	// incarnation is that of the instance that was started last.
+	incarnation wasabiridge.Incarnation
+	stop        map[wasabiridge.InstanceID]context.CancelFunc
+	// members holds the latest incarnation of each instance. It is guarded by the
+	// network's mutex.
 	members map[wasabiridge.InstanceID]wasabiridge.Member
 }
 
-func (c *cluster) heard() (out []wasabiridge.Member) {
+func (c *cluster) membership() (out []wasabiridge.Member) {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
 	for _, m := range c.members {
@@ -125,24 +127,25 @@
 	return c
 }
 
-// start gives an instance a new life.
+// start starts an instance in a new incarnation.
 func (c *cluster) start(id wasabiridge.InstanceID, limits wasabiclaim.Limits) *wasabiclaim.Keeper {
 	return c.startWith(id, limits, c.clock)
 }
 
-// startAhead gives an instance a life with a clock that is ahead.
+// startAhead starts an instance whose clock is ahead by a time, or behind if it is
+// negative.
 func (c *cluster) startAhead(id wasabiridge.InstanceID, by wasabiridge.Millis) *wasabiclaim.Keeper {
 	return c.startWith(id, wasabiclaim.Limits{}, skewed{Clock: c.clock, offset: by})
 }
 
 func (c *cluster) startWith(id wasabiridge.InstanceID, limits wasabiclaim.Limits, clock wasabiridge.Clock) *wasabiclaim.Keeper {
-	c.life++
+	c.incarnation++
 	limits.RetryInterval = 1
 	limits.FinishDelay = 1
 	limits.WritesPerSecond = 1000
 	k := wasabiclaim.New(wasabiclaim.Options{
-		Self: id, Incarnation: c.life, Secret: []byte("secret"), Table: c.table, Peers: c.net, Clock: clock,
-		Members: c.heard, AgreedNow: c.clock.Now, Limits: limits, SweepEvery: -1,
+		Self: id, Incarnation: c.incarnation, Secret: []byte("secret"), Table: c.table, Peers: c.net, Clock: clock,
+		Members: c.membership, AgreedNow: c.clock.Now, Limits: limits, SweepEvery: -1,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -150,18 +153,18 @@
 		defer close(done)
 		k.Run(ctx)
 	}()
-	go c.keepTime(ctx)
+	go c.advanceClock(ctx)
 	c.stop[id] = func() { cancel(); <-done }
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
 	c.net.keepers[string(id)] = k
 	entry := wasabiridge.InstanceEntry{ID: id, PeerAddress: string(id)}
-	c.members[id] = wasabiridge.Member{InstanceEntry: entry, Incarnation: c.life}
+	c.members[id] = wasabiridge.Member{InstanceEntry: entry, Incarnation: c.incarnation}
 	return k
 }
 
-// keepTime lets the virtual clock pass while an instance lives.
-func (c *cluster) keepTime(ctx context.Context) {
+// advanceClock advances the virtual clock while an instance runs.
+func (c *cluster) advanceClock(ctx context.Context) {
 	for ctx.Err() == nil && wasabifault.Sleep(ctx, 5) {
 		c.clock.Advance(10)
 	}
--- a/internal/wasabiclaim/doc.go
+++ b/internal/wasabiclaim/doc.go
@@ -1,23 +1,24 @@
-// Package wasabiclaim lets a non-idempotent request run at most once.
+// Package wasabiclaim ensures that a non-idempotent request runs at most once.
 //
-// A claim is the right to run a request. There are two kinds of keys:
+// A claim is the right to run the request with an idempotency key. There are two
+// kinds of keys:
 //
-//   - A ticket is a key that an instance handed out. The claim lives in the
-//     memory of the issuing instance, named in the ticket. It costs no write
-//     and works while the platform's table is down. When the issuing life of
-//     that instance is over, the outcome is unknown.
+//   - A ticket is a key that an instance issued. Its claim is held in the memory
+//     of the issuing instance, which the ticket names. It costs no write and
+//     works while the platform's table is down. After the issuing instance
+//     restarted or is gone, the outcome is unknown.
 //   - A key of the caller's own choice is claimed by a row of the platform's
 //     table. Rows of many requests are written in one transaction.
 //
-// No claim is ever taken over because time has passed: a holder may be paused
-// between its claim and its send for any length of time. A claim ends only by
-// the word of the instance that holds it.
+// A claim never times out: its holder may be paused between the claim and the
+// send for any length of time. Only the instance that holds a claim can end it.
 //
 // # Decisions and I/O
 //
-// ticketBook and rowBook are deterministic state machines. Keeper is the thin
-// shell around them: one goroutine owns both books, one writes and reads the
-// table, and one tells issuers of claims that were given up.
+// ticketMachine and rowMachine are deterministic state machines. Keeper does the
+// I/O for them. A mutex guards the ticket machine, and one goroutine owns the row
+// machine. Others read and write the table, and notify issuers of the ends of
+// requests that they did not receive at first.
 //
 // # Usage
 //
--- a/internal/wasabiclaim/export_test.go
+++ b/internal/wasabiclaim/export_test.go
@@ -2,7 +2,7 @@
 
 import "github.com/wasabiridge/wasabiridge"
 
-// The decoders of outside bytes and the row book, for tests and measurements.
+// The decoders of untrusted bytes and the row machine, for tests and benchmarks.
 var (
 	DecodeTicket = decodeTicket
 	EncodeTicket = encodeTicket
@@ -13,7 +13,7 @@
 type (
 	Ticket         = ticket
 	Record         = record
-	ClaimAsked     = claimAsked
+	ClaimRequested = claimRequested
 	ClaimEnded     = claimEnded
 	BatchCommitted = batchCommitted
 	RowRead        = rowRead
@@ -22,12 +22,12 @@
 	CommitBatch    = commitBatch
 	ReadRow        = readRow
 	ReplyClaim     = replyClaim
-	RowBook        = rowBook
+	RowMachine     = rowMachine
 )
 
-// NewRowBook returns a row book with default limits for one of n instances.
-func NewRowBook(self wasabiridge.InstanceID, n int) *RowBook {
-	b := newRowBook(self, 1, Limits{}.withDefaults())
+// NewRowMachine returns a row machine with default limits for one of n instances.
+func NewRowMachine(self wasabiridge.InstanceID, n int) *RowMachine {
+	b := newRowMachine(self, 1, Limits{}.withDefaults())
 	b.setInstances(n)
 	return b
 }
@@ -35,9 +35,9 @@
 // Ticked returns the event of a tick among n instances.
 func Ticked(n int) RowTicked { return rowTicked{Instances: n} }
 
-func (b *rowBook) Handle(now wasabiridge.Millis, e RowEvent) []rowEffect { return b.handle(now, e) }
+func (b *rowMachine) Handle(now wasabiridge.Millis, e RowEvent) []rowEffect { return b.handle(now, e) }
 
-// Asked returns the event of a caller's question.
-func Asked(ask uint64, q wasabiridge.ClaimQuery) ClaimAsked {
-	return claimAsked{asker: asker{ask: ask, query: q}}
+// Requested returns the event of a call of Claim.
+func Requested(call uint64, q wasabiridge.ClaimQuery) ClaimRequested {
+	return claimRequested{Call: claimCall{number: call, query: q}}
 }
--- a/internal/wasabiclaim/fuzz_test.go
+++ b/internal/wasabiclaim/fuzz_test.go
@@ -6,11 +6,11 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabiclaim"
 )
 
-// FuzzTicket looks for a text that the decoder takes although no instance
-// made it for the account.
+// FuzzTicket searches for a text that the decoder accepts although no instance
+// issued it for the account.
 func FuzzTicket(f *testing.F) {
 	secret := []byte("secret")
-	t := wasabiclaim.Ticket{Instance: "a", Incarnation: 3, Life: 9, Serial: 4, Expires: 77}
+	t := wasabiclaim.Ticket{Instance: "a", Incarnation: 3, Nonce: 9, Serial: 4, Expires: 77}
 	good := wasabiclaim.EncodeTicket(secret, "lifts", t)
 	f.Add(good)
 	f.Add("wrt1.e30.AAAA")
@@ -18,12 +18,13 @@
 	f.Fuzz(func(t *testing.T, key string) {
 		got, err := wasabiclaim.DecodeTicket(secret, "lifts", key)
 		if err == nil && wasabiclaim.EncodeTicket(secret, "lifts", got) != key {
-			t.Fatalf("took a ticket that was never made: %q", key)
+			t.Fatalf("decoded a ticket that was never issued: %q", key)
 		}
 	})
 }
 
-// FuzzRecord looks for a row that decodes to a state that no writer uses.
+// FuzzRecord searches for a row that decodes to a record that does not survive
+// another round of encoding and decoding.
 func FuzzRecord(f *testing.F) {
 	f.Add(wasabiclaim.EncodeRecord(wasabiclaim.Record{State: "running", Request: "r", Holder: "a"}))
 	f.Add([]byte(`{"state":"answered","answer":{"status":201,"body":"dg=="}}`))
@@ -35,7 +36,7 @@
 		}
 		again, err := wasabiclaim.DecodeRecord(wasabiclaim.EncodeRecord(r))
 		if err != nil || again.State != r.State || again.Request != r.Request || (again.Answer == nil) != (r.Answer == nil) {
-			t.Fatalf("%q does not survive: %v %v", value, again, err)
+			t.Fatalf("%q changed in a round trip: %v %v", value, again, err)
 		}
 	})
 }
--- a/internal/wasabiclaim/gate.go
+++ b/internal/wasabiclaim/gate.go
@@ -6,14 +6,14 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// sendGate remembers which requests hold a claim and may still be sent. It is
-// safe for concurrent use. It is as large as the number of open requests.
+// sendGate records which requests hold a claim and may still be sent. It is safe
+// for concurrent use. It has one entry for each open request.
 //
-// The failure it guards against: one goroutine gives a request up as "not
-// run" and releases its claim while another is about to send it. The caller's
-// repeat then gets the claim and the request runs twice. Sending and giving up
-// both pass the gate, so one of them comes first: a send after the end is
-// refused, and an end after a send is not believed to be "not run".
+// The failure it guards against: one goroutine ends a request as "not run" and
+// releases its claim while another is about to send it. The caller's repeat then
+// gets the claim, and the request runs twice. Sending and ending both go through
+// the gate, so one of them comes first: a send after the end is refused, and an
+// end after a send counts as "maybe run" even if it reports "not run".
 type sendGate struct {
 	mu   sync.Mutex
 	held map[wasabiridge.RequestID]*heldRequest
@@ -21,8 +21,8 @@
 
 // heldRequest is a request that holds a claim.
 type heldRequest struct {
-	// asked is the identifier under which the request was claimed.
-	asked wasabiridge.RequestID
+	// claimedAs is the identifier under which the request was claimed.
+	claimedAs wasabiridge.RequestID
 	// sends counts sends that may have run.
 	sends int
 }
@@ -31,14 +31,15 @@
 	return &sendGate{held: make(map[wasabiridge.RequestID]*heldRequest)}
 }
 
-func (g *sendGate) open(r, asked wasabiridge.RequestID) {
+func (g *sendGate) open(r, claimedAs wasabiridge.RequestID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.held[r] = &heldRequest{asked: asked}
+	g.held[r] = &heldRequest{claimedAs: claimedAs}
 }
 
-// pass counts a send. It reports ErrConflict when the request may not be sent.
-func (g *sendGate) pass(r wasabiridge.RequestID) error {
+// countSend counts a send. It returns ErrConflict when the request holds no claim
+// and must not be sent.
+func (g *sendGate) countSend(r wasabiridge.RequestID) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	h := g.held[r]
@@ -49,8 +50,8 @@
 	return nil
 }
 
-// takeBack uncounts a send that did not run.
-func (g *sendGate) takeBack(r wasabiridge.RequestID) {
+// uncountSend reverses countSend for a send that did not run.
+func (g *sendGate) uncountSend(r wasabiridge.RequestID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if h := g.held[r]; h != nil && h.sends > 0 {
@@ -58,8 +59,7 @@
 	}
 }
 
-// close ends a request and returns it. It returns nil when the request holds
-// no claim.
+// close removes a request and returns it, or nil when the request holds no claim.
 func (g *sendGate) close(r wasabiridge.RequestID) *heldRequest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/wasabiclaim/history_test.go
+++ b/internal/wasabiclaim/history_test.go
@@ -27,38 +27,41 @@
 	historySpan  = 90 * time.Second
 )
 
-// operation is the input of one entry of a history.
+// operation is the input of one entry of a history: a claim with a key, or a run of
+// its request.
 type operation struct {
 	key int
 	run bool
 }
 
-// seen is its output: what a caller was told, or which run took place.
-type seen struct {
+// observation is the output of an operation: the outcome that the caller received, or
+// the token of the run.
+type observation struct {
 	state wasabiridge.ClaimState
 	token string
 }
 
-// bookingState is the state of one key in the model: the token of its run.
-type bookingState struct{ token string }
+// keyState is the state of one key in the model: the token of its run, empty before.
+type keyState struct{ token string }
 
-// claimModel says what callers may see of one key: it runs at most once, is
-// granted and called "not run" only before it ran, and is answered with the
-// answer of its run. "Still running" and "outcome unknown" fit any state.
+// claimModel specifies the outcomes that callers may receive for one key. Its request
+// runs at most once, a claim is granted or refused as "not run" only before that run,
+// and an answer is the one of that run. "Still running" and "outcome unknown" are
+// allowed in any state.
 var claimModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
-		parts := make([][]porcupine.Operation, historyKeys)
+		byKey := make([][]porcupine.Operation, historyKeys)
 		for _, op := range history {
 			key := op.Input.(operation).key
-			parts[key] = append(parts[key], op)
+			byKey[key] = append(byKey[key], op)
 		}
-		return parts
+		return byKey
 	},
-	Init: func() any { return bookingState{} },
+	Init: func() any { return keyState{} },
 	Step: func(state, input, output any) (bool, any) {
-		s, out := state.(bookingState), output.(seen)
+		s, out := state.(keyState), output.(observation)
 		if input.(operation).run {
-			return s.token == "", bookingState{token: out.token}
+			return s.token == "", keyState{token: out.token}
 		}
 		switch out.state {
 		case wasabiridge.ClaimGranted, wasabiridge.ClaimUnavailable:
@@ -71,24 +74,28 @@
 	},
 }
 
-// history is one run of a few instances under faults.
+// history is one simulation of a few instances under faults, with the operations that
+// it recorded.
 type history struct {
-	seed     uint64
-	reckless bool
-	net      *network
-	table    *wasabitable.Memory
-	clock    wasabiridge.Clock
-	time     atomic.Int64
+	seed uint64
+	// sendUnknown plants the fault that the checker must detect: requests whose outcome
+	// is unknown are sent.
+	sendUnknown bool
+	net         *network
+	table       *wasabitable.Memory
+	clock       wasabiridge.Clock
+	// time is the logical time of the recorded operations.
+	time atomic.Int64
 
-	mu     sync.Mutex
-	rng    *rand.Rand
-	ops    []porcupine.Operation
-	counts map[wasabiridge.ClaimState]int
-	runs   int
-	life   wasabiridge.Incarnation
+	mu          sync.Mutex
+	rng         *rand.Rand
+	ops         []porcupine.Operation
+	counts      map[wasabiridge.ClaimState]int
+	runs        int
+	incarnation wasabiridge.Incarnation
 }
 
-// router is one life of an instance.
+// router is one incarnation of an instance.
 type router struct {
 	id     string
 	keeper *wasabiclaim.Keeper
@@ -97,7 +104,7 @@
 	done   chan struct{}
 }
 
-// skewed is a clock that is off and jumps forward now and then.
+// skewed is a clock with a constant offset that jumps ahead by one hour at jumpAt.
 type skewed struct {
 	wasabiridge.Clock
 	offset wasabiridge.Millis
@@ -118,13 +125,14 @@
 	return h.rng.Float64() < p
 }
 
-func (h *history) span(most time.Duration) time.Duration {
+// span returns a random duration in [0, limit).
+func (h *history) span(limit time.Duration) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return time.Duration(h.rng.Int64N(int64(most)))
+	return time.Duration(h.rng.Int64N(int64(limit)))
 }
 
-func (h *history) add(call int64, in operation, out seen) {
+func (h *history) add(call int64, in operation, out observation) {
 	end := h.time.Add(1)
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -138,15 +146,15 @@
 
 func (h *history) boot(id string) *router {
 	h.mu.Lock()
-	h.life++
-	life := h.life
+	h.incarnation++
+	incarnation := h.incarnation
 	offset := wasabiridge.Millis(h.rng.Int64N(int64(20 * wasabiridge.Minute)))
 	jump := h.clock.Now() + wasabiridge.Millis(h.rng.Int64N(int64(5*wasabiridge.Minute)))
 	h.mu.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &router{id: id, ctx: ctx, crash: cancel, done: make(chan struct{})}
 	r.keeper = wasabiclaim.New(wasabiclaim.Options{
-		Self: wasabiridge.InstanceID(id), Incarnation: life, Secret: []byte("secret"), Table: h.table, Peers: h.net,
+		Self: wasabiridge.InstanceID(id), Incarnation: incarnation, Secret: []byte("secret"), Table: h.table, Peers: h.net,
 		Clock:     skewed{Clock: h.clock, offset: offset, jumpAt: jump},
 		Locate:    func(i wasabiridge.InstanceID) (string, bool) { return string(i), true },
 		Instances: func() int { return 3 },
@@ -170,8 +178,8 @@
 	<-r.done
 }
 
-// serve is what a router does with one request of a caller. It returns when
-// the caller has its answer.
+// serve handles one request of a caller at a router. It returns when the caller has
+// its response.
 func (h *history) serve(r *router, key int, text, request string) {
 	ctx, cancel := context.WithTimeout(r.ctx, time.Second+h.span(4*time.Second))
 	defer cancel()
@@ -179,21 +187,21 @@
 	call := h.time.Add(1)
 	out, err := r.keeper.Claim(ctx, q)
 	if r.ctx.Err() != nil || err != nil {
-		return // The instance crashed; the caller was told nothing.
+		return // The instance crashed; the caller received no response.
 	}
-	h.add(call, operation{key: key}, seen{state: out.State, token: string(out.Answer.Body)})
+	h.add(call, operation{key: key}, observation{state: out.State, token: string(out.Answer.Body)})
 	if out.State == wasabiridge.ClaimGranted {
 		h.execute(r, key, q)
 		return
 	}
-	if h.reckless && out.NotSent && h.chance(0.5) {
-		// The planted fault: "outcome unknown" is taken for "not run".
-		h.add(h.time.Add(1), operation{key: key, run: true}, seen{token: request})
+	if h.sendUnknown && out.NotSent && h.chance(0.5) {
+		// The planted fault: "outcome unknown" is treated as "not run".
+		h.add(h.time.Add(1), operation{key: key, run: true}, observation{token: request})
 	}
 }
 
-// execute sends a granted request, after a pause, a crash or a race with the
-// decision to give it up.
+// execute sends a granted request, possibly after a pause or a crash, or in a race
+// with its end as "not run".
 func (h *history) execute(r *router, key int, q wasabiridge.ClaimQuery) {
 	if h.chance(0.3) {
 		time.Sleep(h.span(40 * time.Second))
@@ -216,7 +224,7 @@
 	}
 	time.Sleep(h.span(200 * time.Millisecond))
 	token := string(q.Request)
-	h.add(call, operation{key: key, run: true}, seen{token: token})
+	h.add(call, operation{key: key, run: true}, observation{token: token})
 	time.Sleep(h.span(3 * time.Second))
 	if r.ctx.Err() != nil {
 		return
@@ -228,7 +236,7 @@
 	_ = r.keeper.Finish(r.ctx, result)
 }
 
-// caller asks for one key several times: at once or late, through one router
+// caller sends a request with one key several times, at once or late, to one router
 // or several.
 func (h *history) caller(key int, pick func() *router) {
 	text := fmt.Sprintf("visit %d", key)
@@ -250,7 +258,8 @@
 	wg.Wait()
 }
 
-// faults are the shares of table calls that fail.
+// faults returns the fault plan of the table: the fractions of calls that fail, and an
+// outage of 15 s.
 func faults(seed uint64) wasabifault.Plan {
 	plan := wasabifault.Plan{
 		Seed: seed, Unavailable: 0.05, LostRequest: 0.05, LostAnswer: 0.1, LateEffect: 0.1,
@@ -260,26 +269,26 @@
 	return plan.WithWindows(wasabifault.Outage(from, from+15*wasabiridge.Second))
 }
 
-func runHistory(seed uint64, reckless bool) *history {
+func runHistory(seed uint64, sendUnknown bool) *history {
 	clock := wasabiclock.System()
 	h := &history{
-		seed: seed, reckless: reckless, clock: clock,
+		seed: seed, sendUnknown: sendUnknown, clock: clock,
 		table:  wasabitable.NewMemory(wasabitable.MemoryOptions{Clock: clock, Plan: faults(seed)}),
 		net:    &network{keepers: map[string]*wasabiclaim.Keeper{}},
 		rng:    rand.New(rand.NewPCG(seed, 1)),
 		counts: map[wasabiridge.ClaimState]int{},
 	}
 	netRNG := rand.New(rand.NewPCG(seed, 2))
-	h.net.fate = func() callFate {
-		f := callFate{delay: time.Duration(netRNG.Int64N(int64(80 * time.Millisecond)))}
+	h.net.nextFault = func() callFault {
+		f := callFault{delay: time.Duration(netRNG.Int64N(int64(80 * time.Millisecond)))}
 		f.lostCall, f.lostAnswer = netRNG.Float64() < 0.1, netRNG.Float64() < 0.2
 		if netRNG.Float64() < 0.2 {
 			f.lateCopy = time.Duration(netRNG.Int64N(int64(10*time.Second))) + 1
 		}
 		return f
 	}
-	// A channel guards the list, not a mutex: a killed instance takes time to
-	// end, and time does not go on in a bubble while a goroutine waits for a
+	// A channel guards the list, not a mutex: a killed instance takes time to end,
+	// and in a synctest bubble time does not advance while a goroutine waits for a
 	// mutex.
 	guard := make(chan struct{}, 1)
 	routers := []*router{h.boot("a"), h.boot("b"), h.boot("c")}
@@ -289,7 +298,7 @@
 		return routers[h.span(time.Duration(len(routers)))]
 	}
 	stop := make(chan struct{})
-	go func() { // Instances crash and come back, one after the other.
+	go func() { // Instances crash and restart, one after the other.
 		for i := 0; ; i = (i + 1) % len(routers) {
 			select {
 			case <-stop:
@@ -312,7 +321,7 @@
 	}
 	wg.Wait()
 	close(stop)
-	time.Sleep(time.Minute) // Late writes and copies arrive.
+	time.Sleep(time.Minute) // Late writes and copies of calls arrive.
 	for _, r := range routers {
 		h.kill(r)
 	}
@@ -323,10 +332,10 @@
 	return porcupine.CheckOperationsTimeout(claimModel, h.ops, time.Minute)
 }
 
-// A dispatcher books a visit. Answers get lost, instances crash and pause,
-// the table is down for a while, and the dispatcher repeats the booking at
-// once and late, here and there. Whatever happens, one van comes at most, and
-// nobody is told "not run" of a visit that was booked.
+// Guards against a non-idempotent request that runs twice, and against "not run" for a
+// request that ran. Responses get lost, instances crash and pause, the table is down for
+// a while, and callers repeat their requests at once and late, at one instance or
+// several.
 func TestHistoriesRunAtMostOnce(t *testing.T) {
 	total := map[wasabiridge.ClaimState]int{}
 	runs := 0
@@ -342,7 +351,7 @@
 		})
 	}
 	g := NewWithT(t)
-	g.Expect(runs).To(BeNumerically(">", historySeeds*historyKeys/2), "histories in which little runs prove little")
+	g.Expect(runs).To(BeNumerically(">", historySeeds*historyKeys/2), "too few requests ran for the histories to be meaningful")
 	for _, state := range []wasabiridge.ClaimState{
 		wasabiridge.ClaimGranted, wasabiridge.ClaimRunning, wasabiridge.ClaimAnswered, wasabiridge.ClaimUnknown,
 	} {
@@ -351,9 +360,9 @@
 	t.Logf("%d histories, %d runs, answers by state %v", historySeeds, runs, total)
 }
 
-// A router that sends a request whose outcome is unknown runs some bookings
-// twice. The checker has to see it.
-func TestHistoryCheckerSeesDoubleRun(t *testing.T) {
+// Guards against a checker that accepts every history. Routers that send requests whose
+// outcome is unknown run some of them twice, and the checker must detect it.
+func TestHistoryCheckerDetectsDoubleRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		NewWithT(t).Expect(runHistory(wasabitest.Seed, true).check()).To(Equal(porcupine.Illegal))
 	})
--- a/internal/wasabiclaim/issuer.go
+++ b/internal/wasabiclaim/issuer.go
@@ -8,17 +8,16 @@
 )
 
 const (
-	// releasesSize bounds the ring of ends that issuers did not take yet.
-	// When it is full the end is dropped and counted: the ticket stays
-	// claimed, repeats are told that its outcome is unknown, and nothing
-	// runs twice.
+	// releasesSize bounds the queue of ends that still have to be sent to issuers.
+	// When it is full the end is dropped and counted: the ticket stays claimed,
+	// repeats are answered that its outcome is unknown, and nothing runs twice.
 	releasesSize = 1024
-	// releasers is how many goroutines tell issuers. One that is cut off
-	// holds up at most one of them.
+	// releasers is the number of goroutines that send ends to issuers. An issuer
+	// that cannot be reached delays one of them for each of its ends.
 	releasers = 4
-	// releaseTries bounds how often an issuer is told.
+	// releaseTries bounds the attempts to send an end to its issuer.
 	releaseTries = 6
-	// releasePause is the first pause between two tries; it doubles.
+	// releasePause is the pause after the first attempt; it doubles after each.
 	releasePause = 200 * time.Millisecond
 	// peerTimeout bounds one call to an issuer.
 	peerTimeout = 2 * time.Second
@@ -27,8 +26,9 @@
 func (k *Keeper) claimTicket(ctx context.Context, q wasabiridge.ClaimQuery) (wasabiridge.ClaimOutcome, error) {
 	t, err := decodeTicket(k.secret, q.Account, q.Key)
 	if err != nil {
-		// Forged, or made under a secret that was changed since. In the
-		// second case the request may have run, so "not run" could be false.
+		// The ticket is forged, or was made with a secret that was changed
+		// since. In the second case the request may have run, so "not run"
+		// could be false.
 		return unknownNotSent(), nil
 	}
 	if t.Instance == k.options.Self {
@@ -45,10 +45,11 @@
 	}
 	var out wasabiridge.ClaimOutcome
 	if out, err = k.options.Peers.Claim(ctx, address, q); err != nil || out.State == wasabiridge.ClaimGranted && ctx.Err() != nil {
-		// The issuer may have granted the claim although its answer is
-		// lost, or the caller left when it came. This request will not be sent, so the issuer is told to
-		// release it; its memory of the request makes that safe in any
-		// order of arrival.
+		// The issuer may have granted the claim although its response was
+		// lost, or the caller left before it arrived. This request will not be
+		// sent, so the issuer must release the claim. The issuer remembers the
+		// request as abandoned, so the release is safe even if it overtakes the
+		// claim.
 		k.deferFinish(wasabiridge.ClaimResult{Query: q, Disposition: wasabiridge.NotRun})
 		return unknownNotSent(), nil
 	}
@@ -70,7 +71,7 @@
 		k.endTicket(t, r)
 		return nil
 	}
-	if err = k.tellIssuer(ctx, t.Instance, r); err != nil {
+	if err = k.notifyIssuer(ctx, t.Instance, r); err != nil {
 		k.deferFinish(r)
 	}
 	return nil
@@ -82,10 +83,10 @@
 	k.tickets.finish(k.options.Clock.Now(), t, r)
 }
 
-func (k *Keeper) tellIssuer(ctx context.Context, issuer wasabiridge.InstanceID, r wasabiridge.ClaimResult) error {
+func (k *Keeper) notifyIssuer(ctx context.Context, issuer wasabiridge.InstanceID, r wasabiridge.ClaimResult) error {
 	address, ok := k.locate(issuer)
 	if !ok {
-		return wasabiridge.ErrUnavailable.New("claim: issuer %s is not known", issuer)
+		return wasabiridge.ErrUnavailable.New("claim: no peer address for ticket issuer %s", issuer)
 	}
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
@@ -100,7 +101,7 @@
 	}
 }
 
-// HandleClaim decides on a claim for a ticket that was issued here. It
+// HandleClaim decides on a claim for a ticket that this instance issued. It
 // implements the method of wasabiridge.PeerHandler.
 func (k *Keeper) HandleClaim(_ context.Context, q wasabiridge.ClaimQuery) (wasabiridge.ClaimOutcome, error) {
 	t, err := decodeTicket(k.secret, q.Account, q.Key)
@@ -110,8 +111,9 @@
 	return k.decideTicket(t, q), nil
 }
 
-// HandleFinishClaim takes the end of a request whose ticket was issued here.
-// It implements the method of wasabiridge.PeerHandler.
+// HandleFinishClaim records the end of a request whose ticket this instance
+// issued. It implements the method of wasabiridge.PeerHandler. It returns
+// ErrInvalid for a ticket that cannot be verified.
 func (k *Keeper) HandleFinishClaim(_ context.Context, r wasabiridge.ClaimResult) error {
 	t, err := decodeTicket(k.secret, r.Query.Account, r.Query.Key)
 	if err != nil {
@@ -121,7 +123,8 @@
 	return nil
 }
 
-// release tells issuers of ends that they did not take at first.
+// release sends queued ends to the issuers of their tickets until the context
+// ends.
 func (k *Keeper) release(ctx context.Context) {
 	for {
 		select {
@@ -140,7 +143,7 @@
 	}
 	pause := releasePause
 	for range releaseTries {
-		if err = k.tellIssuer(ctx, t.Instance, r); err == nil {
+		if err = k.notifyIssuer(ctx, t.Instance, r); err == nil {
 			return
 		}
 		select {
--- a/internal/wasabiclaim/keeper.go
+++ b/internal/wasabiclaim/keeper.go
@@ -13,75 +13,75 @@
 )
 
 const (
-	// inboxSize bounds the ring from callers to the deciding goroutine. When
-	// it is full, callers wait until their context ends.
+	// inboxSize bounds the queue from callers to the goroutine that owns the row
+	// machine. When it is full, callers wait until their context ends.
 	inboxSize = 1024
-	// jobsSize bounds the ring to the goroutines that call the table. When
-	// it is full, the deciding goroutine keeps the work in its own list,
-	// which is bounded by one transaction and one read per open claim.
+	// jobsSize bounds the queue to the goroutines that call the table. When it is
+	// full, further jobs wait in a list of the goroutine that owns the row
+	// machine, which is bounded by one transaction and one read per open claim.
 	jobsSize = 64
-	// tableReaders is how many goroutines read the table.
+	// tableReaders is the number of goroutines that read the table.
 	tableReaders = 4
-	// tickEvery is the pause between two ticks.
-	tickEvery = 20 * time.Millisecond
+	// tickInterval is the interval at which the row machine is ticked.
+	tickInterval = 20 * time.Millisecond
 	// tableTimeout bounds one call to the table.
 	tableTimeout = 5 * time.Second
 )
 
-// Options set up a Keeper.
+// Options configure a Keeper.
 type Options struct {
 	Self wasabiridge.InstanceID
-	// Incarnation must differ between all lives of the instance.
+	// Incarnation must be different after every restart of the instance.
 	Incarnation wasabiridge.Incarnation
 	// Secret authenticates tickets. All instances share it.
 	Secret []byte
 	Table  wasabiridge.Table
 	Peers  wasabiridge.PeerClient
 	Clock  wasabiridge.Clock
-	// Members returns the instances that are known. They tell where issuers
-	// of tickets are reached, how many instances share the writes of the
-	// table, and which lives of instances are over. Without Members and Peers
-	// only tickets of this instance are decided; the outcome of others is
-	// unknown.
+	// Members returns the instances in the membership view. Keeper uses the peer
+	// addresses of ticket issuers, the number of instances that share the table's
+	// writes, and the incarnations, by which it recognises that a holder has
+	// restarted. Without Members and Peers only tickets of this instance are
+	// decided; the outcome of others is unknown.
 	Members func() []wasabiridge.Member
-	// Locate returns the peer address of an instance, and Instances their
-	// number, in place of Members. Both may be nil.
+	// Locate returns the peer address of an instance, and Instances the number of
+	// instances. They replace Members for these uses. Both may be nil.
 	Locate    func(wasabiridge.InstanceID) (string, bool)
 	Instances func() int
-	// AgreedNow returns a time that is no earlier than what other instances
-	// have said of theirs, such as the hybrid time of the time line. It keeps
-	// rows from ending early when the clock of this instance is behind. Nil
-	// leaves that to the times of rows.
+	// AgreedNow returns a time that is no earlier than any time received from
+	// other instances, such as the hybrid time of the timeline. It prevents the
+	// retention of rows from ending early when the clock of this instance is
+	// behind. With nil only the write times of rows are used for that.
 	AgreedNow func() wasabiridge.Millis
-	// SweepEvery is the pause between two sweeps of rows whose retention is
-	// over, by one instance for all. Zero means one hour, and a negative
-	// span never.
+	// SweepEvery is the interval between two sweeps of rows whose retention is
+	// over. One instance sweeps for all. Zero means one hour, and a negative value
+	// disables sweeps.
 	SweepEvery wasabiridge.Millis
-	// Recorder takes time line events. Nil records nothing.
+	// Recorder receives timeline events. With nil none are recorded.
 	Recorder wasabiridge.Recorder
 	Limits   Limits
 }
 
 // Keeper implements wasabiridge.Claimer and wasabiridge.ClaimGate. It is safe
-// for concurrent use. Run must be running for claims of rows to be decided;
-// tickets need no Run but for telling other issuers of claims that were given
-// up.
+// for concurrent use. Claims by row are decided only while Run is running. Claims
+// by ticket need Run only to send releases to issuers that could not be reached at
+// first.
 type Keeper struct {
 	options Options
 	secret  []byte
 
 	mu      sync.Mutex
-	tickets *ticketBook
+	tickets *ticketMachine
 	gate    *sendGate
 
-	asks     atomic.Uint64
+	calls    atomic.Uint64
 	inbox    chan message
 	results  chan rowEvent
 	releases chan wasabiridge.ClaimResult
 	// stopped is closed when nobody reads the inbox any more.
 	stopped chan struct{}
 
-	// posted counts messages that the deciding goroutine has not handled.
+	// posted counts messages that the row machine has not handled yet.
 	posted          atomic.Int64
 	unsettled       atomic.Int64
 	droppedRows     atomic.Uint64
@@ -97,24 +97,25 @@
 	_ wasabiridge.ClaimGate = (*Keeper)(nil)
 )
 
-// message is an event of a caller, with the place for its answer.
+// message is an event from a caller. For a claim, reply receives the outcome of the
+// call with the number call.
 type message struct {
 	event rowEvent
-	ask   uint64
+	call  uint64
 	reply chan wasabiridge.ClaimOutcome
 }
 
-// New returns a keeper without claims.
+// New returns a Keeper without claims.
 func New(o Options) *Keeper {
 	o.Limits = o.Limits.withDefaults()
 	if o.SweepEvery == 0 {
 		o.SweepEvery = wasabiridge.Hour
 	}
-	life := ticket{Instance: o.Self, Incarnation: o.Incarnation, Life: randomLife()}
+	issuer := ticket{Instance: o.Self, Incarnation: o.Incarnation, Nonce: randomNonce()}
 	return &Keeper{
 		options:  o,
 		secret:   append([]byte(nil), o.Secret...),
-		tickets:  newTicketBook(life, o.Limits),
+		tickets:  newTicketMachine(issuer, o.Limits),
 		gate:     newSendGate(),
 		inbox:    make(chan message, inboxSize),
 		results:  make(chan rowEvent, jobsSize),
@@ -123,15 +124,16 @@
 	}
 }
 
-func randomLife() uint64 {
+func randomNonce() uint64 {
 	var b [8]byte
-	// Read never fails; it ends the program when the system has no
-	// randomness.
+	// Read never returns an error; it ends the program when the system's random
+	// source fails.
 	rand.Read(b[:]) //nolint:errcheck // see above
 	return binary.LittleEndian.Uint64(b[:])
 }
 
-// Ticket returns a new key that this instance decides on without a write.
+// Ticket issues a new key for the client account. Claims with it are decided by
+// this instance without a write.
 func (k *Keeper) Ticket(account wasabiridge.ClientAccountID) string {
 	k.mu.Lock()
 	t := k.tickets.issue(k.options.Clock.Now())
@@ -139,23 +141,23 @@
 	return encodeTicket(k.secret, account, t)
 }
 
-// Claim asks for the right to run a request. It always decides; a ticket that
-// no instance with the secret made has an unknown outcome.
+// Claim requests the right to run a request. It always returns an outcome; for a
+// ticket that no instance with the secret issued the outcome is unknown.
 //
-// Every call asks under an identifier of its own. A word that an earlier call
-// was given up may still be on its way to an issuer; it must never release
-// what a later call of the same request was granted.
+// Every call claims under an identifier of its own. The release of an earlier,
+// abandoned call may still be in flight to an issuer; it must never release what a
+// later call for the same request was granted.
 func (k *Keeper) Claim(ctx context.Context, q wasabiridge.ClaimQuery) (wasabiridge.ClaimOutcome, error) {
 	request := q.Request
 	q.Holder, q.Incarnation = k.options.Self, k.options.Incarnation
-	ask := k.asks.Add(1)
-	q.Request += wasabiridge.RequestID("~" + strconv.FormatUint(ask, 36))
+	call := k.calls.Add(1)
+	q.Request += wasabiridge.RequestID("~" + strconv.FormatUint(call, 36))
 	var out wasabiridge.ClaimOutcome
 	var err error
 	if isTicket(q.Key) {
 		out, err = k.claimTicket(ctx, q)
 	} else {
-		out, err = k.claimRow(ctx, ask, q)
+		out, err = k.claimRow(ctx, call, q)
 	}
 	if err == nil && out.State == wasabiridge.ClaimGranted {
 		k.gate.open(request, q.Request)
@@ -164,27 +166,29 @@
 	return out, err
 }
 
-// BeginSend is called right before the first byte of a claimed request is
-// sent. It reports ErrConflict when nothing may be sent any more.
+// BeginSend must be called right before the first byte of a claimed request is
+// sent. It returns ErrConflict when the request holds no claim, or no longer; then
+// it must not be sent.
 func (k *Keeper) BeginSend(request wasabiridge.RequestID) error {
-	return k.gate.pass(request)
+	return k.gate.countSend(request)
 }
 
-// SendNotRun says that the last send of the request did not run, by the word
-// of its backend server.
+// SendNotRun records that the last send of the request did not run, as reported
+// by its backend server.
 func (k *Keeper) SendNotRun(request wasabiridge.RequestID) {
-	k.gate.takeBack(request)
+	k.gate.uncountSend(request)
 }
 
-// Finish records the end of a granted request. It returns before the end is
-// written to the table; Drain waits for that.
+// Finish records the end of a granted request. It returns ErrConflict when the
+// request holds no claim. It may return before the end is written to the table;
+// Drain waits for that.
 func (k *Keeper) Finish(ctx context.Context, r wasabiridge.ClaimResult) error {
 	r.Query.Holder, r.Query.Incarnation = k.options.Self, k.options.Incarnation
 	held := k.gate.close(r.Query.Request)
 	if held == nil {
 		return wasabiridge.ErrConflict.New("claim: request %s holds no claim", r.Query.Request)
 	}
-	r.Query.Request = held.asked
+	r.Query.Request = held.claimedAs
 	if held.sends > 0 {
 		r.Disposition = r.Disposition.Advance(wasabiridge.MaybeRun)
 	}
@@ -194,9 +198,9 @@
 	return k.post(context.WithoutCancel(ctx), message{event: claimEnded{Result: r}})
 }
 
-func (k *Keeper) claimRow(ctx context.Context, ask uint64, q wasabiridge.ClaimQuery) (wasabiridge.ClaimOutcome, error) {
-	m := message{ask: ask, reply: make(chan wasabiridge.ClaimOutcome, 1)}
-	m.event = claimAsked{asker: asker{ask: m.ask, query: q}}
+func (k *Keeper) claimRow(ctx context.Context, call uint64, q wasabiridge.ClaimQuery) (wasabiridge.ClaimOutcome, error) {
+	m := message{call: call, reply: make(chan wasabiridge.ClaimOutcome, 1)}
+	m.event = claimRequested{Call: claimCall{number: m.call, query: q}}
 	if err := k.post(ctx, m); err != nil {
 		return unknownNotSent(), nil
 	}
@@ -209,9 +213,10 @@
 	case <-k.stopped:
 		return unknownNotSent(), nil
 	}
-	// The caller left. The claim may be granted at this moment, or was right before;
-	// the gate of the request was never opened, so releasing it is safe.
-	left := claimAbandoned{Ask: m.ask, Key: rowKey(q.Account, q.Key)}
+	// The caller left. The claim may be granted at this moment, or was granted right
+	// before. The request was not added to the send gate, so it cannot have been sent
+	// and releasing its claim is safe.
+	left := claimAbandoned{Call: m.call, Key: rowKey(q.Account, q.Key)}
 	if err := k.post(context.WithoutCancel(ctx), message{event: left}); err != nil {
 		return unknownNotSent(), nil
 	}
@@ -227,7 +232,7 @@
 	case <-k.stopped:
 	}
 	k.posted.Add(-1)
-	return wasabiridge.ErrUnavailable.New("claim: keeper is busy or stopped")
+	return wasabiridge.ErrUnavailable.New("claim: queue for claims by row is full, or Run has ended")
 }
 
 func (k *Keeper) record(r wasabiridge.RequestID, a wasabiridge.ClientAccountID, out wasabiridge.ClaimOutcome) {
--- a/internal/wasabiclaim/members.go
+++ b/internal/wasabiclaim/members.go
@@ -2,21 +2,21 @@
 
 import "github.com/wasabiridge/wasabiridge"
 
-// lives are the incarnations of instances that were heard of.
-type lives map[wasabiridge.InstanceID]wasabiridge.Incarnation
+// incarnations are the incarnations of the instances in the membership view.
+type incarnations map[wasabiridge.InstanceID]wasabiridge.Incarnation
 
-// isOver reports whether another life of the instance was heard of. Repeats of
-// a request that the former life held hear "outcome unknown" at once instead of
-// "still running". It decides on nothing else.
-func (l lives) isOver(id wasabiridge.InstanceID, life wasabiridge.Incarnation) bool {
+// hasEnded reports whether the instance is now in another incarnation. Repeats of
+// a request that the ended incarnation held are then answered "outcome unknown" at
+// once instead of "still running". It has no other effect.
+func (l incarnations) hasEnded(id wasabiridge.InstanceID, incarnation wasabiridge.Incarnation) bool {
 	now, ok := l[id]
-	return ok && now != life
+	return ok && now != incarnation
 }
 
-func livesOf(members []wasabiridge.Member) lives {
-	l := make(lives, len(members))
+func incarnationsOf(members []wasabiridge.Member) incarnations {
+	l := make(incarnations, len(members))
 	for _, m := range members {
-		// An instance that is only listed has no known incarnation.
+		// An instance that is only listed as a seed has incarnation zero.
 		if m.Incarnation != 0 {
 			l[m.ID] = m.Incarnation
 		}
@@ -24,7 +24,7 @@
 	return l
 }
 
-// members returns the known instances, or nil.
+// members returns the instances in the membership view, or nil without one.
 func (k *Keeper) members() []wasabiridge.Member {
 	if k.options.Members == nil {
 		return nil
@@ -32,8 +32,8 @@
 	return k.options.Members()
 }
 
-// instances returns how many instances share the writes of the table, this one
-// included.
+// instances returns the number of instances that share the table's writes, this
+// one included.
 func (k *Keeper) instances(members []wasabiridge.Member) int {
 	if k.options.Instances != nil {
 		return k.options.Instances()
@@ -47,8 +47,8 @@
 	return n
 }
 
-// locate returns where an issuer is reached. Without peers only the tickets of
-// this instance are decided.
+// locate returns the peer address of a ticket's issuer. Without a peer client there
+// is none, so that only the tickets of this instance are decided.
 func (k *Keeper) locate(issuer wasabiridge.InstanceID) (string, bool) {
 	if k.options.Peers == nil {
 		return "", false
--- a/internal/wasabiclaim/record.go
+++ b/internal/wasabiclaim/record.go
@@ -8,7 +8,7 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabirecord"
 )
 
-// rowPrefix starts the keys of all claim rows.
+// rowPrefix is the prefix of the keys of all claim rows.
 const rowPrefix = "claim/"
 
 // recordState is the state of a claim row.
@@ -29,7 +29,7 @@
 	Incarnation wasabiridge.Incarnation `json:"incarnation"`
 	Digest      uint64                  `json:"digest"`
 	Written     wasabiridge.Millis      `json:"written_ms"`
-	// Until is the end of the retention. Rows are not deleted before.
+	// Until is the end of the retention, before which the row is not deleted.
 	Until  wasabiridge.Millis `json:"until_ms"`
 	Answer *recordAnswer      `json:"answer,omitempty"`
 }
@@ -40,8 +40,8 @@
 	Body        []byte `json:"body,omitempty"`
 }
 
-// rowKey returns the key of the row for a caller's key. The caller's text is
-// hashed, so that it neither shows in the table nor makes long keys.
+// rowKey returns the key of the row for a caller's key. The caller's key is
+// hashed, so that the table does not reveal it and row keys are short.
 func rowKey(account wasabiridge.ClientAccountID, key string) string {
 	h := sha256.New()
 	h.Write([]byte(account))
@@ -52,7 +52,7 @@
 
 func encodeRecord(r record) []byte { return wasabirecord.Encode(r) }
 
-// decodeRecord reads the value of a claim row. It reports ErrInvalid for
+// decodeRecord decodes the value of a claim row. It returns ErrInvalid for
 // anything that encodeRecord does not write.
 func decodeRecord(value []byte) (record, error) {
 	var r record
@@ -64,11 +64,11 @@
 		return r, nil
 	case recordAnswered:
 		if r.Answer == nil {
-			return record{}, wasabiridge.ErrInvalid.New("claim: answered row without answer")
+			return record{}, wasabiridge.ErrInvalid.New("claim: row in state answered has no answer")
 		}
 		return r, nil
 	default:
-		return record{}, wasabiridge.ErrInvalid.New("claim: unknown state %q", string(r.State))
+		return record{}, wasabiridge.ErrInvalid.New("claim: row has unknown state %q", string(r.State))
 	}
 }
 
--- a/internal/wasabiclaim/rowevents.go
+++ b/internal/wasabiclaim/rowevents.go
@@ -2,28 +2,28 @@
 
 import "github.com/wasabiridge/wasabiridge"
 
-// rowEvent is something that a rowBook is told.
+// rowEvent is an input of a rowMachine.
 type rowEvent interface{ isRowEvent() }
 
-// claimAsked says that a caller of Claim waits for a decision.
-type claimAsked struct{ asker asker }
+// claimRequested reports that a caller of Claim waits for an outcome.
+type claimRequested struct{ Call claimCall }
 
-// claimAbandoned says that a caller of Claim left without its answer.
+// claimAbandoned reports that a caller of Claim left before it had an outcome.
 type claimAbandoned struct {
-	Ask uint64
-	Key string
+	Call uint64
+	Key  string
 }
 
-// claimEnded says how a claimed request ended.
+// claimEnded reports how a claimed request ended.
 type claimEnded struct{ Result wasabiridge.ClaimResult }
 
-// batchCommitted answers a commitBatch.
+// batchCommitted is the result of a commitBatch.
 type batchCommitted struct {
 	ID  wasabiridge.WriteID
 	Err error
 }
 
-// rowRead answers a readRow.
+// rowRead is the result of a readRow with the same key and number.
 type rowRead struct {
 	Key    string
 	Number uint64
@@ -31,38 +31,38 @@
 	Err    error
 }
 
-// rowTicked says that time has passed.
+// rowTicked reports that time has passed.
 type rowTicked struct {
-	// Instances share the writes of the table.
+	// Instances is the number of instances that share the table's writes.
 	Instances int
-	// Lives are the incarnations that were heard of.
-	Lives lives
-	// Agreed is a time that is no earlier than that of other instances.
+	// Incarnations are those in the membership view.
+	Incarnations incarnations
+	// Agreed is a time that is no earlier than any received from other instances.
 	Agreed wasabiridge.Millis
 }
 
-func (claimAsked) isRowEvent()     {}
+func (claimRequested) isRowEvent() {}
 func (claimAbandoned) isRowEvent() {}
 func (claimEnded) isRowEvent()     {}
 func (batchCommitted) isRowEvent() {}
 func (rowRead) isRowEvent()        {}
 func (rowTicked) isRowEvent()      {}
 
-// rowEffect is something that a rowBook wants done.
+// rowEffect is an output of a rowMachine, to be executed by its owner.
 type rowEffect interface{ isRowEffect() }
 
-// commitBatch asks to carry out a transaction, once.
+// commitBatch commits a transaction, with one call to the table.
 type commitBatch struct{ Transaction wasabiridge.Transaction }
 
-// readRow asks to read a row.
+// readRow reads a row. Number identifies the read.
 type readRow struct {
 	Key    string
 	Number uint64
 }
 
-// replyClaim answers a caller of Claim.
+// replyClaim returns an outcome to a caller of Claim.
 type replyClaim struct {
-	Ask     uint64
+	Call    uint64
 	Outcome wasabiridge.ClaimOutcome
 }
 
--- a/internal/wasabiclaim/rowtable.go
+++ b/internal/wasabiclaim/rowtable.go
@@ -6,44 +6,45 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// enqueue puts an entry into the next transaction.
-func (b *rowBook) enqueue(e *rowEntry, due wasabiridge.Millis) {
+// enqueue queues the write of an entry. It is sent when it is due, or earlier with
+// another one.
+func (b *rowMachine) enqueue(e *rowEntry, due wasabiridge.Millis) {
 	e.busy, e.due = true, due
 	b.queue = append(b.queue, e)
 }
 
-// flush sends the next transaction when it is time. One transaction is on its
-// way at most, and the pause between two keeps this instance within its part
-// of the platform's writes.
-func (b *rowBook) flush(now wasabiridge.Millis) {
-	if len(b.flying) > 0 || now-b.lastSent < b.interval || !b.isDue(now) {
+// flush sends the next transaction when a queued write is due. At most one
+// transaction is in flight, and the interval between two keeps this instance within
+// its share of the table's writes.
+func (b *rowMachine) flush(now wasabiridge.Millis) {
+	if len(b.inFlight) > 0 || now-b.lastSent < b.interval || !b.isDue(now) {
 		return
 	}
 	n := min(len(b.queue), b.limits.BatchRows)
 	tx := wasabiridge.Transaction{ID: b.nextWriteID()}
 	for _, e := range b.queue[:n] {
 		if b.entries[e.key] != e {
-			// The entry was dropped while it was queued.
+			// The entry was removed while it was queued.
 			continue
 		}
-		if e.stage == stageClaiming && e.gaveUp {
-			b.gaveUpBeforeWrite(e, now)
+		if e.stage == stageClaiming && e.abandoned {
+			b.abandonQueued(e, now)
 			continue
 		}
 		tx.Changes = append(tx.Changes, wasabiridge.RowChange{
 			Key: e.key, IfRevision: e.base, Value: encodeRecord(b.target(e, now)),
 		})
-		b.flying = append(b.flying, e)
+		b.inFlight = append(b.inFlight, e)
 	}
 	b.queue = append([]*rowEntry(nil), b.queue[n:]...)
-	if len(b.flying) == 0 {
+	if len(b.inFlight) == 0 {
 		return
 	}
-	b.flyingID, b.lastSent = tx.ID, now
+	b.inFlightID, b.lastSent = tx.ID, now
 	b.effects = append(b.effects, commitBatch{Transaction: tx})
 }
 
-func (b *rowBook) isDue(now wasabiridge.Millis) bool {
+func (b *rowMachine) isDue(now wasabiridge.Millis) bool {
 	if len(b.queue) >= b.limits.BatchRows {
 		return true
 	}
@@ -55,7 +56,7 @@
 	return false
 }
 
-func (b *rowBook) target(e *rowEntry, now wasabiridge.Millis) record {
+func (b *rowMachine) target(e *rowEntry, now wasabiridge.Millis) record {
 	switch e.stage {
 	case stageEnding:
 		return e.final
@@ -68,8 +69,8 @@
 	}
 }
 
-// gaveUpBeforeWrite ends a claim whose caller left while it was queued.
-func (b *rowBook) gaveUpBeforeWrite(e *rowEntry, now wasabiridge.Millis) {
+// abandonQueued ends a claim whose caller left while its write was queued.
+func (b *rowMachine) abandonQueued(e *rowEntry, now wasabiridge.Millis) {
 	e.busy = false
 	if e.dirty {
 		b.release(e, now)
@@ -78,10 +79,10 @@
 	b.promote(e, now)
 }
 
-// promote lets the next waiter claim a row that nobody holds, or forgets the
-// entry.
-func (b *rowBook) promote(e *rowEntry, now wasabiridge.Millis) {
-	b.forget(e)
+// promote makes the next waiter the owner of a row that no request holds. Without a
+// waiter it removes the entry.
+func (b *rowMachine) promote(e *rowEntry, now wasabiridge.Millis) {
+	b.remove(e)
 	if len(e.waiters) == 0 {
 		return
 	}
@@ -90,13 +91,13 @@
 	b.startRead(next)
 }
 
-func (b *rowBook) committed(now wasabiridge.Millis, c batchCommitted) {
-	if c.ID != b.flyingID {
+func (b *rowMachine) committed(now wasabiridge.Millis, c batchCommitted) {
+	if c.ID != b.inFlightID {
 		return
 	}
-	flying := b.flying
-	b.flying, b.flyingID = nil, ""
-	for _, e := range flying {
+	batch := b.inFlight
+	b.inFlight, b.inFlightID = nil, ""
+	for _, e := range batch {
 		e.busy = false
 		if b.entries[e.key] != e {
 			continue
@@ -105,21 +106,21 @@
 		case c.Err == nil:
 			b.written(e, now)
 		case isUnavailable(c.Err):
-			b.stalled(e, now)
+			b.tableFailed(e, now)
 		default:
 			// Either one row of the batch had another writer, or the
-			// answer was lost and the write may have taken effect, now or
-			// later. The row tells: it names the request that holds it.
+			// response was lost and the write may take effect, now or later.
+			// The row is read, because it names the request that holds it.
 			e.dirty = e.dirty || !errorx.IsOfType(c.Err, wasabiridge.ErrConflict)
 			b.startRead(e)
 		}
 	}
 }
 
-// written goes on after a write that took effect. It raised the revision, so
-// earlier writes of the entry that are still on their way cannot take effect.
-func (b *rowBook) written(e *rowEntry, now wasabiridge.Millis) {
-	e.dirty, b.stalls = false, 0
+// written handles a write that took effect. It raised the row's revision, so
+// earlier writes of the entry that are still in flight cannot take effect.
+func (b *rowMachine) written(e *rowEntry, now wasabiridge.Millis) {
+	e.dirty, b.failures = false, 0
 	switch e.stage {
 	case stageClaiming:
 		b.granted(e, now)
@@ -130,77 +131,78 @@
 	}
 }
 
-func (b *rowBook) granted(e *rowEntry, now wasabiridge.Millis) {
-	if e.gaveUp {
+func (b *rowMachine) granted(e *rowEntry, now wasabiridge.Millis) {
+	if e.abandoned {
 		b.release(e, now)
 		return
 	}
 	e.stage = stageHeld
 	b.reply(e.owner, wasabiridge.ClaimOutcome{State: wasabiridge.ClaimGranted})
-	b.judgeWaiters(e, now, b.runningRecord(e, now))
+	b.replyToWaiters(e, now, b.runningRecord(e, now))
 }
 
-func (b *rowBook) judgeWaiters(e *rowEntry, now wasabiridge.Millis, r record) {
+func (b *rowMachine) replyToWaiters(e *rowEntry, now wasabiridge.Millis, r record) {
 	for _, w := range e.waiters {
-		b.reply(w, b.judge(now, r, w.query))
+		b.reply(w, b.outcomeOf(now, r, w.query))
 	}
 	e.waiters = nil
 }
 
-// settle keeps the final record in memory for repeats at this instance.
-func (b *rowBook) settle(e *rowEntry) {
+// settle caches the final record in memory for repeats at this instance, if the
+// answer fits.
+func (b *rowMachine) settle(e *rowEntry) {
 	e.stage = stageSettled
 	if e.unsettled != nil {
 		b.unsettled.Remove(e.unsettled)
 		e.unsettled = nil
 	}
-	if !b.kept.fits(e.final.answer()) {
-		b.forget(e)
+	if !b.cached.fits(e.final.answer()) {
+		b.remove(e)
 		return
 	}
-	e.kept = b.kept.add(e.final.answer(), func() { b.forget(e) })
+	e.cached = b.cached.add(e.final.answer(), func() { b.remove(e) })
 }
 
-// stalled goes on when the table cannot be reached. A claim is refused at
-// once. Whether an earlier request with the key ran cannot be told, so the
-// refusal does not say "not run".
-func (b *rowBook) stalled(e *rowEntry, now wasabiridge.Millis) {
-	b.stalls++
-	b.refuseAll(e)
+// tableFailed handles a table that cannot be reached. A claim is refused at once.
+// It is unknown whether an earlier request with the key ran, so the outcome is not
+// "not run".
+func (b *rowMachine) tableFailed(e *rowEntry, now wasabiridge.Millis) {
+	b.failures++
+	b.refuseWaiters(e)
 	if e.stage != stageClaiming {
 		e.retryAt = now + b.limits.RetryInterval
 		return
 	}
-	if !e.gaveUp {
+	if !e.abandoned {
 		b.reply(e.owner, unknownNotSent())
 	}
 	if !e.dirty {
-		b.forget(e)
+		b.remove(e)
 		return
 	}
 	e.stage, e.due, e.retryAt = stageReleasing, now, now+b.limits.RetryInterval
-	b.watch(e)
+	b.addUnsettled(e)
 }
 
-func (b *rowBook) read(now wasabiridge.Millis, rr rowRead) {
+func (b *rowMachine) read(now wasabiridge.Millis, rr rowRead) {
 	e := b.entries[rr.Key]
 	if e == nil || e.readNumber != rr.Number {
 		return
 	}
 	e.busy, e.readNumber = false, 0
 	if rr.Err != nil {
-		b.stalled(e, now)
+		b.tableFailed(e, now)
 		return
 	}
-	b.stalls = 0
+	b.failures = 0
 	var r record
 	if rr.Row.Revision == 0 {
 		r.State = recordFree
 	} else {
 		var err error
 		if r, err = decodeRecord(rr.Row.Value); err != nil {
-			// A row that cannot be read is never written over: it may be
-			// the claim of a request that ran.
+			// A row that cannot be decoded is never overwritten: it may be the
+			// claim of a request that ran.
 			r = record{State: recordUnknown, Digest: e.owner.query.Digest}
 		}
 		b.horizon.observe(r.Holder, r.Written)
@@ -209,8 +211,9 @@
 	b.reconcile(e, now, r)
 }
 
-// reconcile compares what the row holds with what the entry wants.
-func (b *rowBook) reconcile(e *rowEntry, now wasabiridge.Millis, r record) {
+// reconcile compares the record of a row with the stage of its entry and continues
+// accordingly: it writes the row, or replies and ends the entry.
+func (b *rowMachine) reconcile(e *rowEntry, now wasabiridge.Millis, r record) {
 	own := r.State == recordRunning && b.isOwn(e, r)
 	switch {
 	case e.stage == stageClaiming && r.State == recordFree:
@@ -219,31 +222,31 @@
 		e.dirty = false
 		b.granted(e, now)
 	case e.stage == stageClaiming:
-		b.taken(e, now, r)
+		b.claimedByOther(e, now, r)
 	case e.stage == stageEnding && own:
 		b.enqueue(e, e.due)
 	case e.stage == stageEnding:
 		b.settle(e)
 	case own || r.State == recordFree && e.dirty:
-		// A free row is written again while an earlier claim write may be
-		// on its way. The new revision makes that write fail; otherwise it
-		// would leave the row claimed by a request that nobody runs.
+		// A free row is written again while an earlier claim write may be in
+		// flight. The new revision makes that write fail; otherwise it would
+		// leave the row claimed by a request that will never be sent.
 		b.enqueue(e, now)
 	default:
 		b.promote(e, now)
 	}
 }
 
-// taken goes on when the row belongs to another request.
-func (b *rowBook) taken(e *rowEntry, now wasabiridge.Millis, r record) {
+// claimedByOther ends the claims for a row that belongs to another request.
+func (b *rowMachine) claimedByOther(e *rowEntry, now wasabiridge.Millis, r record) {
 	if r.State == recordRunning && r.Holder == b.self {
-		// The row names this instance, yet nothing here holds it: it was
-		// claimed in a former life, or its release was dropped.
+		// The row names this instance, but no entry holds it: it was claimed by
+		// an earlier incarnation, or its release was dropped.
 		r.State = recordUnknown
 	}
-	if !e.gaveUp {
-		b.reply(e.owner, b.judge(now, r, e.owner.query))
+	if !e.abandoned {
+		b.reply(e.owner, b.outcomeOf(now, r, e.owner.query))
 	}
-	b.judgeWaiters(e, now, r)
-	b.forget(e)
+	b.replyToWaiters(e, now, r)
+	b.remove(e)
 }
--- a/internal/wasabiclaim/run.go
+++ b/internal/wasabiclaim/run.go
@@ -8,24 +8,24 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Run decides on claims of rows until the context ends. It is called once, and
-// returns after all
-// goroutines that it started have ended.
+// Run decides on claims by row, sends queued releases and sweeps rows until the
+// context ends. It must be called once. It returns after all goroutines that it
+// started have ended.
 func (k *Keeper) Run(ctx context.Context) {
 	jobs := make(chan rowEffect, jobsSize)
 	commits := make(chan rowEffect, 1)
 	var wg sync.WaitGroup
-	start := func(duty func()) {
+	start := func(task func()) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			duty()
+			task()
 		}()
 	}
 	for range releasers {
 		start(func() { k.release(ctx) })
 	}
-	start(func() { k.sweepInTurn(ctx) })
+	start(func() { k.sweepUnderLease(ctx) })
 	start(func() { k.callTable(ctx, commits) })
 	for range tableReaders {
 		start(func() { k.callTable(ctx, jobs) })
@@ -35,12 +35,13 @@
 	wg.Wait()
 }
 
-// decide owns the row book.
+// decide owns the row machine: it passes events to it and its effects on until the
+// context ends.
 func (k *Keeper) decide(ctx context.Context, commits, jobs chan<- rowEffect) {
-	book := newRowBook(k.options.Self, k.options.Incarnation, k.options.Limits)
-	book.handle(k.options.Clock.Now(), k.ticked())
+	machine := newRowMachine(k.options.Self, k.options.Incarnation, k.options.Limits)
+	machine.handle(k.options.Clock.Now(), k.ticked())
 	waiting := make(map[uint64]chan wasabiridge.ClaimOutcome)
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	var pending []rowEffect
 	for {
@@ -53,15 +54,15 @@
 			}
 		}
 		var event rowEvent
-		var taken int64
+		var handled int64
 		select {
 		case out <- next:
 			pending = pending[1:]
 			continue
 		case m := <-k.inbox:
-			event, taken = m.event, 1
+			event, handled = m.event, 1
 			if m.reply != nil {
-				waiting[m.ask] = m.reply
+				waiting[m.call] = m.reply
 			}
 		case event = <-k.results:
 		case <-ticker.C:
@@ -69,50 +70,51 @@
 		case <-ctx.Done():
 			return
 		}
-		for _, effect := range book.handle(k.options.Clock.Now(), event) {
+		for _, effect := range machine.handle(k.options.Clock.Now(), event) {
 			if r, ok := effect.(replyClaim); ok {
-				answerAsker(waiting, r)
+				replyTo(waiting, r)
 				continue
 			}
 			pending = append(pending, effect)
 		}
 		if left, ok := event.(claimAbandoned); ok {
-			delete(waiting, left.Ask)
+			delete(waiting, left.Call)
 		}
-		k.unsettled.Store(int64(book.unsettled.Len()))
-		k.droppedRows.Store(book.dropped)
-		k.posted.Add(-taken)
+		k.unsettled.Store(int64(machine.unsettled.Len()))
+		k.droppedRows.Store(machine.dropped)
+		k.posted.Add(-handled)
 	}
 }
 
-// ticked returns what the row book has to know of the world, and tells the
-// ticket book.
+// ticked returns the tick event for the row machine, with the current membership
+// and time, and updates the incarnations of the ticket machine.
 func (k *Keeper) ticked() rowTicked {
 	members := k.members()
-	t := rowTicked{Instances: k.instances(members), Lives: livesOf(members)}
+	t := rowTicked{Instances: k.instances(members), Incarnations: incarnationsOf(members)}
 	if k.options.AgreedNow != nil {
 		t.Agreed = k.options.AgreedNow()
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.tickets.lives = t.Lives
+	k.tickets.incarnations = t.Incarnations
 	return t
 }
 
-// answerAsker hands a decision to the caller that waits for it. A caller that
-// left is not in the map any more.
-func answerAsker(waiting map[uint64]chan wasabiridge.ClaimOutcome, r replyClaim) {
-	if reply, ok := waiting[r.Ask]; ok {
+// replyTo sends an outcome to the caller that waits for it. A caller that left is
+// no longer in the map.
+func replyTo(waiting map[uint64]chan wasabiridge.ClaimOutcome, r replyClaim) {
+	if reply, ok := waiting[r.Call]; ok {
 		reply <- r.Outcome
-		delete(waiting, r.Ask)
+		delete(waiting, r.Call)
 	}
 }
 
-// Drain waits until the ends of all finished requests are written to the
-// table. It reports ErrUnavailable when the context ends first; repeats of the
-// rest are told that the outcome is unknown once this instance is gone.
+// Drain waits until the ends of all finished requests are written to the table.
+// It returns ErrUnavailable when the context ends first. Repeats of requests whose
+// ends are not written are answered that the outcome is unknown, once this
+// instance is gone.
 func (k *Keeper) Drain(ctx context.Context) error {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		if k.posted.Load() == 0 && k.unsettled.Load() == 0 {
@@ -121,18 +123,19 @@
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			return wasabiridge.ErrUnavailable.New("claim: %d ends are not written", k.unsettled.Load())
+			return wasabiridge.ErrUnavailable.New("claim: drain ended with %d unwritten ends", k.unsettled.Load())
 		}
 	}
 }
 
-// callTable carries out effects on the table, one at a time.
+// callTable executes effects on the table, one at a time, and passes on their
+// results.
 func (k *Keeper) callTable(ctx context.Context, jobs <-chan rowEffect) {
 	for {
 		var result rowEvent
 		select {
 		case job := <-jobs:
-			result = k.carryOut(ctx, job)
+			result = k.execute(ctx, job)
 		case <-ctx.Done():
 			return
 		}
@@ -144,7 +147,7 @@
 	}
 }
 
-func (k *Keeper) carryOut(ctx context.Context, job rowEffect) rowEvent {
+func (k *Keeper) execute(ctx context.Context, job rowEffect) rowEvent {
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
 	if c, ok := job.(commitBatch); ok {
--- a/internal/wasabiclaim/sweep.go
+++ b/internal/wasabiclaim/sweep.go
@@ -10,39 +10,39 @@
 )
 
 const (
-	// sweepPage is how many rows one read of a sweep returns.
+	// sweepPage is the number of rows that one read of a sweep returns.
 	sweepPage = 200
-	// pagePause is the pause between two pages, so that a sweep takes a small
-	// part of the table's reads.
+	// pagePause is the pause between two pages, so that a sweep uses a small
+	// share of the table's reads.
 	pagePause = 100 * time.Millisecond
-	// sweepLease names the lease for sweeping, and sweepTTL how long it
-	// lasts. It is long, because every instance reads its row.
+	// sweepLease is the name of the lease for sweeping, and sweepTTL its term.
+	// The term is long, because every instance polls the lease's row.
 	sweepLease = "claim-sweep"
 	sweepTTL   = 10 * wasabiridge.Minute
-	// sweepMargin is how long past its retention a row stays.
+	// sweepMargin is how long a row is kept after the end of its retention.
 	sweepMargin = wasabiridge.Hour
 )
 
 // sweeper decides which rows may be deleted. It is deterministic.
 type sweeper struct {
-	// agreed is the horizon of the last whole pass, learning that of the
-	// pass under way.
-	agreed   horizon
-	learning horizon
+	// previous is the horizon of the last complete pass, and current that of the
+	// pass in progress.
+	previous horizon
+	current  horizon
 }
 
-// page takes rows of a pass and returns the changes that delete those whose
+// page takes one page of a pass and returns the changes that delete the rows whose
 // retention is over.
 func (s *sweeper) page(now wasabiridge.Millis, rows []wasabiridge.Row) []wasabiridge.RowChange {
-	limit := s.agreed.limit(now) - sweepMargin
+	limit := s.previous.limit(now) - sweepMargin
 	var changes []wasabiridge.RowChange
 	for _, row := range rows {
 		r, err := decodeRecord(row.Value)
 		if err != nil {
-			// Not a claim row of this version. It is left alone.
+			// The row may be of another version of the program. It is kept.
 			continue
 		}
-		s.learning.observe(r.Holder, r.Written)
+		s.current.observe(r.Holder, r.Written)
 		if r.Until < limit {
 			changes = append(changes, wasabiridge.RowChange{Key: row.Key, IfRevision: row.Revision, Delete: true})
 		}
@@ -50,15 +50,15 @@
 	return changes
 }
 
-// endPass makes what the pass learned the horizon of the next.
+// endPass ends a pass. The next one deletes by its horizon.
 func (s *sweeper) endPass() {
-	s.agreed, s.learning = s.learning, horizon{}
+	s.previous, s.current = s.current, horizon{}
 }
 
 // Sweep deletes rows whose retention is over, in one pass over all rows, and
-// returns how many. One instance at a time should sweep; several do no harm.
-// The first pass of an instance deletes nothing: it learns how far the clocks
-// of others are.
+// returns their number. One instance at a time should sweep; several do no harm.
+// The first pass of an instance deletes nothing: it computes the horizon from the
+// clocks of all writers.
 func (k *Keeper) Sweep(ctx context.Context) (int, error) {
 	k.sweepMu.Lock()
 	defer k.sweepMu.Unlock()
@@ -76,25 +76,25 @@
 		select {
 		case <-time.After(pagePause):
 		case <-ctx.Done():
-			return deleted, wasabiridge.ErrUnavailable.New("claim: sweep was stopped")
+			return deleted, wasabiridge.ErrUnavailable.New("claim: sweep cancelled")
 		}
 		changes := k.sweep.page(k.options.Clock.Now(), rows)
 		if len(changes) == 0 {
 			continue
 		}
-		// A lost answer or a conflict needs no care: the next pass meets
-		// the rows that are left.
-		id := wasabiridge.WriteID(fmt.Sprintf("%s/%d/sweep/%d", k.options.Self, k.options.Incarnation, k.asks.Add(1)))
+		// A lost response or a conflict needs no retry: the next pass reads the
+		// remaining rows again.
+		id := wasabiridge.WriteID(fmt.Sprintf("%s/%d/sweep/%d", k.options.Self, k.options.Incarnation, k.calls.Add(1)))
 		if err = k.options.Table.Commit(ctx, wasabiridge.Transaction{ID: id, Changes: changes}); err == nil {
 			deleted += len(changes)
 		}
 	}
 }
 
-// sweepInTurn sweeps while this instance holds the lease for it. Two instances
-// that sweep at once delete the same rows and do no other harm, so a sweep is
-// not stopped when the lease ends.
-func (k *Keeper) sweepInTurn(ctx context.Context) {
+// sweepUnderLease sweeps periodically while this instance holds the lease for it.
+// Two instances that sweep at once delete the same rows and do no other harm, so a
+// sweep is not cancelled when the lease ends.
+func (k *Keeper) sweepUnderLease(ctx context.Context) {
 	if k.options.SweepEvery < 0 {
 		return
 	}
@@ -102,11 +102,11 @@
 		Name: sweepLease, Self: k.options.Self, Incarnation: k.options.Incarnation, Table: k.options.Table,
 		Clock: k.options.Clock, Recorder: k.options.Recorder, Timing: wasabilease.Timing{TTL: sweepTTL},
 	})
-	// Instances that restart together read the row of the lease at different
-	// times.
-	herd := uint64((sweepTTL / 2).Duration())
+	// A random delay spreads the reads of the lease's row by instances that restart
+	// together.
+	maxDelay := uint64((sweepTTL / 2).Duration())
 	select {
-	case <-time.After(time.Duration(k.tickets.life.Life % herd)):
+	case <-time.After(time.Duration(k.tickets.issuer.Nonce % maxDelay)):
 	case <-ctx.Done():
 		return
 	}
