--- a/internal/wasabiconn/conn.go
+++ b/internal/wasabiconn/conn.go
@@ -16,40 +16,40 @@
 
 const (
 	bufferBytes = 4 << 10
-	// maxForeign is how many answers to other requests are passed over before
-	// the connection is given up.
+	// maxForeign bounds the responses to other requests that are skipped before
+	// the connection is discarded.
 	maxForeign = 3
-	// foreignBytes bounds what is read of an answer that is passed over.
+	// foreignBytes bounds the bytes that are read of a skipped response's body.
 	foreignBytes = 64 << 10
-	// inlineBody is the size up to which a body is written before the answer
-	// is read. The system's buffers take that much in any case; a larger one is
-	// written beside the reading, because a server may answer before it has
-	// read it.
+	// inlineBody is the size up to which a body is written before the response is
+	// read. The system's buffers take that much in any case. A larger body is
+	// written concurrently, because a server may respond before it has read all
+	// of it.
 	inlineBody = 2 << 10
 )
 
 var (
-	errForeign = wasabiridge.Errors.NewType("foreign_answer").New("conn: only answers to other requests came")
+	errForeign = wasabiridge.Errors.NewType("foreign_answer").New("conn: received only responses to other requests")
 	longAgo    = time.Unix(1, 0)
 )
 
-// Conn is one connection in the hands of one request.
+// Conn is a connection that is used by one request at a time.
 type Conn struct {
-	// Reused says that another request was sent on the connection before.
+	// Reused is true when another request was sent on the connection before.
 	Reused bool
 
 	pool    *Pool
 	address string
 	raw     net.Conn
 	reader  *bufio.Reader
-	// written is closed when the request is written as a whole; failed is set
-	// before.
+	// written is closed after the write of the request ended. Before that,
+	// writeErr is set if the write failed.
 	written   chan struct{}
-	failed    error
+	writeErr  error
 	idleSince wasabiridge.Millis
 	expires   wasabiridge.Millis
 	released  bool
-	// tainted says that the context ended during the exchange, which may leave
+	// tainted is true when the context ended during the exchange, which may leave
 	// a deadline on the connection.
 	tainted bool
 }
@@ -58,9 +58,9 @@
 	return &Conn{pool: p, address: address, raw: raw, reader: bufio.NewReaderSize(raw, bufferBytes)}
 }
 
-// quiet reports whether nothing came since the last answer: neither bytes,
-// which would belong to no request, nor the end of the connection.
-func (c *Conn) quiet() bool {
+// isClean reports whether nothing was received since the last response: neither
+// bytes, which would belong to no request, nor the close of the connection.
+func (c *Conn) isClean() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -72,28 +72,28 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, failed := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = failed == syscall.EAGAIN || failed == syscall.EWOULDBLOCK
+		empty = failed == syscall.EAGAIN || failed == syscall.EWOULDBLOCK
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
 
-// RoundTrip writes a request once and reads the head of its answer. isOwn
-// tells from a header whether the answer belongs to the request; answers that
-// do not are passed over. After an error the request may have run. The answer's
-// body must be read under the same context.
+// RoundTrip writes a request exactly once and reads the header of its response.
+// isOwn reports by a header whether a response belongs to the request; responses
+// to other requests are skipped. An error is of type ErrOutcomeUnknown: the request
+// may have run. The context must not end before the response's body is read.
 func (c *Conn) RoundTrip(ctx context.Context, r *http.Request, isOwn func(http.Header) bool) (*http.Response, error) {
 	stop := context.AfterFunc(ctx, func() { _ = c.raw.SetDeadline(longAgo) })
 	c.written = make(chan struct{})
 	write := func() {
 		defer close(c.written)
 		w := bufio.NewWriterSize(c.raw, bufferBytes)
-		if c.failed = r.Write(w); c.failed == nil {
-			c.failed = w.Flush()
+		if c.writeErr = r.Write(w); c.writeErr == nil {
+			c.writeErr = w.Flush()
 		}
 	}
 	if r.ContentLength <= inlineBody {
@@ -104,7 +104,7 @@
 	response, err := c.readOwn(r, isOwn)
 	if err != nil {
 		stop()
-		return nil, wasabiridge.ErrOutcomeUnknown.Wrap(err, "conn: no answer of %s", c.address)
+		return nil, wasabiridge.ErrOutcomeUnknown.Wrap(err, "conn: no response from %s", c.address)
 	}
 	response.Body = &body{ReadCloser: response.Body, conn: c, stop: stop}
 	return response, nil
@@ -129,14 +129,14 @@
 	return nil, errForeign
 }
 
-// body ends the watch of the context when it is closed.
+// body is a response body whose Close ends the monitoring of the context.
 type body struct {
 	io.ReadCloser
 	conn *Conn
 	stop func() bool
 }
 
-// Close ends the reading. What is left of the body is not read.
+// Close ends the use of the body. It does not read the remaining bytes.
 func (b *body) Close() error {
 	if !b.stop() {
 		b.conn.tainted = true
@@ -144,17 +144,18 @@
 	return nil
 }
 
-// Release keeps the connection for the next request when its last answer was
-// whole and nothing is left on it, and closes it otherwise.
-func (c *Conn) Release(response *http.Response, whole bool) {
+// Release returns the connection to the pool for the next request if the last
+// response was complete, the server allows it and no unread bytes are left.
+// Otherwise it closes the connection. Further calls have no effect.
+func (c *Conn) Release(response *http.Response, complete bool) {
 	if c.released {
 		return
 	}
 	c.released = true
 	keep, ok := c.keepFor(response)
-	if !whole || !ok || c.tainted || !c.isWritten() || c.reader.Buffered() > 0 || c.raw.SetDeadline(time.Time{}) != nil {
+	if !complete || !ok || c.tainted || !c.isWritten() || c.reader.Buffered() > 0 || c.raw.SetDeadline(time.Time{}) != nil {
 		c.close()
-		c.pool.forget(c.address)
+		c.pool.uncount(c.address)
 		return
 	}
 	c.pool.put(c, keep)
@@ -168,13 +169,14 @@
 func (c *Conn) isWritten() bool {
 	select {
 	case <-c.written:
-		return c.failed == nil
+		return c.writeErr == nil
 	default:
 		return false
 	}
 }
 
-// keepFor returns how long the connection may be kept idle.
+// keepFor returns how long the connection may be kept idle after a response. The
+// result is false when it cannot be reused.
 func (c *Conn) keepFor(response *http.Response) (wasabiridge.Millis, bool) {
 	if response == nil || response.Close || response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
 		return 0, false
--- a/internal/wasabiconn/pool.go
+++ b/internal/wasabiconn/pool.go
@@ -1,29 +1,29 @@
-// Package wasabiconn keeps connections to backend servers over which HTTP/1.1
-// exchanges run one at a time, and never sends a request twice.
+// Package wasabiconn pools HTTP/1.1 connections to backend servers and never sends
+// a request twice. Each connection carries one exchange at a time.
 //
-// The transport of net/http sends a request again by itself when a kept
-// connection turns out to be closed. For a request that runs at most once that
-// is a second run. Here every request is written exactly once, to the
-// connection that the caller holds, and whatever goes wrong after the first
-// byte is reported to the caller.
+// The transport of net/http retries a request by itself when an idle connection
+// turns out to be closed. A request that must run at most once could then run a
+// second time. This package writes every request exactly once, to the connection
+// that the caller holds, and returns every failure after the first byte to the
+// caller.
 //
-// # Whose answer an answer is
+// # Responses to other requests
 //
-// A faulty server may send a second answer, or bytes after a whole one. They
-// would stand where the answer to the next request on the connection is due.
-// A connection with unread bytes is therefore not used again, and an answer
-// that repeats the identifier of another request is passed over.
+// A faulty server may send a second response, or bytes after a complete one. The
+// next request on the connection would receive them as its response. A connection
+// with unread bytes is therefore not reused, and a response with the identifier of
+// another request is skipped.
 //
 // # Usage
 //
-//	pool := wasabiconn.New(wasabiconn.Options{})
+//	pool := wasabiconn.New(wasabiconn.Options{Clock: clock})
 //	conn, err := pool.Get(ctx, address, wasabiconn.Want{Limit: 38})
 //	if err != nil {
 //		return err // Nothing was sent.
 //	}
 //	response, err := conn.RoundTrip(ctx, request, isOwn)
 //	...
-//	conn.Release(response)
+//	conn.Release(response, complete)
 package wasabiconn
 
 import (
@@ -41,49 +41,55 @@
 // Defaults of Options.
 const (
 	// DefaultDialTimeout bounds how long a connection may take to open. Within
-	// a region a round trip takes milliseconds; a lost first packet is sent
-	// again only after a second, which is too long to wait for.
+	// a region a round trip takes milliseconds; a lost first packet is
+	// retransmitted only after a second, which is too long to wait for.
 	DefaultDialTimeout = 400 * wasabiridge.Millis(1)
-	// DefaultIdle is how long an idle connection is kept when its server does
-	// not say how long it keeps it.
+	// DefaultIdle is how long an idle connection is kept when the server sends no
+	// Keep-Alive time-out.
 	DefaultIdle = 3 * wasabiridge.Second
-	// idleMargin is how long before its server a kept connection is given up.
-	// It covers the way of a request.
+	// idleMargin is how long before the server's time-out an idle connection is
+	// closed. It covers the transit of a request.
 	idleMargin = 400 * wasabiridge.Millis(1)
-	// DefaultSilence is how long sent bytes, or the system's own probes, may stay
-	// unacknowledged before the system breaks the connection. Cut paths show in no
-	// other way.
+	// DefaultSilence is how long sent bytes or keep-alive probes may stay
+	// unacknowledged before the system closes the connection. A network partition
+	// cannot be detected in any other way.
 	DefaultSilence = 3 * wasabiridge.Second
-	// unusedLife is how long a connection is kept on which nothing was sent. Its
-	// server closes it long before.
-	unusedLife = wasabiridge.Minute
+	// unusedIdle is how long a connection is kept on which nothing was ever sent.
+	// The server closes it long before.
+	unusedIdle = wasabiridge.Minute
 )
 
-// ErrFull says that as many connections are in use as are allowed.
+// ErrFull is the type of the error that Get returns when Want.Limit connections
+// are in use.
 var ErrFull = wasabiridge.ErrUnavailable.NewSubtype("full")
 
-// Options set up a Pool. The zero value works.
+// Options configure a Pool. Clock is required.
 type Options struct {
-	Clock       wasabiridge.Clock
+	Clock wasabiridge.Clock
+	// DialTimeout bounds opening a connection. Zero means DefaultDialTimeout.
 	DialTimeout wasabiridge.Millis
-	Silence     wasabiridge.Millis
+	// Silence is how long sent bytes or keep-alive probes may stay unacknowledged.
+	// Zero means DefaultSilence.
+	Silence wasabiridge.Millis
 }
 
-// Want says what connection a request needs.
+// Want describes the connection that a request needs. With the zero value any
+// connection will do.
 type Want struct {
 	// Limit bounds the connections to the address, idle ones included. Zero
 	// means no limit.
 	Limit int
 	// MaxIdle is how long the connection may have been idle. Zero means any
-	// time. Requests that run at most once want a short one: a server may have
-	// closed an idle connection unseen, and then the request is lost.
+	// time. Requests that must run at most once need a short one: the server may
+	// have closed an idle connection without the pool having noticed, and then the
+	// request is lost.
 	MaxIdle wasabiridge.Millis
-	// Fresh wants a connection that was never used, which proves that the
-	// server can be reached now.
+	// Fresh requires a new connection, which shows that the server can be reached
+	// now.
 	Fresh bool
 }
 
-// Pool keeps idle connections by address. It is safe for concurrent use.
+// Pool holds idle connections by address. It is safe for concurrent use.
 type Pool struct {
 	options Options
 	dialer  net.Dialer
@@ -94,10 +100,12 @@
 	opened uint64
 }
 
-// host is what is kept for one address. The newest idle connection stands
-// last, so that the others time out.
+// host holds the connections to one address.
 type host struct {
+	// idle holds the idle connections in the order of their release. The newest is
+	// reused first, so that the others expire.
 	idle []*Conn
+	// open counts all open connections, idle or not.
 	open int
 }
 
@@ -113,14 +121,14 @@
 	p.dialer = net.Dialer{
 		Timeout:         o.DialTimeout.Duration(),
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: max(1, int(o.Silence/wasabiridge.Second))},
-		Control:         p.breakWhenSilent,
+		Control:         p.setUserTimeout,
 	}
 	return p
 }
 
-// breakWhenSilent lets the system break connections whose bytes stay
-// unacknowledged. Without it they hang for minutes behind a cut path.
-func (p *Pool) breakWhenSilent(_, _ string, raw syscall.RawConn) error {
+// setUserTimeout makes the system close connections whose sent bytes stay
+// unacknowledged. Without it they hang for minutes in a network partition.
+func (p *Pool) setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
 		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(p.options.Silence))
@@ -131,8 +139,9 @@
 	return failed
 }
 
-// Get returns a connection to an address, given as IP:port. It reports
-// ErrUnavailable when none can be had; nothing was sent then.
+// Get returns an idle or a new connection to an address, given as IP:port. It
+// returns ErrUnavailable when none can be opened, and its subtype ErrFull when the
+// limit is reached; nothing was sent then. The caller must release the connection.
 func (p *Pool) Get(ctx context.Context, address string, w Want) (*Conn, error) {
 	c, err := p.take(address, w)
 	if c != nil || err != nil {
@@ -140,25 +149,26 @@
 	}
 	var raw net.Conn
 	if raw, err = p.dialer.DialContext(ctx, "tcp", address); err != nil {
-		p.forget(address)
+		p.uncount(address)
 		return nil, wasabiridge.ErrUnavailable.Wrap(err, "conn: connect to %s", address)
 	}
 	return newConn(p, address, raw), nil
 }
 
-// Reach reports whether an address can be reached: by the connection that is kept
-// for it if that still stands, and by a new one otherwise, which is kept. Nothing
-// is sent.
+// Reach reports whether an address can be reached. It checks an idle connection if
+// the pool has an open one, and otherwise opens a connection and keeps it. It sends
+// nothing.
 func (p *Pool) Reach(ctx context.Context, address string) bool {
 	c, err := p.Get(ctx, address, Want{})
 	if err != nil {
 		return false
 	}
-	p.put(c, unusedLife)
+	p.put(c, unusedIdle)
 	return true
 }
 
-// take returns an idle connection, or nil after it has counted a new one.
+// take returns an idle connection. It returns nil when the caller must open a new
+// one, which is counted already.
 func (p *Pool) take(address string, w Want) (*Conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -178,7 +188,7 @@
 			break
 		}
 		h.idle = h.idle[:len(h.idle)-1]
-		if c.quiet() {
+		if c.isClean() {
 			c.Reused, c.released = true, false
 			return c, nil
 		}
@@ -198,7 +208,7 @@
 	return nil, nil
 }
 
-// dropExpired closes idle connections that their server is about to close.
+// dropExpired closes idle connections that the server is about to close.
 func (h *host) dropExpired(now wasabiridge.Millis) {
 	kept := h.idle[:0]
 	for _, c := range h.idle {
@@ -213,8 +223,9 @@
 	h.idle = kept
 }
 
-// forget uncounts a connection that was not had or is closed.
-func (p *Pool) forget(address string) {
+// uncount reduces the count of open connections by one that could not be opened or
+// was closed.
+func (p *Pool) uncount(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	h := p.hosts[address]
@@ -226,7 +237,7 @@
 	}
 }
 
-// put keeps a connection for the next request.
+// put makes a connection idle for the next request, for at most the given time.
 func (p *Pool) put(c *Conn, keep wasabiridge.Millis) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -240,8 +251,8 @@
 	h.idle = append(h.idle, c)
 }
 
-// Sweep closes idle connections whose time is over. It is called once in a
-// while, so that servers are not left with connections that nobody uses.
+// Sweep closes expired idle connections. It should be called periodically, so that
+// servers do not hold connections that are no longer used.
 func (p *Pool) Sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -254,8 +265,8 @@
 	}
 }
 
-// Drop closes the idle connections to an address, because its server has left
-// or another one has the address now.
+// Drop closes the idle connections to an address. It is for a server that has left,
+// or an address that another server has now.
 func (p *Pool) Drop(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -270,15 +281,16 @@
 	h.idle = nil
 }
 
-// Opened counts the connections that were opened since the start.
+// Opened returns the number of new connections, including failed attempts, since
+// the pool was created.
 func (p *Pool) Opened() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.opened
 }
 
-// Close closes all idle connections. Those in use are closed when they are
-// released.
+// Close closes all idle connections. Connections in use are closed when they are
+// released. Get returns ErrUnavailable afterwards.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/wasabiconn/pool_test.go
+++ b/internal/wasabiconn/pool_test.go
@@ -16,7 +16,7 @@
 
 func TestConn(t *testing.T) { wasabitest.Run(t, "conn") }
 
-// server accepts connections and hands them over.
+// server accepts connections and sends them to accepted.
 type server struct {
 	net.Listener
 	accepted chan net.Conn
@@ -40,10 +40,11 @@
 	return s
 }
 
-var _ = Describe("An address that is only looked at", func() {
-	// Instances see once a second whether a store of kept cache is there. With a
-	// new connection each time they would open more of them than for requests.
-	It("is reached over the connection that is kept, until its server ends that", func() {
+var _ = Describe("Reach", func() {
+	// Guards against a new connection for each check. Instances check once a second
+	// whether a KV cache store can be reached, and would open more connections for that
+	// than for requests.
+	It("reuses its connection until the server closes it", func() {
 		s := listen("127.0.0.1:0")
 		pool := wasabiconn.New(wasabiconn.Options{Clock: wasabiclock.System()})
 		DeferCleanup(pool.Close)
@@ -53,25 +54,25 @@
 			Expect(reach()).To(BeTrue())
 		}
 		Expect(pool.Opened()).To(BeEquivalentTo(1))
-		var kept net.Conn
-		Eventually(s.accepted).Should(Receive(&kept))
-		Expect(kept.Close()).To(Succeed())
+		var idle net.Conn
+		Eventually(s.accepted).Should(Receive(&idle))
+		Expect(idle.Close()).To(Succeed())
 		Eventually(func() uint64 { Expect(reach()).To(BeTrue()); return pool.Opened() }).Should(BeEquivalentTo(2))
-		Eventually(s.accepted).Should(Receive(&kept))
+		Eventually(s.accepted).Should(Receive(&idle))
 		Expect(s.Close()).To(Succeed())
-		Expect(kept.Close()).To(Succeed())
+		Expect(idle.Close()).To(Succeed())
 		Eventually(reach).Should(BeFalse())
 	})
 
-	It("keeps nothing once it is dropped", func() {
+	It("leaves a connection that Drop closes", func() {
 		s := listen("127.0.0.1:0")
 		pool := wasabiconn.New(wasabiconn.Options{Clock: wasabiclock.System(), Silence: wasabiridge.Second})
 		DeferCleanup(pool.Close)
 		Expect(pool.Reach(context.Background(), s.Addr().String())).To(BeTrue())
-		var kept net.Conn
-		Eventually(s.accepted).Should(Receive(&kept))
+		var idle net.Conn
+		Eventually(s.accepted).Should(Receive(&idle))
 		pool.Drop(s.Addr().String())
-		_, err := kept.Read(make([]byte, 1))
+		_, err := idle.Read(make([]byte, 1))
 		Expect(err).To(HaveOccurred())
 	})
 })
