--- a/internal/wasabiaddress/book.go
+++ b/internal/wasabiaddress/book.go
@@ -1,26 +1,25 @@
-// Package wasabiaddress tells callers which instances to use.
+// Package wasabiaddress selects the instances that callers connect to.
 //
-// No balancer stands before the system: callers ask any instance, keep the
-// answer for a while and connect on their own. The answer steers the requests
-// of one client account to few instances, so that each of them knows what its
-// engines have cached for that account. It never decides about correctness;
-// every instance serves every request.
+// There is no load balancer in front of the instances: callers query any instance
+// for addresses, cache the answer for its lifetime and connect directly. The answer
+// directs the requests of one client account to few instances, so that each of them
+// has a record of what its engines have cached for that account. Correctness does
+// not depend on it; every instance serves every request.
 //
-// # Steering
+// # Selection
 //
-// Instances are ordered by rendezvous hashing of the client account, which
-// all instances agree on without a message. The first two of the caller's zone
-// get nearly all the weight. One instance of each of two further zones stands
-// behind them, so that a caller whose zone fails has an address that works.
-// Instances that leave, and instances that do not answer their peers, are left
-// out.
+// Instances are ordered by rendezvous hashing of the client account, so that all
+// instances compute the same order without messages. The first two of the caller's
+// availability zone get nearly all the weight. One instance of each of two further
+// zones is the fallback for a caller whose zone fails. Instances that are leaving,
+// and instances that do not respond to their peers, are left out.
 //
 // # Usage
 //
 //	book := wasabiaddress.New(wasabiaddress.Options{
-//		Self: entry, Members: members.Snapshot, Lifetime: 10 * wasabiridge.Second,
+//		Self: entry, Members: members.Members, Lifetime: 10 * wasabiridge.Second,
 //	})
-//	answer, lifetime := book.Addresses("liftwell", "port-of-spain")
+//	answer := book.Answer("liftwell", "port-of-spain")
 package wasabiaddress
 
 import (
@@ -33,37 +32,40 @@
 )
 
 const (
-	// localCount is how many instances of the caller's zone are named. With
-	// one, its loss would cool all caches of the account's requests at once.
+	// localCount is the number of instances of the caller's zone in an answer. With
+	// a single one, its loss would send all requests of the account at once to
+	// instances that have no record of the engines' caches for it.
 	localCount = 2
-	// leastNamed is how many instances Nearest names, if there are so many.
-	leastNamed = 2
-	// otherZones is how many further zones are named.
+	// minListed is the smallest number of instances that Nearest returns and that
+	// Active takes of each zone, if there are as many.
+	minListed = 2
+	// otherZones is the number of further zones in an answer.
 	otherZones = 2
-	// Weights of the first and of further local instances, and of those in
-	// other zones.
+	// Weights of the first and of further instances in the caller's zone, and of
+	// instances in other zones.
 	firstWeight  = 90
 	secondWeight = 10
 	otherWeight  = 1
 )
 
-// Options are the parts of a Book.
+// Options configure a Book.
 type Options struct {
-	// Self is this instance.
+	// Self is the entry of this instance.
 	Self wasabiridge.InstanceEntry
-	// Members returns what is known of the other instances. Nil means that
-	// there are none.
+	// Members returns the instances in the membership view. Nil means that there
+	// are no other instances.
 	Members func() []wasabiridge.Member
-	// Lifetime is how long callers may keep an answer.
+	// Lifetime is how long callers may cache an answer.
 	Lifetime wasabiridge.Millis
-	// Ticket returns a new idempotency key. Nil means that answers hold none.
+	// Ticket returns a new idempotency key. With nil answers contain none.
 	Ticket func(wasabiridge.ClientAccountID) string
 }
 
-// Answer is what a caller gets.
+// Answer lists the instances that a caller should use. It is encoded as JSON.
 type Answer struct {
+	// Instance is the instance that made the answer.
 	Instance wasabiridge.InstanceID `json:"instance"`
-	// Lifetime is how long the answer may be kept.
+	// Lifetime is how long the answer may be cached.
 	Lifetime  wasabiridge.Millis `json:"lifetime_ms"`
 	Addresses []Address          `json:"addresses"`
 	// Ticket is an idempotency key that costs no write to claim.
@@ -71,84 +73,87 @@
 }
 
 // Address is one instance that the caller may use. Callers choose at random by
-// weight and go on to the next in order when one does not answer.
+// weight and fall back to the next in order when an instance does not respond.
 type Address struct {
 	URL    string                       `json:"url"`
 	Zone   wasabiridge.AvailabilityZone `json:"zone"`
 	Weight int                          `json:"weight"`
 }
 
-// Book makes address answers. It is safe for concurrent use.
+// Book computes address answers. It is safe for concurrent use.
 type Book struct {
 	options Options
 	leaving atomic.Bool
 }
 
-// New returns a book.
+// New returns a Book.
 func New(o Options) *Book {
 	return &Book{options: o}
 }
 
-// Leave takes this instance out of all further answers.
+// Leave removes this instance from all further answers.
 func (b *Book) Leave() {
 	b.leaving.Store(true)
 }
 
-// Lifetime returns how long an answer may be kept.
+// Lifetime returns how long an answer may be cached.
 func (b *Book) Lifetime() wasabiridge.Millis {
 	return b.options.Lifetime
 }
 
-// Few instances take the requests of many: they tell each other what they send
-// where, and the fewer they are, the more each knows at once.
+// When there are many instances, callers are sent to few of them. The active
+// instances send each other updates on their placements, and with fewer of them
+// each has more complete and more recent information.
 const (
-	// activeLeast is up to how many instances all are named.
-	activeLeast = 12
-	// activeShare is the part of the capacity of a larger number that is named,
-	// and at least that of activeLeast average instances.
-	activeShare = 6
+	// minActive is the number of instances up to which all are active.
+	minActive = 12
+	// activeDivisor sets the active capacity of a larger number of instances: the
+	// total capacity divided by activeDivisor, but at least that of minActive
+	// average instances.
+	activeDivisor = 6
 )
 
 // Active returns the instances that callers are sent to: all of a small number,
-// and of a large one the largest of each zone, the same at every instance.
-// Instances of one size go by their hashes. When one of them goes, the next one
-// stands in.
+// and of a large number the largest of each zone. All instances with the same
+// membership view compute the same result. Instances of equal capacity are ordered
+// by their hashes. When an active instance leaves, the next one in the order
+// replaces it.
 //
 // The failure it guards against: an instance with a fifth of a core and a slow
-// link gets as many requests as one four times its size, and its answers come
+// link gets as many requests as one four times its size, and its responses are
 // late.
 func (b *Book) Active() []wasabiridge.InstanceEntry {
 	all := b.candidates("")
-	if len(all) <= activeLeast {
+	if len(all) <= minActive {
 		return entriesOf(all)
 	}
 	total := 0.0
-	zones := map[wasabiridge.AvailabilityZone]taken{}
+	zones := map[wasabiridge.AvailabilityZone]selection{}
 	for _, c := range all {
 		total += c.entry.Weight()
-		zones[c.entry.Zone] = taken{}
+		zones[c.entry.Zone] = selection{}
 	}
-	each := total / float64(len(zones)) * max(1.0/activeShare, float64(activeLeast)/float64(len(all)))
+	each := total / float64(len(zones)) * max(1.0/activeDivisor, float64(minActive)/float64(len(all)))
 	sort.SliceStable(all, func(i, j int) bool { return all[i].entry.Weight() > all[j].entry.Weight() })
 	var out []wasabiridge.InstanceEntry
 	for _, c := range all {
 		zone := zones[c.entry.Zone]
-		if zone.count >= leastNamed && zone.capacity >= each-rounding {
+		if zone.count >= minListed && zone.capacity >= each-rounding {
 			continue
 		}
-		zones[c.entry.Zone] = taken{count: zone.count + 1, capacity: zone.capacity + c.entry.Weight()}
+		zones[c.entry.Zone] = selection{count: zone.count + 1, capacity: zone.capacity + c.entry.Weight()}
 		out = append(out, c.entry)
 	}
 	return out
 }
 
-// taken is what was named of a zone.
-type taken struct {
+// selection is the number and the total capacity of the active instances of a zone.
+type selection struct {
 	count    int
 	capacity float64
 }
 
-// rounding is the difference in capacity that counts as none.
+// rounding is the tolerance in comparisons of capacities.
 const rounding = 1e-6
 
 func entriesOf(list []candidate) []wasabiridge.InstanceEntry {
@@ -159,9 +164,10 @@
 	return out
 }
 
-// Nearest returns the active instances of a zone, and further ones when there
-// are fewer than two, so that a caller never depends on a single one. Callers
-// choose at random among them, and bytes between zones cost.
+// Nearest returns the active instances of a zone, and further ones when there are
+// fewer than two, so that a caller never depends on a single one. Callers choose
+// among them at random; instances of other zones are avoided because traffic
+// between zones costs money.
 func (b *Book) Nearest(zone wasabiridge.AvailabilityZone) []wasabiridge.InstanceEntry {
 	var near, far []wasabiridge.InstanceEntry
 	for _, e := range b.Active() {
@@ -171,14 +177,15 @@
 			far = append(far, e)
 		}
 	}
-	for len(near) < leastNamed && len(far) > 0 {
+	for len(near) < minListed && len(far) > 0 {
 		near, far = append(near, far[0]), far[1:]
 	}
 	return near
 }
 
-// Answer returns the answer for a client account and the zone of its caller.
-// An empty zone means the zone of this instance.
+// Answer returns the addresses for a client account and the zone of its caller, and
+// a ticket unless this instance is leaving. An empty zone means the zone of this
+// instance.
 func (b *Book) Answer(account wasabiridge.ClientAccountID, zone wasabiridge.AvailabilityZone) Answer {
 	if zone == "" {
 		zone = b.options.Self.Zone
@@ -191,13 +198,13 @@
 	return a
 }
 
-// candidate is an instance with its place in the order of a client account.
+// candidate is an instance with its rendezvous hash for a client account.
 type candidate struct {
 	entry wasabiridge.InstanceEntry
 	score uint64
 }
 
-// candidates returns the instances that serve, best first.
+// candidates returns the instances that serve, highest hash first.
 func (b *Book) candidates(account wasabiridge.ClientAccountID) []candidate {
 	var list []candidate
 	if !b.leaving.Load() {
@@ -223,8 +230,9 @@
 	return candidate{entry: e, score: xxhash.Sum64String(string(account) + "\x00" + string(e.ID))}
 }
 
-// choose takes the best of the caller's zone and then the best of other zones.
-// When the caller's zone has no instance the first of the others leads.
+// choose returns the first localCount candidates of the caller's zone and then the
+// first candidate of each of otherZones other zones. When the caller's zone has no
+// instance, the first of another zone gets the highest weight.
 func choose(list []candidate, zone wasabiridge.AvailabilityZone) []Address {
 	addresses := []Address{}
 	for _, c := range list {
--- a/internal/wasabiaddress/book_test.go
+++ b/internal/wasabiaddress/book_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// fleet returns instances in turn over the zones a, b and c.
+// fleet returns n instances, spread evenly over the zones a, b and c.
 func fleet(n int) []wasabiridge.Member {
 	var all []wasabiridge.Member
 	for i := range n {
@@ -47,7 +47,7 @@
 }
 
 var _ = Describe("address answers", func() {
-	It("agree at all instances, put the caller's zone first and name more than one zone", func() {
+	It("are the same at all instances, list the caller's zone first and contain more than one zone", func() {
 		members := fleet(9)
 		for account := range 50 {
 			id := wasabiridge.ClientAccountID(fmt.Sprintf("account-%d", account))
@@ -73,14 +73,14 @@
 		}
 	})
 
-	It("move few client accounts when an instance goes", func() {
+	It("move few client accounts when an instance leaves", func() {
 		members := fleet(12)
-		rest := append([]wasabiridge.Member(nil), members[1:]...)
+		remaining := append([]wasabiridge.Member(nil), members[1:]...)
 		moved := 0
 		for account := range 1000 {
 			id := wasabiridge.ClientAccountID(fmt.Sprintf("account-%d", account))
 			before := bookOf(members[1].InstanceEntry, members).Answer(id, "a").Addresses[0].URL
-			after := bookOf(members[1].InstanceEntry, rest).Answer(id, "a").Addresses[0].URL
+			after := bookOf(members[1].InstanceEntry, remaining).Answer(id, "a").Addresses[0].URL
 			if before != after {
 				Expect(before).To(Equal("http://i0"))
 				moved++
@@ -95,15 +95,15 @@
 		leaving bool
 		want    []string
 	}{
-		"alone":                       {nil, false, []string{"http://self"}},
-		"alone and leaving":           {nil, true, nil},
-		"a suspect instance is out":   {[]wasabiridge.Member{{InstanceEntry: entry("x", "b"), Suspect: true}}, false, []string{"http://self"}},
-		"a leaving instance is out":   {[]wasabiridge.Member{{InstanceEntry: leavingEntry("x", "b")}}, false, []string{"http://self"}},
-		"without a URL it is out":     {[]wasabiridge.Member{{InstanceEntry: wasabiridge.InstanceEntry{ID: "x", Zone: "b"}}}, false, []string{"http://self"}},
-		"others when leaving":         {[]wasabiridge.Member{{InstanceEntry: entry("x", "b")}}, true, []string{"http://x"}},
-		"old news of itself is out":   {[]wasabiridge.Member{{InstanceEntry: entry("self", "a")}}, true, nil},
-		"another zone stands behind":  {[]wasabiridge.Member{{InstanceEntry: entry("x", "b")}}, false, []string{"http://self", "http://x"}},
-		"one instance for each other": {[]wasabiridge.Member{{InstanceEntry: entry("x", "b")}, {InstanceEntry: entry("y", "b")}}, false, nil},
+		"alone":                          {nil, false, []string{"http://self"}},
+		"alone and leaving":              {nil, true, nil},
+		"a suspect instance is out":      {[]wasabiridge.Member{{InstanceEntry: entry("x", "b"), Suspect: true}}, false, []string{"http://self"}},
+		"a leaving instance is out":      {[]wasabiridge.Member{{InstanceEntry: leavingEntry("x", "b")}}, false, []string{"http://self"}},
+		"without a URL it is out":        {[]wasabiridge.Member{{InstanceEntry: wasabiridge.InstanceEntry{ID: "x", Zone: "b"}}}, false, []string{"http://self"}},
+		"others when leaving":            {[]wasabiridge.Member{{InstanceEntry: entry("x", "b")}}, true, []string{"http://x"}},
+		"a stale entry of itself is out": {[]wasabiridge.Member{{InstanceEntry: entry("self", "a")}}, true, nil},
+		"another zone is the fallback":   {[]wasabiridge.Member{{InstanceEntry: entry("x", "b")}}, false, []string{"http://self", "http://x"}},
+		"one instance for each other":    {[]wasabiridge.Member{{InstanceEntry: entry("x", "b")}, {InstanceEntry: entry("y", "b")}}, false, nil},
 	}
 	names := make([]string, 0, len(cases))
 	for name := range cases {
@@ -112,7 +112,7 @@
 	sort.Strings(names)
 	for _, name := range names {
 		c := cases[name]
-		It("hold who serves: "+name, func() {
+		It("contain the instances that serve: "+name, func() {
 			book := bookOf(self, c.members)
 			if c.leaving {
 				book.Leave()
@@ -138,7 +138,7 @@
 	return e
 }
 
-var _ = Describe("The instances that callers are sent to", func() {
+var _ = Describe("The active instances", func() {
 	sized := func(sizes ...float64) []wasabiridge.Member {
 		members := fleet(len(sizes))
 		for i, size := range sizes {
@@ -158,15 +158,15 @@
 		many[i] = 0.2
 	}
 
-	It("are all of a few", func() {
+	It("are all instances when there are few", func() {
 		members := sized(0.8, 0.2, 0.2, 0.2, 0.2, 0.2)
 		Expect(bookOf(members[0].InstanceEntry, members).Active()).To(HaveLen(6))
 	})
 
-	// Story: most machines have a fifth of a core and a slow link, a few have
-	// four times as much. Callers were sent to all alike, and answers of the
-	// small ones came late.
-	It("are the largest of many, two of each zone, the same everywhere", func() {
+	// Guards against late responses from small instances. Most machines have a fifth of a
+	// core and a slow link, a few have four times as much, and callers were sent to all of
+	// them alike.
+	It("are the largest of many, two of each zone, and the same at all instances", func() {
 		sizes := append([]float64{0.8, 0.8, 0.8, 0.8, 0.8, 0.8}, many...)
 		members := sized(sizes...)
 		want := []string{"i0", "i1", "i2", "i3", "i4", "i5"}
@@ -175,7 +175,7 @@
 		}
 	})
 
-	It("are a sixth of many of one size, and others when some of them go", func() {
+	It("are about a sixth of many of equal capacity, and are replaced when they leave", func() {
 		members := sized(many...)
 		active := bookOf(members[0].InstanceEntry, members).Active()
 		Expect(len(active)).To(BeNumerically("~", 12, 2))
@@ -185,7 +185,7 @@
 		}
 		Expect(perZone).To(HaveLen(3))
 		gone := active[0].ID
-		rest := slices.DeleteFunc(slices.Clone(members), func(m wasabiridge.Member) bool { return m.ID == gone })
-		Expect(ids(bookOf(rest[0].InstanceEntry, rest).Active())).To(And(HaveLen(len(active)), Not(ContainElement(string(gone)))))
+		remaining := slices.DeleteFunc(slices.Clone(members), func(m wasabiridge.Member) bool { return m.ID == gone })
+		Expect(ids(bookOf(remaining[0].InstanceEntry, remaining).Active())).To(And(HaveLen(len(active)), Not(ContainElement(string(gone)))))
 	})
 })
