--- a/internal/wasabioperator/auth.go
+++ b/internal/wasabioperator/auth.go
@@ -9,10 +9,11 @@
 	"strings"
 )
 
-// OperatorHeader names the person who uses a key, for the history.
+// OperatorHeader is the header with the name of the person who uses a key. The
+// name is recorded in the configuration history.
 const OperatorHeader = "X-Operator"
 
-// Sizes of what identifies an operator.
+// Lengths, in bytes, of the parts of an author's name.
 const (
 	maxOperatorName   = 64
 	fingerprintLength = 8
@@ -20,22 +21,23 @@
 
 type authorKey struct{}
 
-// HashKey returns the hexadecimal SHA-256 hash under which a key is known.
+// HashKey returns the hexadecimal SHA-256 hash of an operator's key. Settings and
+// Options.KeyHashes hold keys in this form only.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// authenticate lets requests with a known key pass.
+// authenticate passes on requests with a valid key and refuses all others.
 //
-// The time that a comparison takes could tell an attacker how much of a hash
-// is right. All hashes are compared, each in constant time, so that the time
-// depends on the number of keys only.
+// From the duration of a comparison an attacker could infer how much of a hash is
+// right. All hashes are compared, each in constant time, so that the duration
+// depends only on the number of keys.
 func (s *server) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		key, found := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 		if !found || key == "" {
-			writeUnauthorized(w, "operator: a key is needed as \"Authorization: Bearer KEY\"")
+			writeUnauthorized(w, "operator: no key in the request; send it as \"Authorization: Bearer KEY\"")
 			return
 		}
 		hash := HashKey(key)
@@ -44,7 +46,7 @@
 			known |= subtle.ConstantTimeCompare([]byte(hash), []byte(strings.ToLower(candidate)))
 		}
 		if known != 1 {
-			writeUnauthorized(w, "operator: the key is not known here")
+			writeUnauthorized(w, "operator: the key is not valid at this instance")
 			return
 		}
 		author := authorOf(r.Header.Get(OperatorHeader), hash)
@@ -52,8 +54,9 @@
 	})
 }
 
-// authorOf names an operator by the name given and the start of the key's
-// hash, which cannot be forged.
+// authorOf returns the author of a change: the name from OperatorHeader and the
+// start of the key's hash. The name is the client's claim; the hash cannot be
+// forged.
 func authorOf(name, hash string) string {
 	name = strings.Map(printable, name)
 	if len(name) > maxOperatorName {
--- a/internal/wasabioperator/body.go
+++ b/internal/wasabioperator/body.go
@@ -9,7 +9,7 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabirule"
 )
 
-// Code names the kind of an error for programs.
+// Code identifies the kind of an error to programs.
 type Code string
 
 // Codes of errors.
@@ -24,16 +24,17 @@
 	CodeInternal       Code = "internal"
 )
 
-// ErrorAnswer is the body of every answer that is an error.
+// ErrorAnswer is the body of every error response.
 type ErrorAnswer struct {
 	Error ErrorBody `json:"error"`
 }
 
-// ErrorBody tells what went wrong.
+// ErrorBody describes an error.
 type ErrorBody struct {
 	Code    Code   `json:"code"`
 	Message string `json:"message"`
-	// Theirs is the configuration that an operator lost a race against.
+	// Theirs is the newest configuration when the error is a conflict: another
+	// operator changed it first.
 	Theirs *DocumentBody `json:"theirs,omitempty"`
 }
 
@@ -51,19 +52,19 @@
 	Documents []DocumentBody `json:"documents"`
 }
 
-// VersionBody answers an accepted configuration.
+// VersionBody is the response to an accepted configuration.
 type VersionBody struct {
 	Version wasabiridge.ConfigVersion `json:"version"`
 }
 
-// ConfigStatusBody tells where which configuration is in force.
+// ConfigStatusBody lists the active configuration version of each instance.
 type ConfigStatusBody struct {
-	// Version is the one in force at the instance that answers.
+	// Version is the active one at the responding instance.
 	Version   wasabiridge.ConfigVersion    `json:"version"`
 	Instances []wasabiridge.InstanceConfig `json:"instances"`
 }
 
-// ExplainBody describes a request for which the matching rule is asked.
+// ExplainBody describes a request whose matching rule is queried.
 type ExplainBody struct {
 	Account wasabiridge.ClientAccountID `json:"account"`
 	Method  string                      `json:"method"`
@@ -74,20 +75,20 @@
 	PromptTokens int               `json:"prompt_tokens,omitempty"`
 }
 
-// ExplanationBody tells which rule decides on a request.
+// ExplanationBody explains which rule applies to a request.
 type ExplanationBody struct {
 	Version wasabiridge.ConfigVersion `json:"version"`
-	// Rule is the first rule that matches. Empty means that none does and
-	// the request is refused.
+	// Rule is the first rule that matches. Empty means that no rule matches
+	// and the request is refused.
 	Rule  wasabiridge.RuleID       `json:"rule,omitempty"`
 	Then  *wasabiridge.Action      `json:"then,omitempty"`
 	Lines []wasabirule.Explanation `json:"lines"`
-	// Notes say what else stands in the way, such as a pool that the account
-	// may not use.
+	// Notes list further reasons why the request is refused, such as a pool that
+	// the account may not use.
 	Notes []string `json:"notes,omitempty"`
 }
 
-// AccountBody shows a client account without its keys.
+// AccountBody describes a client account. Keys is the number of its keys.
 type AccountBody struct {
 	ID    wasabiridge.ClientAccountID `json:"id"`
 	Pools []wasabiridge.PoolID        `json:"pools"`
@@ -95,13 +96,14 @@
 	Keys  int                         `json:"keys"`
 }
 
-// AccountsBody lists the client accounts of the configuration in force.
+// AccountsBody lists the client accounts of the active configuration.
 type AccountsBody struct {
 	Version  wasabiridge.ConfigVersion `json:"version"`
 	Accounts []AccountBody             `json:"accounts"`
 }
 
-// BackendsBody lists backend servers as the answering instance sees them.
+// BackendsBody lists the backend servers with their state at the responding
+// instance.
 type BackendsBody struct {
 	Backends []wasabiridge.BackendStatus `json:"backends"`
 }
@@ -111,7 +113,7 @@
 	Rollouts []wasabiridge.Rollout `json:"rollouts"`
 }
 
-// DrainBody answers the order to drain.
+// DrainBody is the response to a drain request.
 type DrainBody struct {
 	Leaving bool `json:"leaving"`
 }
@@ -120,7 +122,7 @@
 	return &DocumentBody{Version: d.Version, Author: d.Author, At: d.At, Text: string(d.Text)}
 }
 
-// errorKind ties an error type to its code and HTTP status.
+// errorKind maps an error type to its code and HTTP status.
 type errorKind struct {
 	is     *errorx.Type
 	code   Code
@@ -144,7 +146,8 @@
 	return http.StatusInternalServerError, ErrorBody{Code: CodeInternal, Message: err.Error()}
 }
 
-// messageOf leaves out the name of the error's type, which the code tells.
+// messageOf returns an error's message without the name of its type, which
+// ErrorBody.Code already conveys.
 func messageOf(err error) string {
 	if typed := errorx.Cast(err); typed != nil && typed.Message() != "" {
 		if cause := typed.Cause(); cause != nil {
--- a/internal/wasabioperator/fuzz_test.go
+++ b/internal/wasabioperator/fuzz_test.go
@@ -11,14 +11,15 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabioperator"
 )
 
-// FuzzTimelineQuery sends any query string; the answer is a report or a typed
-// refusal, and what reaches the time line is what was asked for.
+// FuzzTimelineQuery sends any query string. The response must be a report or an
+// error with the code invalid, and the timeline must receive the parameters of the
+// query string.
 func FuzzTimelineQuery(f *testing.F) {
 	for _, seed := range []string{"request=r1", "since=5m&until=1m&limit=10", "since=2026-12-02T15:04:05Z", "limit=-1", "since=%zz", "account=a;backend=b"} {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, query string) {
-		p := &parts{}
+		p := &components{}
 		r := httptest.NewRequest(http.MethodGet, "/v1/timeline", nil)
 		r.URL.RawQuery = query
 		r.Header.Set("Authorization", "Bearer "+key)
@@ -46,7 +47,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		at, err := wasabioperator.ParseTime(text, now)
 		if err != nil && at != 0 {
-			t.Fatalf("%q: a time beside an error", text)
+			t.Fatalf("%q: ParseTime returned a time together with an error", text)
 		}
 	})
 }
--- a/internal/wasabioperator/handlers.go
+++ b/internal/wasabioperator/handlers.go
@@ -14,18 +14,21 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabirule"
 )
 
-// Bounds of queries.
 const (
+	// defaultHistory and maxHistory are the default and the upper bound of the
+	// number of configurations in the history.
 	defaultHistory = 20
 	maxHistory     = 1000
-	maxTimeline    = 100_000
-	maxSmallBody   = 1 << 20
+	// maxTimeline bounds the number of events of a timeline query.
+	maxTimeline = 100_000
+	// maxSmallBody bounds, in bytes, the request bodies that are not configurations.
+	maxSmallBody = 1 << 20
 )
 
 func (s *server) getConfig(w http.ResponseWriter, _ *http.Request) (any, error) {
 	document, _ := s.Config.Current()
 	if document.Version == 0 {
-		return nil, wasabiridge.ErrNotFound.New("operator: no configuration is known here")
+		return nil, wasabiridge.ErrNotFound.New("operator: this instance has no configuration")
 	}
 	w.Header().Set("ETag", FormatTag(document.Version))
 	return documentBody(document), nil
@@ -42,7 +45,7 @@
 		return nil, err
 	}
 	if text, err = io.ReadAll(http.MaxBytesReader(w, r.Body, maxConfigBytes)); err != nil {
-		return nil, wasabiridge.ErrInvalid.Wrap(err, "operator: read configuration")
+		return nil, wasabiridge.ErrInvalid.Wrap(err, "operator: read configuration from request body")
 	}
 	if version, err = s.Config.Put(r.Context(), base, text, author(r)); err != nil {
 		return nil, err
@@ -52,23 +55,24 @@
 	return VersionBody{Version: version}, nil
 }
 
-// FormatTag writes a version as an entity tag.
+// FormatTag formats a configuration version as an entity tag.
 func FormatTag(v wasabiridge.ConfigVersion) string {
 	return strconv.Quote(strconv.FormatUint(uint64(v), 10))
 }
 
-// ParseTag reads the base version of a change from an If-Match header. The
-// version of the first configuration is "0".
+// ParseTag parses the base version of a change from an If-Match header. The base
+// version of the first configuration is "0". It returns ErrInvalid for an empty tag
+// and for a tag that is no version.
 func ParseTag(tag string) (wasabiridge.ConfigVersion, error) {
 	if tag == "" {
-		return 0, wasabiridge.ErrInvalid.New("operator: the base version is missing; send it as If-Match: \"7\"")
+		return 0, wasabiridge.ErrInvalid.New("operator: If-Match is missing; send the base version, such as If-Match: \"7\"")
 	}
 	var (
 		version uint64
 		err     error
 	)
 	if version, err = strconv.ParseUint(strings.Trim(tag, `"`), 10, 64); err != nil {
-		return 0, wasabiridge.ErrInvalid.New("operator: If-Match holds no version: %q", tag)
+		return 0, wasabiridge.ErrInvalid.New("operator: If-Match is not a configuration version: %q", tag)
 	}
 	return wasabiridge.ConfigVersion(version), nil
 }
@@ -111,12 +115,13 @@
 	}
 	document, cfg := s.Config.Current()
 	if document.Version == 0 {
-		return nil, wasabiridge.ErrNotFound.New("operator: no configuration is known here")
+		return nil, wasabiridge.ErrNotFound.New("operator: this instance has no configuration")
 	}
 	return Explain(cfg, q), nil
 }
 
-// Explain tells which rule of a configuration decides on a request.
+// Explain returns which rule of a configuration applies to a request, and for each
+// rule why it matches or not.
 func Explain(cfg wasabiridge.Config, q ExplainBody) ExplanationBody {
 	view := wasabirule.View{
 		Account: q.Account, Method: q.Method, Path: q.Path, Model: q.Model,
@@ -125,7 +130,7 @@
 	body := ExplanationBody{Version: cfg.Version, Lines: wasabirule.Explain(cfg, view)}
 	account, known := cfg.Account(q.Account)
 	if !known {
-		body.Notes = append(body.Notes, "the client account "+string(q.Account)+" is not in the configuration: its callers are turned away before any rule")
+		body.Notes = append(body.Notes, "the client account "+string(q.Account)+" is not in the configuration: its requests are refused before any rule is evaluated")
 	}
 	rule, matched := wasabirule.Match(cfg, view)
 	if !matched {
@@ -180,8 +185,9 @@
 	return s.Timeline.ReadTimeline(r.Context(), q)
 }
 
-// ParseTime reads a point in time: a length such as "5m" before now,
-// milliseconds since the epoch, or RFC 3339. Empty text is zero.
+// ParseTime parses a point in time: a duration such as "5m" before now,
+// milliseconds since the epoch, or RFC 3339. It returns zero for an empty text and
+// ErrInvalid for any other format.
 func ParseTime(text string, now wasabiridge.Millis) (wasabiridge.Millis, error) {
 	if text == "" {
 		return 0, nil
@@ -195,7 +201,7 @@
 	if at, err := time.Parse(time.RFC3339Nano, text); err == nil {
 		return wasabiridge.MillisAt(at), nil
 	}
-	return 0, wasabiridge.ErrInvalid.New("operator: %q is no point in time; write 5m, milliseconds or 2026-12-02T15:04:05Z", text)
+	return 0, wasabiridge.ErrInvalid.New("operator: %q is not a time; use a duration such as 5m, milliseconds since the epoch or 2026-12-02T15:04:05Z", text)
 }
 
 func (s *server) outcomes(_ http.ResponseWriter, r *http.Request) (any, error) {
@@ -214,7 +220,7 @@
 }
 
 func (s *server) drain(_ http.ResponseWriter, r *http.Request) (any, error) {
-	s.Log.Info().Str("author", author(r)).Msg("Drain ordered.")
+	s.Log.Info().Str("author", author(r)).Msg("Drain requested.")
 	if err := s.Drainer.Drain(r.Context()); err != nil {
 		return nil, err
 	}
@@ -240,13 +246,13 @@
 	return s.Rollouts.Start(r.Context(), rollout)
 }
 
-func (s *server) steerRollout(_ http.ResponseWriter, r *http.Request) (any, error) {
+func (s *server) controlRollout(_ http.ResponseWriter, r *http.Request) (any, error) {
 	action := chi.URLParam(r, "action")
 	switch action {
 	case "pause", "resume", "rollback":
 		return s.Rollouts.Steer(r.Context(), chi.URLParam(r, "id"), action)
 	default:
-		return nil, wasabiridge.ErrInvalid.New("operator: %q is no action of a rollout; use pause, resume or rollback", action)
+		return nil, wasabiridge.ErrInvalid.New("operator: unknown rollout action %q; use pause, resume or rollback", action)
 	}
 }
 
@@ -254,22 +260,22 @@
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxSmallBody))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
-		return wasabiridge.ErrInvalid.Wrap(err, "operator: read body")
+		return wasabiridge.ErrInvalid.Wrap(err, "operator: decode request body")
 	}
 	return nil
 }
 
-func intParameter(r *http.Request, name string, standard, most int) (int, error) {
+func intParameter(r *http.Request, name string, fallback, limit int) (int, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
-		return standard, nil
+		return fallback, nil
 	}
 	var (
 		value int
 		err   error
 	)
-	if value, err = strconv.Atoi(text); err != nil || value < 0 || value > most {
-		return 0, wasabiridge.ErrInvalid.New("operator: %s must be between 0 and %d", name, most)
+	if value, err = strconv.Atoi(text); err != nil || value < 0 || value > limit {
+		return 0, wasabiridge.ErrInvalid.New("operator: %s must be an integer between 0 and %d", name, limit)
 	}
 	return value, nil
 }
--- a/internal/wasabioperator/operator.go
+++ b/internal/wasabioperator/operator.go
@@ -1,11 +1,11 @@
-// Package wasabioperator answers operators over HTTP: configuration, rules,
-// accounts, backend servers, the time line, outcomes, rollouts and draining.
+// Package wasabioperator implements the HTTP API for operators: configuration,
+// rules, accounts, backend servers, the timeline, outcomes, rollouts and draining.
 //
-// Requests and answers are JSON. Every request carries an operator's key as
-// "Authorization: Bearer KEY"; only SHA-256 hashes of keys are known here and
-// they are compared in constant time. An error answers with a body of type
-// ErrorBody, whose code is one of the Code constants. A part that an instance
-// was built without answers 501.
+// Requests and responses are JSON. Every request carries an operator's key as
+// "Authorization: Bearer KEY". The instance holds only SHA-256 hashes of keys, and
+// compares them in constant time. An error response has a body of type ErrorAnswer,
+// whose code is one of the Code constants. Requests for a component that the
+// instance was built without are answered with status 501.
 //
 // # Usage
 //
@@ -34,8 +34,8 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// maxConfigBytes bounds an uploaded configuration. 40,000 client accounts take
-// about a quarter of it.
+// maxConfigBytes bounds an uploaded configuration. One with 40,000 client accounts
+// takes about a quarter of it.
 const maxConfigBytes = 32 << 20
 
 // MetricsWriter writes all metrics as one JSON object. Implementations are
@@ -44,12 +44,12 @@
 	WriteMetrics(w io.Writer) error
 }
 
-// Options are the parts that the handlers drive. Clock and KeyHashes must be
-// set; any other part may be nil.
+// Options are the components behind the handlers. Clock and KeyHashes are required;
+// requests for a component that is nil are answered with status 501.
 type Options struct {
 	Clock wasabiridge.Clock
-	// KeyHashes returns the hexadecimal SHA-256 hashes of operators' keys that
-	// are valid now.
+	// KeyHashes returns the hexadecimal SHA-256 hashes of the operators' keys that
+	// are valid now. It must be safe for concurrent use.
 	KeyHashes func() []string
 	Config    wasabiridge.ConfigKeeper
 	Rollouts  wasabiridge.RolloutKeeper
@@ -58,7 +58,8 @@
 	Status    wasabiridge.StatusReader
 	Drainer   wasabiridge.Drainer
 	Metrics   MetricsWriter
-	// Quarantine lists requests under which servers ended, and lets them go again.
+	// Quarantine lists the requests that are suspected of crashing backend servers,
+	// and lifts blocks. With nil its path does not exist.
 	Quarantine http.Handler
 	Quotas     wasabiridge.QuotaReader
 	Log        zerolog.Logger
@@ -66,27 +67,27 @@
 
 type server struct{ Options }
 
-// New returns the handler of the operators' listener. It is safe for
-// concurrent use when its parts are.
+// New returns the handler of the operators' listener. It is safe for concurrent
+// use if the components of the options are.
 func New(o Options) http.Handler {
 	s := &server{Options: o}
 	r := chi.NewRouter()
 	r.Use(s.authenticate)
-	r.Get("/v1/config", s.answer("config", o.Config != nil, s.getConfig))
-	r.Put("/v1/config", s.answer("config", o.Config != nil, s.putConfig))
-	r.Get("/v1/config/history", s.answer("config", o.Config != nil, s.configHistory))
-	r.Get("/v1/config/status", s.answer("config", o.Config != nil, s.configStatus))
-	r.Post("/v1/rules/explain", s.answer("config", o.Config != nil, s.explainRules))
-	r.Get("/v1/accounts", s.answer("config", o.Config != nil, s.accounts))
-	r.Get("/v1/timeline", s.answer("timeline", o.Timeline != nil, s.timeline))
-	r.Get("/v1/outcomes", s.answer("outcomes", o.Outcomes != nil, s.outcomes))
-	r.Get("/v1/quotas", s.answer("quotas", o.Quotas != nil, s.quotas))
-	r.Get("/v1/backends", s.answer("status", o.Status != nil, s.backends))
-	r.Get("/v1/status", s.answer("status", o.Status != nil, s.status))
-	r.Post("/v1/drain", s.answer("drain", o.Drainer != nil, s.drain))
-	r.Get("/v1/rollouts", s.answer("rollouts", o.Rollouts != nil, s.listRollouts))
-	r.Post("/v1/rollouts", s.answer("rollouts", o.Rollouts != nil, s.startRollout))
-	r.Post("/v1/rollouts/{id}/{action}", s.answer("rollouts", o.Rollouts != nil, s.steerRollout))
+	r.Get("/v1/config", s.handle("config", o.Config != nil, s.getConfig))
+	r.Put("/v1/config", s.handle("config", o.Config != nil, s.putConfig))
+	r.Get("/v1/config/history", s.handle("config", o.Config != nil, s.configHistory))
+	r.Get("/v1/config/status", s.handle("config", o.Config != nil, s.configStatus))
+	r.Post("/v1/rules/explain", s.handle("config", o.Config != nil, s.explainRules))
+	r.Get("/v1/accounts", s.handle("config", o.Config != nil, s.accounts))
+	r.Get("/v1/timeline", s.handle("timeline", o.Timeline != nil, s.timeline))
+	r.Get("/v1/outcomes", s.handle("outcomes", o.Outcomes != nil, s.outcomes))
+	r.Get("/v1/quotas", s.handle("quotas", o.Quotas != nil, s.quotas))
+	r.Get("/v1/backends", s.handle("status", o.Status != nil, s.backends))
+	r.Get("/v1/status", s.handle("status", o.Status != nil, s.status))
+	r.Post("/v1/drain", s.handle("drain", o.Drainer != nil, s.drain))
+	r.Get("/v1/rollouts", s.handle("rollouts", o.Rollouts != nil, s.listRollouts))
+	r.Post("/v1/rollouts", s.handle("rollouts", o.Rollouts != nil, s.startRollout))
+	r.Post("/v1/rollouts/{id}/{action}", s.handle("rollouts", o.Rollouts != nil, s.controlRollout))
 	r.Get("/metrics", s.metrics)
 	if o.Quarantine != nil {
 		r.Mount("/v1/quarantine", o.Quarantine)
@@ -100,29 +101,30 @@
 	return r
 }
 
-// operation carries out one request and returns the body of its answer.
+// operation executes one request and returns the body of its response.
 type operation func(w http.ResponseWriter, r *http.Request) (any, error)
 
-// answer makes a handler of an operation. A missing part answers 501.
-func (s *server) answer(part string, present bool, do operation) http.HandlerFunc {
+// handle returns the handler of an operation. When the component is not present it
+// responds with status 501.
+func (s *server) handle(component string, present bool, execute operation) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if !present {
-			writeMissing(w, part)
+			writeMissing(w, component)
 			return
 		}
 		var (
 			body any
 			err  error
 		)
-		if body, err = do(w, r); err != nil {
-			s.fail(w, r, err)
+		if body, err = execute(w, r); err != nil {
+			s.writeFailure(w, r, err)
 			return
 		}
 		writeJSON(w, http.StatusOK, body)
 	}
 }
 
-func (s *server) fail(w http.ResponseWriter, r *http.Request, err error) {
+func (s *server) writeFailure(w http.ResponseWriter, r *http.Request, err error) {
 	status, body := describeError(err)
 	if errorx.IsOfType(err, wasabiridge.ErrConflict) && s.Config != nil {
 		body.Theirs = s.newestDocument(r)
@@ -131,8 +133,9 @@
 	writeError(w, status, body)
 }
 
-// newestDocument returns what an operator lost a race against. It is nil when
-// it cannot be read.
+// newestDocument returns the newest configuration for an operator whose change
+// conflicts with it: from the history, or the active one if the history cannot be
+// read. It returns nil when there is none.
 func (s *server) newestDocument(r *http.Request) *DocumentBody {
 	if documents, err := s.Config.History(r.Context(), 1); err == nil && len(documents) > 0 {
 		return documentBody(documents[0])
@@ -150,21 +153,21 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := s.Metrics.WriteMetrics(w); err != nil {
-		s.Log.Info().Err(err).Msg("Metrics could not be written.")
+		s.Log.Info().Err(err).Msg("Writing metrics failed.")
 	}
 }
 
-func writeMissing(w http.ResponseWriter, part string) {
+func writeMissing(w http.ResponseWriter, component string) {
 	writeError(w, http.StatusNotImplemented, ErrorBody{
 		Code:    CodeNotImplemented,
-		Message: "operator: this instance was built without its part " + part,
+		Message: "operator: this instance was built without the component " + component,
 	})
 }
 
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// An operator who closed the connection needs no answer.
+	// A write fails only when the client closed the connection.
 	_ = json.NewEncoder(w).Encode(body)
 }
 
--- a/internal/wasabioperator/operator_test.go
+++ b/internal/wasabioperator/operator_test.go
@@ -27,83 +27,87 @@
 	key = "operator-key"
 )
 
-// parts stands for everything behind the handlers. err is what every call
-// reports.
-type parts struct {
-	err     error
-	query   wasabiridge.TimelineQuery
-	steered string
-	author  string
-	base    wasabiridge.ConfigVersion
-	config  wasabiridge.Config
+// components is a stub for all components behind the handlers. It records the
+// arguments of calls.
+type components struct {
+	// err is the error that calls return.
+	err error
+	// query, action, author and base are those of the last call that has them.
+	query  wasabiridge.TimelineQuery
+	action string
+	author string
+	base   wasabiridge.ConfigVersion
+	config wasabiridge.Config
 }
 
-func (p *parts) Current() (wasabiridge.ConfigDocument, wasabiridge.Config) {
+func (p *components) Current() (wasabiridge.ConfigDocument, wasabiridge.Config) {
 	return wasabiridge.ConfigDocument{Version: 7, Text: []byte("{}"), Author: "ann"}, p.config
 }
 
-func (p *parts) Put(_ context.Context, base wasabiridge.ConfigVersion, _ []byte, author string) (wasabiridge.ConfigVersion, error) {
+func (p *components) Put(_ context.Context, base wasabiridge.ConfigVersion, _ []byte, author string) (wasabiridge.ConfigVersion, error) {
 	p.base, p.author = base, author
 	return base + 1, p.err
 }
 
-func (p *parts) History(context.Context, int) ([]wasabiridge.ConfigDocument, error) {
+func (p *components) History(context.Context, int) ([]wasabiridge.ConfigDocument, error) {
 	return []wasabiridge.ConfigDocument{{Version: 8, Text: []byte("{/* theirs */}"), Author: "bob"}}, nil
 }
 
-type configStatus struct{ *parts }
+type configStatus struct{ *components }
 
 func (c configStatus) Status(context.Context) ([]wasabiridge.InstanceConfig, error) {
 	return []wasabiridge.InstanceConfig{{Instance: "a", Version: 7, Reached: true}}, c.err
 }
 
-func (p *parts) Start(_ context.Context, r wasabiridge.Rollout) (wasabiridge.Rollout, error) {
+func (p *components) Start(_ context.Context, r wasabiridge.Rollout) (wasabiridge.Rollout, error) {
 	return r, p.err
 }
 
-func (p *parts) Steer(_ context.Context, id, action string) (wasabiridge.Rollout, error) {
-	p.steered = id + " " + action
+func (p *components) Steer(_ context.Context, id, action string) (wasabiridge.Rollout, error) {
+	p.action = id + " " + action
 	return wasabiridge.Rollout{ID: id}, p.err
 }
 
-func (p *parts) List(context.Context) ([]wasabiridge.Rollout, error) { return nil, p.err }
+func (p *components) List(context.Context) ([]wasabiridge.Rollout, error) { return nil, p.err }
 
-func (p *parts) ReadTimeline(_ context.Context, q wasabiridge.TimelineQuery) (wasabiridge.TimelineReport, error) {
+func (p *components) ReadTimeline(_ context.Context, q wasabiridge.TimelineQuery) (wasabiridge.TimelineReport, error) {
 	p.query = q
 	return wasabiridge.TimelineReport{}, p.err
 }
 
-func (p *parts) ReadOutcomes(_ context.Context, q wasabiridge.OutcomeQuery) (wasabiridge.OutcomeReport, error) {
+func (p *components) ReadOutcomes(_ context.Context, q wasabiridge.OutcomeQuery) (wasabiridge.OutcomeReport, error) {
 	return wasabiridge.OutcomeReport{Quarter: q.Quarter}, p.err
 }
 
-func (p *parts) Status() wasabiridge.InstanceStatus {
+func (p *components) Status() wasabiridge.InstanceStatus {
 	return wasabiridge.InstanceStatus{Instance: "a"}
 }
 
-func (p *parts) Backends() []wasabiridge.BackendStatus {
+func (p *components) Backends() []wasabiridge.BackendStatus {
 	return []wasabiridge.BackendStatus{{Backend: "answer-1"}}
 }
 
-func (p *parts) Drain(context.Context) error { return p.err }
+func (p *components) Drain(context.Context) error { return p.err }
 
-func (p *parts) WriteMetrics(w io.Writer) error {
+func (p *components) WriteMetrics(w io.Writer) error {
 	_, err := io.WriteString(w, "{}")
 	return err
 }
 
-func handler(p *parts) http.Handler {
+func handler(p *components) http.Handler {
 	return wasabioperator.New(wasabioperator.Options{
 		Clock:     wasabiclock.NewVirtual(now),
 		KeyHashes: func() []string { return []string{wasabioperator.HashKey("other"), wasabioperator.HashKey(key)} },
-		Config:    configStatus{p}, Rollouts: p, Timeline: p, Outcomes: p, Status: p, Drainer: p, Metrics: p, Quotas: limits{},
+		Config:    configStatus{p}, Rollouts: p, Timeline: p, Outcomes: p, Status: p, Drainer: p, Metrics: p, Quotas: quotaReader{},
 	})
 }
 
-// limits is the part that knows the limits of accounts.
-type limits struct{}
+// quotaReader is a stub for the quotas of client accounts.
+type quotaReader struct{}
 
-func (limits) Quotas() wasabiridge.QuotaReport { return wasabiridge.QuotaReport{Instance: "pos-1"} }
+func (quotaReader) Quotas() wasabiridge.QuotaReport {
+	return wasabiridge.QuotaReport{Instance: "pos-1"}
+}
 
 func call(h http.Handler, method, path, body string, header ...string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
@@ -138,12 +142,12 @@
 var _ = Describe("The operators' listener", func() {
 	for _, name := range slices.Sorted(maps.Keys(endpoints)) {
 		e := endpoints[name]
-		It("serves "+name+", guards it, and says when the part is missing", func() {
-			good := call(handler(&parts{}), e.method, e.path, e.body, "If-Match", `"7"`)
-			Expect(good.Code).To(Equal(http.StatusOK), good.Body.String())
-			Expect(json.Valid(good.Body.Bytes())).To(BeTrue())
+		It("serves "+name+", refuses it without a valid key, and reports a missing component", func() {
+			served := call(handler(&components{}), e.method, e.path, e.body, "If-Match", `"7"`)
+			Expect(served.Code).To(Equal(http.StatusOK), served.Body.String())
+			Expect(json.Valid(served.Body.Bytes())).To(BeTrue())
 			for _, wrong := range []string{"Bearer wrong", "Bearer ", "", "Basic " + key} {
-				refused := call(handler(&parts{}), e.method, e.path, e.body, "Authorization", wrong)
+				refused := call(handler(&components{}), e.method, e.path, e.body, "Authorization", wrong)
 				Expect(refused.Code).To(Equal(http.StatusUnauthorized))
 			}
 			empty := wasabioperator.New(wasabioperator.Options{
@@ -151,7 +155,7 @@
 			})
 			missing := call(empty, e.method, e.path, e.body)
 			Expect(missing.Code).To(Equal(http.StatusNotImplemented))
-			Expect(missing.Body.String()).To(ContainSubstring("built without its part"))
+			Expect(missing.Body.String()).To(ContainSubstring("built without the component"))
 		})
 	}
 
@@ -169,8 +173,8 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(errorsOf)) {
 		want := errorsOf[name]
-		It("answers the error "+name+" with its code", func() {
-			w := call(handler(&parts{err: want.err}), "POST", "/v1/drain", "")
+		It("responds to the error "+name+" with its status and code", func() {
+			w := call(handler(&components{err: want.err}), "POST", "/v1/drain", "")
 			var answer wasabioperator.ErrorAnswer
 			Expect(json.Unmarshal(w.Body.Bytes(), &answer)).To(Succeed())
 			Expect(w.Code).To(Equal(want.status))
@@ -178,10 +182,11 @@
 		})
 	}
 
-	// Two operators edit version 7. The second one to send is refused and must
-	// see whose change stands now, or would overwrite it unseen.
-	It("shows the loser of a race what stands now", func() {
-		w := call(handler(&parts{err: wasabiridge.ErrConflict.New("config: base 7 is not the newest")}), "PUT", "/v1/config", "{}", "If-Match", `"7"`)
+	// Guards against an operator who overwrites another's change without having read it.
+	// Two operators edit version 7; the second to send is refused, and the response must
+	// contain the configuration that is now the newest.
+	It("returns the newest configuration with a conflict", func() {
+		w := call(handler(&components{err: wasabiridge.ErrConflict.New("config: base 7 is not the newest")}), "PUT", "/v1/config", "{}", "If-Match", `"7"`)
 		var answer wasabioperator.ErrorAnswer
 		Expect(json.Unmarshal(w.Body.Bytes(), &answer)).To(Succeed())
 		Expect(answer.Error.Theirs.Version).To(Equal(wasabiridge.ConfigVersion(8)))
@@ -191,12 +196,12 @@
 
 	It("refuses a change without a base version", func() {
 		for _, tag := range []string{"", "*", "seven", "-1"} {
-			Expect(call(handler(&parts{}), "PUT", "/v1/config", "{}", "If-Match", tag).Code).To(Equal(http.StatusBadRequest), tag)
+			Expect(call(handler(&components{}), "PUT", "/v1/config", "{}", "If-Match", tag).Code).To(Equal(http.StatusBadRequest), tag)
 		}
 	})
 
-	It("names the author by the given name and the key's fingerprint", func() {
-		p := &parts{}
+	It("records the author as the given name and the key's fingerprint", func() {
+		p := &components{}
 		call(handler(p), "PUT", "/v1/config", "{}", "If-Match", `"7"`, wasabioperator.OperatorHeader, "ann\n")
 		Expect(p.author).To(Equal("ann (key " + wasabioperator.HashKey(key)[:8] + ")"))
 		Expect(p.base).To(Equal(wasabiridge.ConfigVersion(7)))
@@ -216,7 +221,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(times)) {
 		want := times[name]
-		It("reads a point in time: "+name, func() {
+		It("parses a point in time: "+name, func() {
 			got, err := wasabioperator.ParseTime(want.text, now)
 			Expect(err != nil).To(Equal(want.bad))
 			Expect(got).To(Equal(want.want))
@@ -224,10 +229,10 @@
 	}
 
 	It("refuses an unknown action of a rollout and passes on a known one", func() {
-		p := &parts{}
+		p := &components{}
 		Expect(call(handler(p), "POST", "/v1/rollouts/r1/explode", "").Code).To(Equal(http.StatusBadRequest))
 		Expect(call(handler(p), "POST", "/v1/rollouts/r1/rollback", "").Code).To(Equal(http.StatusOK))
-		Expect(p.steered).To(Equal("r1 rollback"))
+		Expect(p.action).To(Equal("r1 rollback"))
 	})
 })
 
@@ -252,7 +257,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(cases)) {
 		want := cases[name]
-		It("tells what decides: "+name, func() {
+		It("returns the rule that applies and notes on refusals: "+name, func() {
 			got := wasabioperator.Explain(cfg, want.query)
 			Expect(got.Rule).To(Equal(want.rule))
 			Expect(strings.Join(got.Notes, "\n")).To(ContainSubstring(want.note))
