--- a/internal/wasabinode/background.go
+++ b/internal/wasabinode/background.go
@@ -99,8 +99,9 @@
 		if !settled {
 			// With the first configuration all stores count as reachable. Otherwise an
 			// instance that has just started would let engines compute prefix segments
-			// that a store holds. The next poll waits for other instances, because only
-			// then is it known whether callers are sent to this one.
+			// that a store holds. Before the stores are polled, the task waits for other
+			// instances, because only then is it known whether callers are sent to this
+			// one.
 			n.waitFor(ctx, restoreWait, func() bool { return !n.isAlone() })
 			settled = true
 			continue
--- a/internal/wasabinode/peers.go
+++ b/internal/wasabinode/peers.go
@@ -15,14 +15,14 @@
 	return wasabicatalog.RankOf(n.self(), n.members.Members())
 }
 
-// leaseCandidates is how many instances of the lowest ranks receive the backoffs
-// of replicas although callers are not sent to them: the next holder of the
-// upgrade lease is one of them.
+// leaseCandidates is how many instances of the lowest ranks receive updates on the
+// backoff of replicas although callers are not sent to them: the next holder of
+// the upgrade lease is one of them.
 const leaseCandidates = 5
 
-// sendBackoffs applies backoffs of replicas at this instance first, and then
-// sends them to the instances that place requests and to those that may hold the
-// upgrade lease next.
+// sendBackoffs applies updates on replicas, with their backoff, drain and weights,
+// at this instance first. Then it sends them to the instances that place requests
+// and to those that may hold the upgrade lease next.
 //
 // The failure it guards against: the holder of the lease sends an update on each
 // replica to every one of many instances. It does nothing else for seconds, and
@@ -39,8 +39,9 @@
 	n.catalog.TellSome(context.Background(), peers, update)
 }
 
-// applyUpdate posts a state update of an instance to the decision loop. Events
-// that find the queue of the loop full are dropped.
+// applyUpdate applies a state update of an instance: it posts the events to the
+// decision loop, and passes the update to the quarantine and the quotas. When the
+// queue of the loop is full, events are dropped.
 func (n *Node) applyUpdate(update wasabiridge.News) {
 	now := n.options.Clock.Now()
 	for _, r := range update.Rests {
