--- a/internal/wasabioperator/auth.go
+++ b/internal/wasabioperator/auth.go
@@ -46,7 +46,7 @@
 			known |= subtle.ConstantTimeCompare([]byte(hash), []byte(strings.ToLower(candidate)))
 		}
 		if known != 1 {
-			writeUnauthorized(w, "operator: the key is not valid at this instance")
+			writeUnauthorized(w, "operator: the key is not known here")
 			return
 		}
 		author := authorOf(r.Header.Get(OperatorHeader), hash)
