--- /dev/null
+++ b/internal/wasabireplica/attempt.go
@@ -0,0 +1,97 @@
+package wasabireplica
+
+import (
+	"github.com/wasabiridge/wasabiridge"
+)
+
+// attempt is an attempt that is in flight.
+type attempt struct {
+	replica       *replica
+	pool          wasabiridge.PoolID
+	sent          wasabiridge.Millis
+	work          float64
+	prompt        prompt
+	keys          []uint64
+	firstByteSeen bool
+	// expected is the expected time to the first byte, in milliseconds.
+	expected float64
+	// wait is the expected wait of the prompt when it was sent, in milliseconds, and
+	// held the number of its tokens that the replica was assumed to hold. measuresCost
+	// reports that the time to the first byte measures the engine's speed: nothing was
+	// fetched, and nothing was being computed for another request.
+	wait         float64
+	held         int
+	measuresCost bool
+	// silenceBound is the time after sending from which silence counts against the
+	// replica. suspected is set when it has counted.
+	silenceBound wasabiridge.Millis
+	suspected    bool
+}
+
+// Sent records that an attempt is sent to the replica of the placement.
+func (p *Placer) Sent(now wasabiridge.Millis, r wasabiridge.Request, id wasabiridge.AttemptID, pl wasabiridge.Placement) {
+	rep := p.replicas[pl.Backend.ID]
+	if rep == nil {
+		return
+	}
+	pool := p.pools[r.Action.Pool]
+	if pool == nil {
+		return
+	}
+	rep.limit.Take(now, rep.server.ID, p.rateGroup)
+	a := attempt{replica: rep, sent: now, work: noPromptWork, prompt: pool.promptOf(pool.normalizeRequest(r)), pool: r.Action.Pool}
+	a.wait = rep.prefillQueue.wait(now, a.prompt.priority)
+	a.expected = float64(pl.ExpectedWait)
+	if pl.Why == wasabiridge.WhyMoved {
+		// A migrated answer is one more request at the replica. It is charged and never
+		// refused, because that would cut off a running answer.
+		pool.budget.Charge(now)
+		p.attempts[id] = p.recordMigration(rep, a)
+		return
+	}
+	a.measuresCost = pl.Why == WhyLoad || pl.Why == whyHeld || pl.Why == whyComputed
+	if a.measuresCost {
+		a.held = pl.ClaimedTokens
+	}
+	a.silenceBound = suspectAfter + wasabiridge.Millis(queueFactor*float64(pl.ExpectedWait))
+	rep.own = rep.own.plus(load{requests: 1, tokens: a.prompt.memory()})
+	if a.prompt.engine {
+		a.work = a.prompt.workFor(pl.Why, pl.ClaimedTokens)
+		pool.observeWork(&a.prompt)
+	}
+	if a.prompt.worthFetching() {
+		a.keys = a.prompt.keysFor(pl.Weights)
+		p.recordSegments(now, rep, &a, pl)
+	}
+	if a.prompt.engine {
+		rep.prefillQueue.push(now, queuedPrompt{attempt: id, priority: a.prompt.priority, remaining: a.work})
+	}
+	p.attempts[id] = a
+}
+
+// recordSegments records the segments of a long prompt and queues updates about them
+// for the other instances.
+func (p *Placer) recordSegments(now wasabiridge.Millis, rep *replica, a *attempt, pl wasabiridge.Placement) {
+	for i, key := range a.keys {
+		n := wasabiridge.PartNews{
+			Backend: rep.server.ID, Incarnation: rep.server.Incarnation, Key: key, Tokens: a.prompt.lengths[i], Saved: pl.SaveTo != "", Kept: pl.Why == whyStored,
+		}
+		if i == len(a.keys)-1 {
+			n.Own, n.Work, n.Priority = a.prompt.own, wasabiridge.Millis(a.work), a.prompt.priority
+		}
+		p.recordSegment(now, rep, n)
+		p.peerUpdates.add(n)
+	}
+}
+
+// recordSegment applies a segment that was sent to the estimated caches.
+func (p *Placer) recordSegment(now wasabiridge.Millis, rep *replica, n wasabiridge.PartNews) {
+	rep.cache.touch(n.Key, n.Tokens)
+	rep.cache.addUnshared(n.Own)
+	switch {
+	case n.Saved:
+		p.kvStores.recordSave(now, n.Key, n.Tokens, n.Own)
+	case n.Kept:
+		p.kvStores.recordFetch(now, n.Key, n.Tokens)
+	}
+}
--- a/internal/wasabireplica/budget.go
+++ b/internal/wasabireplica/budget.go
@@ -5,10 +5,11 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabibudget"
 )
 
-// begin starts the retry budget with the first event.
-func (p *Placer) begin(now wasabiridge.Millis) {
+// startBudget sets up the retry budget at the first event, whose time stands for the
+// start of the process.
+func (p *Placer) startBudget(now wasabiridge.Millis) {
 	if p.sharers == nil {
-		p.born, p.sharers = now, wasabibudget.NewSharers(p.retryTerms(), now)
+		p.startedAt, p.sharers = now, wasabibudget.NewSharers(p.retryTerms(), now)
 	}
 }
 
@@ -16,18 +17,20 @@
 	return wasabibudget.Terms{Ratio: p.options.RetryRatio, Slack: p.options.RetrySlack, Window: p.options.RetryWindow}
 }
 
-// budgetOf returns the budget of a pool. It outlasts configurations without the pool.
+// budgetOf returns the retry budget of a pool. A budget outlives configurations that
+// leave the pool out.
 func (p *Placer) budgetOf(id wasabiridge.PoolID) *wasabibudget.Budget {
 	b := p.budgets[id]
 	if b == nil {
-		b = wasabibudget.New(p.retryTerms(), p.born)
+		b = wasabibudget.New(p.retryTerms(), p.startedAt)
 		p.budgets[id] = b
 	}
 	return b
 }
 
-// dropBudgets forgets the budgets of pools that are gone for longer than a window.
-func (p *Placer) dropBudgets(now wasabiridge.Millis) {
+// dropIdleBudgets removes the budgets of pools that have been gone for longer than a
+// window.
+func (p *Placer) dropIdleBudgets(now wasabiridge.Millis) {
 	for id, b := range p.budgets {
 		if p.pools[id] == nil && b.Idle(now) {
 			delete(p.budgets, id)
@@ -35,7 +38,7 @@
 	}
 }
 
-// retryCounts counts what the budget of a pool was asked for.
+// retryCounts counts the retries that the budget of a pool granted and denied.
 type retryCounts struct{ granted, denied int }
 
 func (c *retryCounts) count(granted bool) {
@@ -46,15 +49,16 @@
 	c.denied++
 }
 
-// Retries is what became of further attempts at a pool since the process began.
+// Retries holds the number of retries that the budget of a pool has granted and denied
+// since the process started.
 type Retries struct {
 	Pool            wasabiridge.PoolID
 	Granted, Denied int
-	// Instances is how many instances are believed to share the budget.
+	// Instances is the estimated number of instances that share the budget.
 	Instances int
 }
 
-// Retries returns the further attempts of all pools.
+// Retries returns the retry counts of all pools, in no particular order.
 func (p *Placer) Retries(now wasabiridge.Millis) []Retries {
 	var out []Retries
 	for id, pl := range p.pools {
--- a/internal/wasabireplica/budget_test.go
+++ b/internal/wasabireplica/budget_test.go
@@ -16,31 +16,33 @@
 	retryRatio  = 0.2
 	retrySlack  = 54.0
 	retryWindow = 10 * wasabiridge.Second
-	// fleetStep is how far the time of a fleet goes at once.
+	// fleetStep is the step of the simulated clock.
 	fleetStep = 20 * wasabiridge.Millis(1)
-	// countDelay is how long a fleet needs to see that an instance came or went.
-	countDelay = 2 * wasabiridge.Second
+	// membershipDelay is how long a fleet needs to notice that an instance joined or
+	// left.
+	membershipDelay = 2 * wasabiridge.Second
 )
 
-// retrier is one instance.
-type retrier struct {
+// retryInstance is one instance of a retryFleet.
+type retryInstance struct {
 	placer  *wasabireplica.Placer
 	limiter *wasabireplica.Limiter
-	// downUntil is when a killed process is back. heard is when it was last told how
-	// many there are.
-	downUntil, started, heard wasabiridge.Millis
-	side                      int
+	// downUntil is when a killed process restarts. countedAt is when the instance last
+	// received an instance count.
+	downUntil, started, countedAt wasabiridge.Millis
+	side                          int
 }
 
-// retryFleet is instances that share a budget, with every arrival at the pool.
+// retryFleet simulates instances that share a retry budget and records the time of
+// every request and retry at the pool.
 type retryFleet struct {
-	random    *rand.Rand
-	now       wasabiridge.Millis
-	pool      wasabiridge.Pool
-	instances []*retrier
-	rate      float64
-	cutAt     wasabiridge.Millis
-	// failing says that every request fails until no further attempt is allowed.
+	random        *rand.Rand
+	now           wasabiridge.Millis
+	pool          wasabiridge.Pool
+	instances     []*retryInstance
+	rate          float64
+	partitionedAt wasabiridge.Millis
+	// failing makes every request fail until the budget denies a retry.
 	failing           bool
 	requests, retries []wasabiridge.Millis
 }
@@ -57,44 +59,44 @@
 }
 
 func (f *retryFleet) add() {
-	r := &retrier{}
+	r := &retryInstance{}
 	f.start(r)
 	f.instances = append(f.instances, r)
 }
 
-// start gives an instance a process that knows nothing.
-func (f *retryFleet) start(r *retrier) {
+// start replaces the process of an instance by a new one without any state.
+func (f *retryFleet) start(r *retryInstance) {
 	r.placer = wasabireplica.New(wasabireplica.Options{Seed: 1, RetryRatio: retryRatio, RetrySlack: retrySlack, RetryWindow: retryWindow})
 	r.limiter = wasabireplica.NewLimiter(r.placer)
-	r.started, r.heard = f.now, f.now
+	r.started, r.countedAt = f.now, f.now
 	r.placer.Observe(f.now, wasabiridge.Ticked{})
 	f.adopt(r, f.pool)
 }
 
-func (f *retryFleet) adopt(r *retrier, pools ...wasabiridge.Pool) {
+func (f *retryFleet) adopt(r *retryInstance, pools ...wasabiridge.Pool) {
 	r.placer.Observe(f.now, wasabiridge.ConfigAdopted{Config: wasabiridge.Config{Version: 1, Pools: pools}})
 }
 
-func (f *retryFleet) kill(r *retrier, down wasabiridge.Millis) {
+func (f *retryFleet) kill(r *retryInstance, down wasabiridge.Millis) {
 	r.downUntil = f.now + down
 }
 
-// visible counts the instances that one sees.
-func (f *retryFleet) visible(r *retrier) int {
+// visible returns how many instances r sees, itself included.
+func (f *retryFleet) visible(r *retryInstance) int {
 	count := 0
 	for _, other := range f.instances {
-		known := other.downUntil == 0 && f.now >= other.started+countDelay || other == r
-		if known && (other.side == r.side || f.now < f.cutAt+countDelay) {
+		known := other.downUntil == 0 && f.now >= other.started+membershipDelay || other == r
+		if known && (other.side == r.side || f.now < f.partitionedAt+membershipDelay) {
 			count++
 		}
 	}
 	return count
 }
 
-// pass lets time pass.
-func (f *retryFleet) pass(span wasabiridge.Millis) {
+// advance moves the simulated clock forward by span.
+func (f *retryFleet) advance(span wasabiridge.Millis) {
 	for until := f.now + span; f.now < until; f.now += fleetStep {
-		var up []*retrier
+		var up []*retryInstance
 		for _, r := range f.instances {
 			if r.downUntil > f.now {
 				continue
@@ -103,8 +105,8 @@
 				r.downUntil = 0
 				f.start(r)
 			}
-			if f.now >= r.heard+wasabiridge.Second {
-				r.heard = f.now
+			if f.now >= r.countedAt+wasabiridge.Second {
+				r.countedAt = f.now
 				r.placer.Observe(f.now, wasabiridge.InstancesCounted{Count: f.visible(r)})
 			}
 			r.placer.Observe(f.now, wasabiridge.Ticked{})
@@ -116,7 +118,7 @@
 	}
 }
 
-func (f *retryFleet) request(r *retrier) {
+func (f *retryFleet) request(r *retryInstance) {
 	q := wasabiridge.Request{ID: "r", Action: wasabiridge.Action{Pool: "p", Retry: true}}
 	r.limiter.Offer(f.now, q)
 	f.requests = append(f.requests, f.now)
@@ -128,30 +130,30 @@
 	}
 }
 
-// within counts the times of a span, its end left out.
-func within(times []wasabiridge.Millis, from, to wasabiridge.Millis) int {
+// countWithin counts the times in [from, to).
+func countWithin(times []wasabiridge.Millis, from, to wasabiridge.Millis) int {
 	first := sort.Search(len(times), func(i int) bool { return times[i] >= from })
 	return sort.Search(len(times), func(i int) bool { return times[i] >= to }) - first
 }
 
-// excess is by how much further attempts go beyond the budget in the worst window:
-// a ratio of the requests of that window, the one before it or the one half a window
-// before it, whichever has most, and the slack.
+// excess returns by how much the retries exceed the budget in the worst window. The
+// budget of a window is the slack and a ratio of the requests of that window, of the
+// window before it or of the one half a window earlier, whichever has most.
 func (f *retryFleet) excess() float64 {
 	worst := -retrySlack
 	for _, from := range f.retries {
 		most := 0
 		for _, before := range [...]wasabiridge.Millis{0, retryWindow / 2, retryWindow} {
-			most = max(most, within(f.requests, from-before, from-before+retryWindow))
+			most = max(most, countWithin(f.requests, from-before, from-before+retryWindow))
 		}
-		worst = max(worst, float64(within(f.retries, from, from+retryWindow))-retryRatio*float64(most)-retrySlack)
+		worst = max(worst, float64(countWithin(f.retries, from, from+retryWindow))-retryRatio*float64(most)-retrySlack)
 	}
 	return worst
 }
 
-// disrupt plays drawn faults of a short day, several of them at once.
-func (f *retryFleet) disrupt() {
-	usual := f.rate
+// injectFaults applies random faults, several of which may overlap.
+func (f *retryFleet) injectFaults() {
+	baseRate := f.rate
 	for range 4 + f.random.IntN(8) {
 		r := f.instances[f.random.IntN(len(f.instances))]
 		switch f.random.IntN(7) {
@@ -166,112 +168,114 @@
 				f.add()
 			}
 		case 4:
-			f.cutAt = f.now
+			f.partitionedAt = f.now
 			sides := [...]int{1, 2, 2, len(f.instances)}[f.random.IntN(4)]
 			for i, each := range f.instances {
 				each.side = i % sides
 			}
 		case 5:
-			f.rate = usual * [...]float64{0.1, 1, 3}[f.random.IntN(3)]
+			f.rate = baseRate * [...]float64{0.1, 1, 3}[f.random.IntN(3)]
 		case 6:
 			f.adopt(r)
 			f.adopt(r, f.pool)
 		}
-		f.pass(wasabiridge.Millis(100 + f.random.IntN(4000)))
+		f.advance(wasabiridge.Millis(100 + f.random.IntN(4000)))
 	}
-	f.pass(retryWindow)
+	f.advance(retryWindow)
 }
 
 var _ = Describe("Further attempts of all instances together", func() {
 	faults := map[string]func(f *retryFleet){
 		// Guards against credit for more requests than those of one window.
-		"when nothing else happens": func(f *retryFleet) { f.pass(2 * retryWindow) },
-		// Guards against a started process that takes itself for the only one.
+		"when nothing else happens": func(f *retryFleet) { f.advance(2 * retryWindow) },
+		// Guards against a restarted process that assumes it is the only instance.
 		"when one instance is killed again and again": func(f *retryFleet) {
 			for range 5 {
 				f.kill(f.instances[0], 500)
-				f.pass(2 * wasabiridge.Second)
+				f.advance(2 * wasabiridge.Second)
 			}
 		},
-		// Guards against counters that begin anew in every process.
+		// Guards against counters that start from zero in every new process.
 		"when all instances are killed at once": func(f *retryFleet) {
 			for _, r := range f.instances {
 				f.kill(r, 500)
 			}
-			f.pass(retryWindow)
+			f.advance(retryWindow)
 		},
-		// Guards against parts that grow while instances do not see each other.
-		"when the instances are cut in halves": func(f *retryFleet) {
-			f.cutAt = f.now
+		// Guards against shares that grow while instances do not see each other.
+		"when the instances are partitioned into halves": func(f *retryFleet) {
+			f.partitionedAt = f.now
 			for i, r := range f.instances {
 				r.side = i % 2
 			}
-			f.pass(3 * retryWindow)
+			f.advance(3 * retryWindow)
 		},
-		// Guards against parts of newcomers beside the whole that the others divide.
+		// Guards against new instances that take shares in addition to the whole slack,
+		// which the old ones already divide among themselves.
 		"when twice as many instances are added": func(f *retryFleet) {
 			for range 14 {
 				f.add()
 			}
-			f.pass(retryWindow)
+			f.advance(retryWindow)
 		},
-		// Guards against a budget that is forgotten with its pool.
-		"when a configuration leaves the pool out and the next one has it again": func(f *retryFleet) {
+		// Guards against a budget that is reset when its pool is removed and added
+		// again.
+		"when a configuration removes the pool and the next one adds it again": func(f *retryFleet) {
 			for range 4 {
 				for _, r := range f.instances {
 					f.adopt(r)
 					f.adopt(r, f.pool)
 				}
-				f.pass(wasabiridge.Second)
+				f.advance(wasabiridge.Second)
 			}
 		},
-		// Guards against attempts that are allowed for requests of long ago.
+		// Guards against retries that are granted for requests of long ago.
 		"when traffic falls to a tenth": func(f *retryFleet) {
 			f.rate /= 10
-			f.pass(2 * retryWindow)
+			f.advance(2 * retryWindow)
 		},
 	}
-	// Guards against groups of instances that are cut off from each other, have all started
-	// since, and each divide the slack by what they see.
+	// Guards against partitioned groups whose instances have all restarted since the
+	// partition, so that each divides the slack by the instances of its own group only.
 	It("stay within the budget of every window when all instances start while they are cut into three groups", func() {
 		f := newRetryFleet(1, 9, 20)
-		f.pass(2 * retryWindow)
-		f.cutAt = f.now
+		f.advance(2 * retryWindow)
+		f.partitionedAt = f.now
 		for i, r := range f.instances {
 			r.side = i % 3
 			f.kill(r, 500)
 		}
-		f.pass(8 * retryWindow)
+		f.advance(8 * retryWindow)
 		f.failing = true
-		f.pass(2 * retryWindow)
+		f.advance(2 * retryWindow)
 		Expect(f.excess()).To(BeNumerically("<=", 0))
 	})
 
 	for _, name := range wasabitest.Names(faults) {
 		It("stay within the budget of every window "+name, func() {
 			f := newRetryFleet(1, 7, 71)
-			f.pass(2 * retryWindow)
+			f.advance(2 * retryWindow)
 			f.failing = true
 			faults[name](f)
 			Expect(f.excess()).To(BeNumerically("<=", 0))
 		})
 	}
 
-	// Guards against credit that lapses before it pays for a whole attempt.
-	It("are allowed where requests are rare", func() {
+	// Guards against credit that expires before it adds up to a whole retry.
+	It("are granted when requests are rare", func() {
 		f := newRetryFleet(1, 7, 7)
-		f.pass(2 * retryWindow)
+		f.advance(2 * retryWindow)
 		f.failing = true
-		f.pass(10 * retryWindow)
-		Expect(len(f.retries)).To(BeNumerically(">", 250), "a fifth of 700, and parts of ten windows")
+		f.advance(10 * retryWindow)
+		Expect(len(f.retries)).To(BeNumerically(">", 250), "a fifth of 700, and the slack shares of ten windows")
 		Expect(f.excess()).To(BeNumerically("<=", 0))
 	})
 
-	// Guards against arrivals at servers that the budget does not count.
-	It("count streams that go on from moved memory", func() {
+	// Guards against requests to servers that the budget does not count.
+	It("include streams that continue from migrated memory", func() {
 		f := newRetryFleet(1, 1, 0)
 		r := f.instances[0]
-		f.pass(retryWindow)
+		f.advance(retryWindow)
 		for range 100 {
 			r.limiter.Offer(f.now, wasabiridge.Request{Action: wasabiridge.Action{Pool: "p"}})
 		}
@@ -282,15 +286,15 @@
 		f.failing = true
 		f.request(r)
 		f.request(r)
-		Expect(f.retries).To(HaveLen(5), "a fifth of 100 requests and the part of one, less the streams")
+		Expect(f.retries).To(HaveLen(5), "a fifth of 100 requests and the slack share of one instance, less the streams")
 	})
 
-	It("stay within the budget of every window in drawn histories", func() {
+	It("stay within the budget of every window under random faults", func() {
 		for seed := range uint64(100) {
 			f := newRetryFleet(seed, 3+int(seed%7), 30+float64(seed%5)*30)
-			f.pass(retryWindow + wasabiridge.Millis(f.random.IntN(3000)))
+			f.advance(retryWindow + wasabiridge.Millis(f.random.IntN(3000)))
 			f.failing = true
-			f.disrupt()
+			f.injectFaults()
 			Expect(f.excess()).To(BeNumerically("<=", 0), "seed %d", seed)
 		}
 	})
--- a/internal/wasabireplica/cache.go
+++ b/internal/wasabireplica/cache.go
@@ -4,53 +4,56 @@
 	"container/list"
 )
 
-// cacheShare is the part of an engine's memory that cached parts take up. The
-// rest is for what runs.
-const cacheShare = 0.85
+// cacheFraction is the fraction of an engine's memory that cached segments occupy.
+// Running requests need the rest.
+const cacheFraction = 0.85
 
-// cache is what a replica is believed to hold, by what was sent there: parts
-// of prompts, of which the least recently used yield.
+// cache estimates which prompt segments a replica holds, from what was sent to it. The
+// least recently used segments are evicted first.
 type cache struct {
 	limit, used int
-	parts       map[uint64]*list.Element
-	order       *list.List
+	segments    map[uint64]*list.Element
+	lru         *list.List
 }
 
-// cached is one part. A key of zero stands for a part that nobody asks for
-// again and that takes up room all the same.
-type cached struct {
+// cachedSegment is one segment of a prompt. A key of zero stands for tokens that no
+// other request shares but that take up memory all the same.
+type cachedSegment struct {
 	key    uint64
 	tokens int
-	// ready says that the replica has read the part.
+	// ready reports that the replica has computed the segment.
 	ready bool
 }
 
 func newCache() cache {
-	return cache{parts: map[uint64]*list.Element{}, order: list.New()}
+	return cache{segments: map[uint64]*list.Element{}, lru: list.New()}
 }
 
-// use notes that a part was sent, or used again.
-func (c *cache) use(key uint64, tokens int) {
-	if e, ok := c.parts[key]; ok {
-		c.order.MoveToBack(e)
+// touch records that a segment was sent or used again.
+func (c *cache) touch(key uint64, tokens int) {
+	if e, ok := c.segments[key]; ok {
+		c.lru.MoveToBack(e)
 		return
 	}
-	c.parts[key] = c.order.PushBack(&cached{key: key, tokens: tokens})
-	c.grow(tokens)
+	c.segments[key] = c.lru.PushBack(&cachedSegment{key: key, tokens: tokens})
+	c.reserve(tokens)
 }
 
-// fill notes tokens that nobody asks for again.
-func (c *cache) fill(tokens int) {
+// addUnshared records tokens that no other request shares. They matter only where the
+// memory is known, because they evict segments.
+func (c *cache) addUnshared(tokens int) {
 	if tokens > 0 && c.limit > 0 {
-		c.order.PushBack(&cached{tokens: tokens})
-		c.grow(tokens)
+		c.lru.PushBack(&cachedSegment{tokens: tokens})
+		c.reserve(tokens)
 	}
 }
 
-func (c *cache) grow(tokens int) {
+// reserve adds tokens and evicts the least recently used segments beyond the limit. A
+// limit of zero means that the memory is unknown, and nothing is evicted.
+func (c *cache) reserve(tokens int) {
 	c.used += tokens
 	for c.limit > 0 && c.used > c.limit {
-		oldest := c.order.Front()
+		oldest := c.lru.Front()
 		if oldest == nil {
 			return
 		}
@@ -59,38 +62,38 @@
 }
 
 func (c *cache) remove(e *list.Element) {
-	part := c.order.Remove(e).(*cached)
-	c.used -= part.tokens
-	if part.key != 0 {
-		delete(c.parts, part.key)
+	segment := c.lru.Remove(e).(*cachedSegment)
+	c.used -= segment.tokens
+	if segment.key != 0 {
+		delete(c.segments, segment.key)
 	}
 }
 
-// finish notes that the replica has read a part.
-func (c *cache) finish(key uint64) {
-	if e, ok := c.parts[key]; ok {
-		e.Value.(*cached).ready = true
+// markReady records that the replica has computed a segment.
+func (c *cache) markReady(key uint64) {
+	if e, ok := c.segments[key]; ok {
+		e.Value.(*cachedSegment).ready = true
 	}
 }
 
-// drop takes back a part that was sent and not read.
-func (c *cache) drop(key uint64) {
-	if e, ok := c.parts[key]; ok && !e.Value.(*cached).ready {
+// discardUnready removes a segment that was sent but not computed.
+func (c *cache) discardUnready(key uint64) {
+	if e, ok := c.segments[key]; ok && !e.Value.(*cachedSegment).ready {
 		c.remove(e)
 	}
 }
 
-// find reports whether a part is held, and whether it has been read.
-func (c *cache) find(key uint64) (ready, held bool) {
-	e, ok := c.parts[key]
+// lookup reports whether a segment is held, and whether it has been computed.
+func (c *cache) lookup(key uint64) (ready, held bool) {
+	e, ok := c.segments[key]
 	if !ok {
 		return false, false
 	}
-	return e.Value.(*cached).ready, true
+	return e.Value.(*cachedSegment).ready, true
 }
 
 func (c *cache) clear() {
-	clear(c.parts)
-	c.order.Init()
+	clear(c.segments)
+	c.lru.Init()
 	c.used = 0
 }
--- a/internal/wasabireplica/cost_test.go
+++ b/internal/wasabireplica/cost_test.go
@@ -7,15 +7,15 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// sized is a request whose prompt shares a part of some length with others.
-func sized(part uint64, shared, own int) wasabiridge.Request {
-	r := long(part)
+// sized returns a request whose prompt has a shared segment and a segment of its own,
+// of the given lengths in tokens.
+func sized(segment uint64, shared, own int) wasabiridge.Request {
+	r := long(segment)
 	r.Chain.Lengths, r.Chain.Tokens = []int{shared, own}, shared+own
 	return r
 }
 
-// serve lets one replica answer prompts that it computes at a speed, in tokens a
-// millisecond.
+// serve sends n prompts to the rig, whose replicas compute them at the given speed.
 func (g *rig) serve(n int, tokensPerMilli float64) {
 	for i := range n {
 		shared, own := 200+i%7*500, 300+i%5*400
@@ -28,11 +28,11 @@
 	}
 }
 
-var _ = Describe("What engines take", func() {
-	// Story: a new customer's engines compute five times as slowly as those that
-	// were known. Prompts pile up at few of them, since their queues are taken for
-	// short.
-	It("is learned from some thirty answers, for slow engines and for fast ones", func() {
+var _ = Describe("The computing cost of engines", func() {
+	// Engines of one deployment may compute five times as slowly as those of another.
+	// With a fixed estimate their queues look short, and prompts pile up at a few of
+	// them.
+	It("is estimated from about thirty answers, for slow engines and for fast ones", func() {
 		for _, speed := range []float64{20, 66, 300} {
 			g := newRig(1)
 			g.serve(30, speed)
@@ -41,10 +41,10 @@
 		}
 	})
 
-	// Story: 568 shared tokens are computed in a millisecond or two by one
-	// customer's engines, and in nine by another's, where sixty requests a second
-	// have them. What is worth looking for follows from that.
-	It("decides from which length shared parts are looked for", func() {
+	// Whether a shared segment is worth fetching depends on the engine: 568 shared
+	// tokens take one or two milliseconds to compute on some engines and nine on
+	// others.
+	It("decides from which length shared segments are fetched", func() {
 		for speed, why := range map[float64]string{300: "load", 40: "computed"} {
 			g := newRig(1)
 			g.serve(30, speed)
--- a/internal/wasabireplica/limit.go
+++ b/internal/wasabireplica/limit.go
@@ -4,11 +4,11 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// limitNewsInterval is how often the others are told of a limit that has not changed.
-const limitNewsInterval = wasabiridge.Second
+// limitUpdateInterval is how often an unchanged limit is sent to the other instances.
+const limitUpdateInterval = wasabiridge.Second
 
-// limitNamed takes what an answer says of the limit of its replica.
-func (p *Placer) limitNamed(now wasabiridge.Millis, e wasabiridge.LimitNamed) {
+// limitReported applies what an answer reports about the limit of its replica.
+func (p *Placer) limitReported(now wasabiridge.Millis, e wasabiridge.LimitNamed) {
 	r := p.replicas[e.Backend]
 	if r == nil || e.Fault != "" {
 		return
@@ -20,25 +20,26 @@
 		changed = r.limit.Lift(e.Asked)
 	}
 	if changed {
-		r.limitTold = 0
+		r.limitSentAt = 0
 	}
 	if changed || e.Limited {
-		r.limitNews = e
+		r.pendingLimit = e
 	}
 }
 
-// takeLimitNews returns what the others should be told of the limit of a replica.
-func (r *replica) takeLimitNews(now wasabiridge.Millis) wasabiridge.LimitNews {
-	e := r.limitNews
-	if e.Backend == "" || r.limitTold > 0 && now-r.limitTold < limitNewsInterval {
+// takeLimitUpdate returns the limit of a replica if it has to be sent to the other
+// instances now, and the zero value otherwise.
+func (r *replica) takeLimitUpdate(now wasabiridge.Millis) wasabiridge.LimitNews {
+	e := r.pendingLimit
+	if e.Backend == "" || r.limitSentAt > 0 && now-r.limitSentAt < limitUpdateInterval {
 		return wasabiridge.LimitNews{}
 	}
-	r.limitTold, r.limitNews = now, wasabiridge.LimitNamed{}
+	r.limitSentAt, r.pendingLimit = now, wasabiridge.LimitNamed{}
 	return wasabiridge.LimitNews{Known: true, Limited: e.Limited, Rate: e.Rate, Age: max(0, now-e.Asked)}
 }
 
-// peerLimit takes what another instance was told of the limit of a replica.
-func (r *replica) peerLimit(now wasabiridge.Millis, n wasabiridge.LimitNews) {
+// applyPeerLimit applies the limit of a replica that another instance has received.
+func (r *replica) applyPeerLimit(now wasabiridge.Millis, n wasabiridge.LimitNews) {
 	switch {
 	case n.Limited:
 		r.limit.Hear(now, now-n.Age, n.Rate)
@@ -47,8 +48,9 @@
 	}
 }
 
-// limitWait is when this instance may send the next request to a replica, by the limit
-// that it names.
+// limitWait returns how long this instance has to wait, because of the limit that the
+// replica reports, before it may send the next request there. Zero means that it may
+// send now.
 func (p *Placer) limitWait(now wasabiridge.Millis, r *replica) wasabiridge.Millis {
-	return r.limit.Wait(now, r.server.ID, p.serving)
+	return r.limit.Wait(now, r.server.ID, p.rateGroup)
 }
--- a/internal/wasabireplica/limiter.go
+++ b/internal/wasabireplica/limiter.go
@@ -8,104 +8,106 @@
 )
 
 const (
-	// fullShare is how many requests a replica may have inside, as a multiple
-	// of its slots, before a request of the lowest priority is refused. What
-	// waits in a replica's own queue goes by priority there.
-	fullShare = 1.5
-	// urgentShare is the same for requests of the highest priority.
-	urgentShare = 2.5
-	// priorityMost is the highest priority.
-	priorityMost = 9
-	// returnAfter is when a refused request may find room.
-	returnAfter = 250 * wasabiridge.Millis(1)
-	// longShare is the part of a replica's slots up to which long prompts are
-	// sent there. The rest is for short ones.
-	longShare = 0.75
-	// leastPatience is how long any prompt may wait, as a part of its target. One that
-	// takes longer than its target to compute is late anyhow; it goes where little
-	// waits.
-	leastPatience = 0.1
-	// lightPatience is how long a light prompt may wait, as a part of its target: it
-	// takes little from others, and a late answer is worth more than none.
-	lightPatience = 1.5
-	// lightShare is the part of the mean work below which a prompt is light.
-	lightShare = 0.5
+	// lowPriorityLoad is the load, as a multiple of a replica's slots, at which
+	// requests of the lowest priority are refused. Requests beyond the slots wait in
+	// the replica's own queue, which is ordered by priority.
+	lowPriorityLoad = 1.5
+	// highPriorityLoad is the same for requests of the highest priority. Limits between
+	// the two are interpolated.
+	highPriorityLoad = 2.5
+	maxPriority      = 9
+	// minRetryAfter is the least delay after which refused callers are asked to retry.
+	minRetryAfter = 250 * wasabiridge.Millis(1)
+	// heavyPromptLoad is the load, as a multiple of a replica's slots, at which heavy
+	// prompts are refused. The remaining slots are for lighter requests.
+	heavyPromptLoad = 0.75
+	// minWaitFactor is how long any prompt may wait, as a fraction of its first-byte
+	// target. A prompt that takes longer than its target to compute is late in any
+	// case; it is only sent where the queue is short.
+	minWaitFactor = 0.1
+	// lightWaitFactor is how long a light prompt may wait, as a multiple of its target.
+	// It delays other requests little, and a late answer is worth more than none.
+	lightWaitFactor = 1.5
+	// lightWorkFactor is the fraction of the mean work below which a prompt is light.
+	lightWorkFactor = 0.5
 )
 
-// Limiter implements wasabiridge.Limiter over what a Placer knows. Requests
-// wait inside the replicas, where the most urgent go first; here they are sent
-// or refused at once.
+// Limiter implements wasabiridge.Limiter on the state of a Placer. It admits or refuses
+// each request immediately and queues none: admitted requests wait inside the replicas,
+// which serve the most urgent ones first.
 type Limiter struct {
 	placer *Placer
 }
 
 var _ wasabiridge.Limiter = (*Limiter)(nil)
 
-// NewLimiter returns a limiter for a placer.
+// NewLimiter returns a Limiter that shares the state of p.
 func NewLimiter(p *Placer) *Limiter { return &Limiter{placer: p} }
 
-// Offer admits a request when some replica has room for it, by its priority.
+// Offer admits a request if some replica has room for it, given its priority. Otherwise
+// it rejects it with a reason and the delay after which the caller may retry.
 func (l *Limiter) Offer(now wasabiridge.Millis, r wasabiridge.Request) wasabiridge.Admission {
 	pl := l.placer.pools[r.Action.Pool]
 	if pl == nil {
-		return wasabiridge.Admission{Verdict: wasabiridge.Rejected, Reason: wasabiridge.RefusedNoBackend, RetryAfter: returnAfter}
+		return wasabiridge.Admission{Verdict: wasabiridge.Rejected, Reason: wasabiridge.RefusedNoBackend, RetryAfter: minRetryAfter}
 	}
 	pl.budget.Request(now)
-	q := wasabiridge.PlaceQuery{Request: pl.asServed(r)}
-	shortest, limited := math.Inf(1), wasabiridge.Millis(0)
+	q := wasabiridge.PlaceQuery{Request: pl.normalizeRequest(r)}
+	leastExcess, limitedFor := math.Inf(1), wasabiridge.Millis(0)
 	pr := pl.promptOf(q.Request)
-	share, most := pl.shareOf(r.Action.Priority, &pr), pl.patienceOf(q.Request, &pr)
+	maxLoad, maxWait := pl.maxLoad(r.Action.Priority, &pr), pl.maxWait(q.Request, &pr)
 	for _, rep := range pl.replicas {
-		if !l.placer.mayGet(now, rep, q) || rep.fullness(now, pr.memory()) >= share {
+		if !l.placer.isUsable(now, rep, q) || rep.loadRatio(now, pr.memory()) >= maxLoad {
 			continue
 		}
 		if wait := l.placer.limitWait(now, rep); wait > 0 {
-			if limited == 0 || wait < limited {
-				limited = wait
+			if limitedFor == 0 || wait < limitedFor {
+				limitedFor = wait
 			}
 			continue
 		}
-		wait := rep.queue(now, &pr, pl.stay)
-		if wait <= most {
+		wait := rep.expectedWait(now, &pr, pl.meanDuration)
+		if wait <= maxWait {
 			return wasabiridge.Admission{Verdict: wasabiridge.Admitted}
 		}
-		shortest = min(shortest, wait-most)
+		leastExcess = min(leastExcess, wait-maxWait)
 	}
-	if !math.IsInf(shortest, 1) {
+	if !math.IsInf(leastExcess, 1) {
 		return wasabiridge.Admission{
-			Verdict: wasabiridge.Rejected, Reason: wasabiridge.RefusedOverload, RetryAfter: max(returnAfter, wasabiridge.Millis(shortest)),
+			Verdict: wasabiridge.Rejected, Reason: wasabiridge.RefusedOverload, RetryAfter: max(minRetryAfter, wasabiridge.Millis(leastExcess)),
 		}
 	}
-	if limited > 0 {
-		return wasabiridge.Admission{Verdict: wasabiridge.Rejected, Reason: wasabiridge.RefusedServerLimit, RetryAfter: max(returnAfter, limited)}
+	if limitedFor > 0 {
+		return wasabiridge.Admission{Verdict: wasabiridge.Rejected, Reason: wasabiridge.RefusedServerLimit, RetryAfter: max(minRetryAfter, limitedFor)}
 	}
-	return wasabiridge.Admission{Verdict: wasabiridge.Rejected, Reason: wasabiridge.RefusedOverload, RetryAfter: returnAfter}
+	return wasabiridge.Admission{Verdict: wasabiridge.Rejected, Reason: wasabiridge.RefusedOverload, RetryAfter: minRetryAfter}
 }
 
-// shareOf is how many requests a replica may have inside before a further one
-// is refused, as a multiple of its slots.
+// maxLoad returns the load, as a multiple of a replica's slots, at which a further
+// request is refused.
 //
-// The failure it guards against: an engine whose slots are all taken computes
-// prompts and tokens in turns, so every answer holds its slot longer and its
-// memory with it, cached parts have to yield to what runs, and more prompts are
-// computed again: it stays slow long after the cause is over, for short prompts
-// too. Long prompts take most of the memory and of the computing, so they come
-// back later, while some slots are still free.
-func (pl *pool) shareOf(priority wasabiridge.Priority, pr *prompt) float64 {
+// It guards against an overload that outlasts its cause. An engine whose slots are all
+// taken alternates between prompts and output tokens, so every answer holds its slot
+// and its memory longer. Running requests then evict cached segments, more prompts are
+// computed again, and short prompts are slow too. Heavy prompts need most of the memory
+// and computing time, so they are refused first, while some slots are still free.
+func (pl *pool) maxLoad(priority wasabiridge.Priority, pr *prompt) float64 {
 	if pr.engine && pl.isHeavy(pr) {
-		return longShare
+		return heavyPromptLoad
 	}
-	return fullShare + (urgentShare-fullShare)*float64(min(max(priority, 0), priorityMost))/priorityMost
+	return lowPriorityLoad + (highPriorityLoad-lowPriorityLoad)*float64(min(max(priority, 0), maxPriority))/maxPriority
 }
 
-// patienceOf is how long a request may wait at a replica, in milliseconds: as long as
-// its first byte is still expected in time, by what expected times were worth lately.
+// maxWait returns how long a request may wait at a replica, in milliseconds, for its
+// first byte to be expected in time. The target is corrected by how far recent first
+// bytes exceeded their expected time.
 //
-// The failure it guards against: while replicas are dark or load, more is asked than
-// the others can compute. Whatever waits there longer than its target comes late,
-// and everything behind it too; queues, and the memory that they hold, stay long
-// after the cause is over. What cannot be in time anyhow comes back later.
-func (pl *pool) patienceOf(r wasabiridge.Request, pr *prompt) float64 {
+// It guards against queues that outlast an overload. While replicas are down or load
+// weights, the others receive more than they can compute. A request that waits longer
+// than its target is late and delays all requests behind it, and the queues and their
+// memory stay long after the cause is over. A request that cannot be in time is told to
+// retry later.
+func (pl *pool) maxWait(r wasabiridge.Request, pr *prompt) float64 {
 	if !pr.engine {
 		return math.Inf(1)
 	}
@@ -114,36 +116,37 @@
 		target = float64(defaultTarget)
 	}
 	if pl.isLight(pr) {
-		return lightPatience * target
+		return lightWaitFactor * target
 	}
 	own := pr.costs.FirstToken(wasabicost.Work{Tokens: pr.own, Behind: pr.shared})
-	return max(leastPatience*target, target/pl.overrun-own)
+	return max(minWaitFactor*target, target/pl.overrun-own)
 }
 
-// Next implements wasabiridge.Limiter. Nothing waits here.
+// Next implements wasabiridge.Limiter. No request is ever queued.
 func (l *Limiter) Next(wasabiridge.Millis) (wasabiridge.Request, bool) {
 	return wasabiridge.Request{}, false
 }
 
-// Expired implements wasabiridge.Limiter. Nothing waits here.
+// Expired implements wasabiridge.Limiter. No request is ever queued.
 func (l *Limiter) Expired(wasabiridge.Millis) (wasabiridge.Request, bool) {
 	return wasabiridge.Request{}, false
 }
 
-// Withdraw implements wasabiridge.Limiter. Nothing waits here.
+// Withdraw implements wasabiridge.Limiter. No request is ever queued.
 func (l *Limiter) Withdraw(wasabiridge.RequestID) {}
 
-// HasRoom implements wasabiridge.Limiter. The placer has weighed the room.
+// HasRoom implements wasabiridge.Limiter. The Placer has already considered the load.
 func (l *Limiter) HasRoom(wasabiridge.Millis, wasabiridge.BackendServer) bool { return true }
 
-// Sent implements wasabiridge.Limiter. The placer counts.
+// Sent implements wasabiridge.Limiter. The Placer does the counting.
 func (l *Limiter) Sent(wasabiridge.Millis, wasabiridge.Request, wasabiridge.AttemptID, wasabiridge.BackendServerID) {
 }
 
-// Observe implements wasabiridge.Limiter. The placer observes.
+// Observe implements wasabiridge.Limiter. The Placer observes all events.
 func (l *Limiter) Observe(wasabiridge.Millis, wasabiridge.Event) {}
 
-// MayRetry spends a further attempt of this instance's part of the budget.
+// MayRetry takes one retry from this instance's share of the pool's budget and reports
+// whether the budget allowed it.
 func (l *Limiter) MayRetry(now wasabiridge.Millis, r wasabiridge.Request) bool {
 	pl := l.placer.pools[r.Action.Pool]
 	if pl == nil {
--- a/internal/wasabireplica/loss.go
+++ b/internal/wasabireplica/loss.go
@@ -6,46 +6,49 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Losses, as parts of what a whole answer in time is worth.
+// Losses are fractions of the value of a complete answer that arrives in time.
 const (
-	// lateShare is what an answer loses whose first byte comes late.
-	lateShare = 0.8
-	// lateCentre and lateWidth are where, as parts of the target, the chance
-	// of being late is a half, and how fast it rises around there. Expected
-	// times are rough, so it rises early.
+	// lateAnswerLoss is the loss of an answer whose first byte is late.
+	lateAnswerLoss = 0.8
+	// The probability that a first byte is late is a logistic function of its expected
+	// time as a fraction of the target. It is one half at lateCentre, and lateWidth
+	// sets its slope. It rises below the target already, because expected times are
+	// inaccurate.
 	lateCentre = 0.8
 	lateWidth  = 0.14
-	// defaultTarget is the target of rules that set none.
+	// defaultTarget is the first-byte target of rules that set none.
 	defaultTarget = 500 * wasabiridge.Millis(1)
-	// oldLoss is what an answer loses on weights that were replaced longer ago
-	// than oldGrace.
-	oldLoss  = 0.2
-	oldGrace = 1200 * wasabiridge.Millis(1)
-	// easeLoss is for heavy work at a replica that takes light work only, so that
-	// it has little to finish before it loads new weights. It is more than the
-	// other replicas differ by while none of them is late.
-	easeLoss = 0.3
-	// againLoss is for each token that is computed although some replica has
-	// read it or is reading it.
-	againLoss = 0.14 / 1000
-	// copyLoss is for each token that a replica takes in beside another one
-	// that holds it: it displaces others that may be asked for again.
+	// supersededLoss is the loss of an answer from weights that were superseded longer
+	// than supersededGrace ago.
+	supersededLoss  = 0.2
+	supersededGrace = 1200 * wasabiridge.Millis(1)
+	// drainLoss is the loss of heavy work at a draining replica, which should finish
+	// its work before it loads new weights. It exceeds the differences between the
+	// other replicas while none of them is late.
+	drainLoss = 0.3
+	// recomputeLoss is the loss for each token that is computed although some replica
+	// has computed it or is computing it.
+	recomputeLoss = 0.14 / 1000
+	// copyLoss is the loss for each token that a replica fetches although another
+	// replica holds it: the copy evicts tokens that may be needed again.
 	copyLoss = 0.03 / 1000
-	// workLoss is for each millisecond of computing, which those behind wait
-	// for, and waitLoss for each millisecond of waiting.
+	// workLoss is the loss for each millisecond of computing, which delays the requests
+	// behind, and waitLoss the loss for each millisecond of waiting.
 	workLoss = 0.0008
 	waitLoss = 0.0003
-	// zoneLoss is for bytes between zones, and for the way.
+	// zoneLoss is the loss for a request to another availability zone: its traffic
+	// between zones and the longer round trip.
 	zoneLoss = 0.012
-	// near is the difference in loss that counts as none.
-	near = 0.002
+	// tieMargin is the difference in loss below which replicas count as equal.
+	tieMargin = 0.002
 )
 
-// lateLoss is what a request is expected to lose by its first byte being late.
+// lateLoss returns the expected loss by a late first byte, for the expected time to the
+// first byte in milliseconds. A target of zero or less means defaultTarget.
 func lateLoss(expected float64, target wasabiridge.Millis) float64 {
 	if target <= 0 {
 		target = defaultTarget
 	}
 	x := (expected/float64(target) - lateCentre) / lateWidth
-	return lateShare / (1 + math.Exp(-x))
+	return lateAnswerLoss / (1 + math.Exp(-x))
 }
--- a/internal/wasabireplica/observe.go
+++ b/internal/wasabireplica/observe.go
@@ -5,52 +5,53 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabicost"
 )
 
-// Observe takes every event that the decider takes.
+// Observe applies an event to the state of the Placer. It has to receive every event
+// that the decider receives.
 func (p *Placer) Observe(now wasabiridge.Millis, e wasabiridge.Event) {
-	p.begin(now)
+	p.startBudget(now)
 	switch e := e.(type) {
 	case wasabiridge.Ticked:
 		for _, pl := range p.pools {
-			pl.review()
+			pl.updateMedians()
 		}
-		p.suspect(now)
-		p.reviewLives(now)
-		p.serving.Tick(now)
+		p.detectSilence(now)
+		p.reviewIncarnations(now)
+		p.rateGroup.Tick(now)
 	case wasabiridge.LimitNamed:
-		p.limitNamed(now, e)
+		p.limitReported(now, e)
 	case wasabiridge.ConfigAdopted:
 		p.adopt(now, e.Config)
 	case wasabiridge.WeightsNamed:
-		p.named.name(e.Model, naming{weights: e.Weights, at: e.At})
+		p.announced.add(e.Model, announcedVersion{weights: e.Weights, at: e.At})
 	case wasabiridge.WeightsReported:
 		p.weightsReported(now, e)
 	case wasabiridge.BackendResting:
 		if r := p.replicas[e.Backend]; r != nil {
-			r.restUntil = e.Until
+			r.backoffUntil = e.Until
 		}
 	case wasabiridge.BackendEasing:
 		if r := p.replicas[e.Backend]; r != nil {
-			r.easeUntil = e.Until
+			r.drainUntil = e.Until
 		}
 	case wasabiridge.KeptCacheSeen:
-		p.kept.seen(e)
+		p.kvStores.setReachable(e)
 	case wasabiridge.KeptCacheListed:
-		p.kept.listed(e)
+		p.kvStores.addListed(e)
 	case wasabiridge.PeerPlaced:
 		p.peerPlaced(now, e)
 	case wasabiridge.LoadReported:
 		if r := p.replicas[e.Report.Backend]; r != nil {
-			r.heard = now
-			r.running, r.waiting, r.reported, r.insideThen = e.Report.Running, e.Report.Waiting, now, r.own.inside
+			r.lastReceived = now
+			r.running, r.waiting, r.reported, r.ownAtReport = e.Report.Running, e.Report.Waiting, now, r.own.requests
 		}
 	case wasabiridge.InstancesCounted:
 		p.sharers.Count(now, e.Count)
 		if len(e.Serving) > 0 {
-			p.serving.Set(now, e.Serving)
+			p.rateGroup.Set(now, e.Serving)
 		}
 	case wasabiridge.BackendLost:
 		if r := p.replicas[e.Backend]; r != nil {
-			r.fail(now)
+			r.recordFailure(now)
 		}
 	case wasabiridge.AttemptSent:
 		p.sent(now, e)
@@ -61,44 +62,45 @@
 	}
 }
 
-// reviewLives takes up lives that only doubt has kept from counting.
-func (p *Placer) reviewLives(now wasabiridge.Millis) {
+// reviewIncarnations accepts earlier incarnations that have been reported for long
+// enough without contradiction.
+func (p *Placer) reviewIncarnations(now wasabiridge.Millis) {
 	for _, r := range p.replicas {
-		if life, due := r.life.Due(now); due {
-			r.live(now, life)
+		if incarnation, due := r.incarnation.Due(now); due {
+			r.acceptIncarnation(now, incarnation)
 		}
 	}
 }
 
-// suspect leaves replicas alone that have said nothing at all since a request
-// was sent that should have been answered long ago.
+// detectSilence puts replicas into backoff that have sent nothing at all since a
+// request was sent to them whose answer is long overdue.
 //
-// The failure it guards against: a replica goes dark. Its kept connections do
-// not break for seconds, and every request that is sent there meanwhile is
+// It guards against a replica that becomes unreachable without closing its connections.
+// They do not break for seconds, and every request that is sent there until then is
 // lost.
-func (p *Placer) suspect(now wasabiridge.Millis) {
+func (p *Placer) detectSilence(now wasabiridge.Millis) {
 	for id, a := range p.attempts {
-		if a.first || a.suspected || a.replica.heard >= a.sent || now-a.sent < a.bound {
+		if a.firstByteSeen || a.suspected || a.replica.lastReceived >= a.sent || now-a.sent < a.silenceBound {
 			continue
 		}
 		a.suspected = true
 		p.attempts[id] = a
-		a.replica.fail(now)
+		a.replica.recordFailure(now)
 	}
 }
 
-// weightsReported takes which version a replica serves. Versions only rise within a
-// life.
+// weightsReported records the version of the weights that a replica serves. Versions
+// only rise within an incarnation.
 func (p *Placer) weightsReported(now wasabiridge.Millis, e wasabiridge.WeightsReported) {
 	r := p.replicas[e.Backend]
 	if r == nil {
 		return
 	}
-	if !r.live(now, e.Incarnation) {
-		if r.doubted == nil {
-			r.doubted = map[wasabiridge.ModelID]wasabiridge.WeightsVersion{}
+	if !r.acceptIncarnation(now, e.Incarnation) {
+		if r.unconfirmedWeights == nil {
+			r.unconfirmedWeights = map[wasabiridge.ModelID]wasabiridge.WeightsVersion{}
 		}
-		r.doubted[e.Model] = e.Weights
+		r.unconfirmedWeights[e.Model] = e.Weights
 		return
 	}
 	if e.Weights <= r.weights[e.Model] {
@@ -106,10 +108,10 @@
 	}
 	if r.weights[e.Model] != 0 {
 		r.cache.clear()
-		r.line.clear()
-		// New weights serve: the rest is over.
-		r.restUntil, r.easeUntil = 0, 0
-		r.recovered()
+		r.prefillQueue.clear()
+		// The new weights are served, so the drain and the backoff are over.
+		r.backoffUntil, r.drainUntil = 0, 0
+		r.clearFailures()
 	}
 	r.weights[e.Model] = e.Weights
 }
@@ -121,40 +123,40 @@
 	}
 	a.sent = now
 	p.attempts[e.Attempt] = a
-	if a.replica.pause > 0 {
-		a.replica.trying = true
+	if a.replica.failureBackoff > 0 {
+		a.replica.probing = true
 	}
 }
 
 func (p *Placer) firstByte(now wasabiridge.Millis, id wasabiridge.AttemptID) {
 	a, ok := p.attempts[id]
-	if !ok || a.first {
+	if !ok || a.firstByteSeen {
 		return
 	}
-	a.first = true
-	a.replica.heard = now
-	a.replica.learnDelay(max(0, float64(now-a.sent)-a.work))
-	a.learnCosts(now)
+	a.firstByteSeen = true
+	a.replica.lastReceived = now
+	a.replica.observeDelay(max(0, float64(now-a.sent)-a.work))
+	a.observeCosts(now)
 	if pl := p.pools[a.pool]; pl != nil && a.prompt.engine && a.expected > 0 {
-		pl.learnOverrun(float64(now-a.sent) / a.expected)
+		pl.observeOverrun(float64(now-a.sent) / a.expected)
 	}
-	a.replica.recovered()
-	a.replica.line.begun(now, func(w waitingPrompt) bool { return w.attempt == id })
+	a.replica.clearFailures()
+	a.replica.prefillQueue.markStarted(now, func(w queuedPrompt) bool { return w.attempt == id })
 	for i, key := range a.keys {
-		a.replica.cache.finish(key)
-		p.news.add(wasabiridge.PartNews{Backend: a.replica.server.ID, Key: key, Tokens: a.prompt.lengths[i], Ready: true, Incarnation: a.replica.server.Incarnation})
+		a.replica.cache.markReady(key)
+		p.peerUpdates.add(wasabiridge.PartNews{Backend: a.replica.server.ID, Key: key, Tokens: a.prompt.lengths[i], Ready: true, Incarnation: a.replica.server.Incarnation})
 	}
 	p.attempts[id] = a
 }
 
-// waitMost is how long a prompt may have waited, as a multiple of its own work,
-// for its time to tell how fast the engine computes. What it waited for is only
-// estimated.
-const waitMost = 1.0
+// maxWaitRatio is how long a prompt may have waited, as a multiple of its own work, for
+// its time to count as a measurement of the engine's speed. The wait is only an
+// estimate.
+const maxWaitRatio = 1.0
 
-// learnCosts takes what the first token of a prompt tells of the engines.
-func (a *sending) learnCosts(now wasabiridge.Millis) {
-	if !a.measures || !a.prompt.engine || a.wait > waitMost*a.work {
+// observeCosts updates the cost estimate with the time to the first token of a prompt.
+func (a *attempt) observeCosts(now wasabiridge.Millis) {
+	if !a.measuresCost || !a.prompt.engine || a.wait > maxWaitRatio*a.work {
 		return
 	}
 	work := wasabicost.Work{Tokens: a.prompt.tokens() - a.held, Behind: a.held}
@@ -168,48 +170,48 @@
 	}
 	delete(p.attempts, e.Attempt)
 	r := a.replica
-	r.own.inside--
+	r.own.requests--
 	r.own.tokens -= a.prompt.memory()
 	if pl := p.pools[a.pool]; pl != nil && e.Result == wasabiridge.AttemptCompleted {
-		pl.learnStay(float64(now - a.sent))
+		pl.observeDuration(float64(now - a.sent))
 	}
-	if !a.first {
-		r.line.leave(now, func(w waitingPrompt) bool { return w.attempt == e.Attempt })
+	if !a.firstByteSeen {
+		r.prefillQueue.removePrompt(now, func(w queuedPrompt) bool { return w.attempt == e.Attempt })
 		for _, key := range a.keys {
-			r.cache.drop(key)
+			r.cache.discardUnready(key)
 		}
 	}
-	if r.gone && r.own.inside <= 0 {
+	if r.gone && r.own.requests <= 0 {
 		delete(p.replicas, r.server.ID)
 	}
-	r.trying = false
-	p.learn(now, r, a.first, e)
+	r.probing = false
+	p.observeResult(now, r, a.firstByteSeen, e)
 }
 
-// learn takes what the end of an attempt tells of its replica.
-func (p *Placer) learn(now wasabiridge.Millis, r *replica, first bool, e wasabiridge.AttemptEnded) {
+// observeResult updates the state of a replica with the result of an attempt.
+func (p *Placer) observeResult(now wasabiridge.Millis, r *replica, firstByteSeen bool, e wasabiridge.AttemptEnded) {
 	switch {
 	case e.Moved.Memory != "":
 	case e.Misdirected:
-		// Another replica has the address now.
+		// Another replica now has this address.
 		r.gone = true
 	case e.Failed:
-		r.learnFailure(true)
-		r.recovered()
+		r.observeFailure(true)
+		r.clearFailures()
 	case e.Unreachable || e.Silent:
-		r.fail(now)
-		r.learnFailure(true)
+		r.recordFailure(now)
+		r.observeFailure(true)
 	case e.OtherWeights, e.Overloaded:
-		// It is full, or serves another version than the list says. Its next
-		// answer, or the list, tells more.
-		r.restUntil = max(r.restUntil, now+fullPause)
+		// The replica is full, or serves other weights than last reported. Its next
+		// answer or report shows which.
+		r.backoffUntil = max(r.backoffUntil, now+overloadBackoff)
 	case e.Result == wasabiridge.AttemptBroken:
-		r.learnFailure(true)
-		if !first {
-			r.fail(now)
+		r.observeFailure(true)
+		if !firstByteSeen {
+			r.recordFailure(now)
 		}
 	case e.Result == wasabiridge.AttemptCompleted:
-		r.learnFailure(false)
-		r.recovered()
+		r.observeFailure(false)
+		r.clearFailures()
 	}
 }
--- a/internal/wasabireplica/overload_test.go
+++ b/internal/wasabireplica/overload_test.go
@@ -7,12 +7,12 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-var _ = Describe("In an overload", func() {
-	// Story: a third of the engines is away and half as much again is asked as the
-	// others can compute, for ten seconds. With a wait of a whole target everything
-	// comes late; with one that leaves room for the prompt itself, what is admitted is
-	// in time, and the rest is told at once to come back.
-	It("what is admitted is in time, and the engine stays busy", func() {
+var _ = Describe("During an overload", func() {
+	// For ten seconds a third of the engines is away, and the others receive half as
+	// much again as they can compute. If requests may wait for a whole target,
+	// everything is late. If the limit leaves time for the prompt itself, admitted
+	// requests are in time and the others are refused immediately.
+	It("admitted requests are in time, and the engine stays busy", func() {
 		const perPrompt = 90 // milliseconds that the engine needs for 6,000 tokens
 		g := newRig(1)
 		type job struct {
@@ -52,7 +52,7 @@
 		Expect(refused).To(BeNumerically(">", 40))
 	})
 
-	It("a prompt that is late anyhow goes to a replica where little waits, and nowhere else", func() {
+	It("a prompt that is late in any case is only sent to a replica with a short queue", func() {
 		g := newRig(1)
 		g.serve(20, 60)
 		huge := sized(5, 0, 60000)
--- a/internal/wasabireplica/placer.go
+++ b/internal/wasabireplica/placer.go
@@ -1,36 +1,40 @@
-// Package wasabireplica chooses the replica for each request and decides
-// whether a request may go at all, for prompts that callers cut into parts of
-// their own.
+// Package wasabireplica chooses the replica for each request and decides whether a
+// request may be sent at all. It is made for prompts that callers divide into segments.
 //
 // # Score
 //
-// All replicas of the pool that may serve are weighed by what a request is
-// expected to lose there, as a part of what a whole answer in time is worth:
-// the chance that its first byte comes late, by the work that waits, the parts
-// of the prompt that are missing, and what is learned of the replica; the
-// surcharge for older weights; tokens that are computed again; and the time
-// that it takes from the requests behind it. The lowest loss wins.
+// Every usable replica of the pool is scored by the expected loss of the request there,
+// as a fraction of the value of a complete answer in time. The loss adds up
+//
+//   - the probability that the first byte is late, from the queued work, the missing
+//     segments of the prompt and the observed delays and failures of the replica,
+//   - surcharges for superseded weights, a draining replica and another availability
+//     zone,
+//   - tokens that are computed again, and
+//   - the time that the request takes from the requests behind it.
+//
+// The replica with the lowest loss is chosen.
 //
 // # What a replica holds
 //
-// Instances tell each other which parts they sent where, so each has a picture
-// of what every replica holds: the parts that were sent there, less those that
-// have had to yield since. A part that a replica does not hold is fetched from
-// one that does, or from a store of kept KV cache, in a fraction of the time to
-// compute it. Computing a part again that some replica has read, or is reading,
-// is the last resort.
+// Instances send each other which segments they sent where. So each estimates what
+// every replica holds: the segments that were sent there, less those that have been
+// evicted since. A segment that a replica does not hold is fetched from a replica that
+// does, or from a KV cache store, in a fraction of the time to compute it. A segment
+// that some replica has computed or is computing is computed again only as a last
+// resort.
 //
 // # Weights
 //
-// Until the bound by which new weights must serve, replicas on older ones are
-// weighed with a surcharge that stands for what their answers are worth less.
-// From shortly before the bound they are not used.
+// Until the deadline by which new weights must be served, replicas with older weights
+// are scored with a surcharge for the lower value of their answers. Shortly before the
+// deadline they receive no further requests.
 //
-// # Replicas that fail
+// # Failing replicas
 //
-// A replica that cannot be reached, or does not answer, is left alone for a
-// while that doubles; then one request tries it again. Others show by how
-// often and how slowly they answer, compared with the rest of their pool.
+// A replica that cannot be reached or does not answer is put into an exponential
+// backoff, after which a single request probes it. Replicas that merely fail more often
+// or answer more slowly than the rest of their pool are scored worse.
 //
 // # Usage
 //
@@ -38,8 +42,7 @@
 //	limiter := wasabireplica.NewLimiter(placer)
 //	core := wasabicore.New(wasabicore.Options{Placer: placer, Limiter: limiter})
 //
-// Placer and Limiter are deterministic for a seed and not safe for concurrent
-// use.
+// Placer and Limiter are deterministic for a seed and not safe for concurrent use.
 package wasabireplica
 
 import (
@@ -51,21 +54,22 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabirate"
 )
 
-// Options holds the knobs of a Placer. The zero value works.
+// Options configures a Placer. The zero value is valid.
 type Options struct {
-	// Seed starts the source that decides between nearly equal scores.
+	// Seed seeds the random choice between nearly equal scores.
 	Seed uint64
-	// Self names this instance among those that callers are sent to.
+	// Self is the ID of this instance, as it appears in
+	// wasabiridge.InstancesCounted.Serving.
 	Self wasabiridge.InstanceID
-	// Zone is the availability zone of this instance. Empty means that all
-	// replicas are equally far.
+	// Zone is the availability zone of this instance. Empty means that all replicas are
+	// equally far.
 	Zone wasabiridge.AvailabilityZone
-	// WeightsBound is how long after new weights were named older ones may
-	// serve. Zero means 10 s.
+	// WeightsBound is how long older weights may be served after new ones were
+	// announced. Zero means 10 s.
 	WeightsBound wasabiridge.Millis
-	// RetryRatio, RetrySlack and RetryWindow are the budget of further
-	// attempts that all instances share: within a window, RetryRatio of the
-	// requests and RetrySlack more. Zero means 0.1, 10 and 10 s.
+	// RetryRatio, RetrySlack and RetryWindow define the retry budget that all instances
+	// share: within a window, RetryRatio times the number of requests, and RetrySlack
+	// more. Zero means 0.1, 10 and 10 s.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow wasabiridge.Millis
@@ -89,56 +93,58 @@
 
 // Placer implements wasabiridge.Placer. See the package comment.
 type Placer struct {
-	options  Options
-	random   *rand.Rand
-	replicas map[wasabiridge.BackendServerID]*replica
-	pools    map[wasabiridge.PoolID]*pool
-	named    namings
-	attempts map[wasabiridge.AttemptID]sending
-	kept     keptCaches
-	news     news
-	// born is when the process began. Sharers are the instances that share the retry
-	// budget, budgets what this one may spend of it by pool.
-	born    wasabiridge.Millis
-	sharers *wasabibudget.Sharers
-	budgets map[wasabiridge.PoolID]*wasabibudget.Budget
-	// serving are the instances that share the rates of servers in need.
-	serving *wasabirate.Group
+	options     Options
+	random      *rand.Rand
+	replicas    map[wasabiridge.BackendServerID]*replica
+	pools       map[wasabiridge.PoolID]*pool
+	announced   announcedVersions
+	attempts    map[wasabiridge.AttemptID]attempt
+	kvStores    kvStores
+	peerUpdates peerUpdates
+	// startedAt is when the process started. sharers estimates the number of instances
+	// that share the retry budget, and budgets holds what this instance may spend, by
+	// pool.
+	startedAt wasabiridge.Millis
+	sharers   *wasabibudget.Sharers
+	budgets   map[wasabiridge.PoolID]*wasabibudget.Budget
+	// rateGroup holds the instances that share the rates of servers that report limits.
+	rateGroup *wasabirate.Group
 }
 
 var _ wasabiridge.Placer = (*Placer)(nil)
 
-// New returns a Placer that knows nothing yet.
+// New returns a Placer without any configuration or state.
 func New(o Options) *Placer {
 	return &Placer{
-		options:  o.withDefaults(),
-		random:   rand.New(rand.NewPCG(o.Seed, 0)),
-		replicas: map[wasabiridge.BackendServerID]*replica{},
-		pools:    map[wasabiridge.PoolID]*pool{},
-		named:    namings{},
-		attempts: map[wasabiridge.AttemptID]sending{},
-		kept:     newKeptCaches(),
-		budgets:  map[wasabiridge.PoolID]*wasabibudget.Budget{},
-		serving:  wasabirate.NewGroup(o.Self),
+		options:   o.withDefaults(),
+		random:    rand.New(rand.NewPCG(o.Seed, 0)),
+		replicas:  map[wasabiridge.BackendServerID]*replica{},
+		pools:     map[wasabiridge.PoolID]*pool{},
+		announced: announcedVersions{},
+		attempts:  map[wasabiridge.AttemptID]attempt{},
+		kvStores:  newKVStores(),
+		budgets:   map[wasabiridge.PoolID]*wasabibudget.Budget{},
+		rateGroup: wasabirate.NewGroup(o.Self),
 	}
 }
 
-// Place chooses a replica of the pool. It reports false when none may serve.
+// Place chooses a replica of the pool. It reports false when no replica can take the
+// request.
 func (p *Placer) Place(now wasabiridge.Millis, q wasabiridge.PlaceQuery) (wasabiridge.Placement, bool) {
 	pl := p.pools[q.Pool.ID]
 	if pl == nil {
 		return wasabiridge.Placement{}, false
 	}
-	q.Request = pl.asServed(q.Request)
+	q.Request = pl.normalizeRequest(q.Request)
 	pr := pl.promptOf(q.Request)
-	var best choice
+	var best candidate
 	found, count := false, 0
 	for _, r := range pl.replicas {
 		if !p.eligible(now, r, q) {
 			continue
 		}
-		c := p.weigh(now, pl, r, &pr, q.Request.Action.FirstByteTarget)
-		if !p.beginsInTime(now, &pr, c) {
+		c := p.evaluate(now, pl, r, &pr, q.Request.Action.FirstByteTarget)
+		if !p.startsBeforeDeadline(now, &pr, c) {
 			continue
 		}
 		switch {
@@ -146,9 +152,9 @@
 			if !found || wasabiquarantine.Isolation(q.Isolate, r.server.ID) > wasabiquarantine.Isolation(q.Isolate, best.replica.server.ID) {
 				best, found = c, true
 			}
-		case !found || c.score < best.score-near:
+		case !found || c.score < best.score-tieMargin:
 			best, found, count = c, true, 1
-		case c.score <= best.score+near:
+		case c.score <= best.score+tieMargin:
 			count++
 			if p.random.IntN(count) == 0 {
 				best = c
@@ -156,28 +162,30 @@
 		}
 	}
 	if !found {
-		return wasabiridge.Placement{Never: p.isOver(now, pl, q)}, false
+		return wasabiridge.Placement{Never: p.isUnresumable(now, pl, q)}, false
 	}
 	return p.placement(now, pl, best, q.Request, &pr), true
 }
 
-// choice is a replica that was weighed.
-type choice struct {
+// candidate is a replica with its score.
+type candidate struct {
 	replica *replica
-	// score is the expected loss, expected the time to the first byte.
+	// score is the expected loss, and expected the time to the first byte in
+	// milliseconds.
 	score    float64
 	expected float64
 	source   source
 }
 
-// eligible reports whether a replica may get the request now.
+// eligible reports whether a replica may receive the request now.
 func (p *Placer) eligible(now wasabiridge.Millis, r *replica, q wasabiridge.PlaceQuery) bool {
-	return p.mayGet(now, r, q) && p.limitWait(now, r) == 0
+	return p.isUsable(now, r, q) && p.limitWait(now, r) == 0
 }
 
-// mayGet reports whether a replica may get the request as soon as its own limit allows.
-func (p *Placer) mayGet(now wasabiridge.Millis, r *replica, q wasabiridge.PlaceQuery) bool {
-	if r.gone || now < r.restUntil || !r.mayTry(now) {
+// isUsable reports whether a replica may receive the request, its reported rate limit
+// aside.
+func (p *Placer) isUsable(now wasabiridge.Millis, r *replica, q wasabiridge.PlaceQuery) bool {
+	if r.gone || now < r.backoffUntil || !r.isAvailable(now) {
 		return false
 	}
 	for _, id := range q.Excluded {
@@ -193,27 +201,27 @@
 	if q.Weights != 0 && serves != q.Weights {
 		return false
 	}
-	// A replica whose weights are not known yet could answer from any, and
-	// from what any left in its cache.
-	return serves != 0 && p.mayServe(now, model, serves)
+	// A replica whose weights are unknown could answer with any version, and with what
+	// any version left in its cache.
+	return serves != 0 && p.weightsAllowed(now, model, serves)
 }
 
-// weigh works out what a request is expected to lose at a replica.
-func (p *Placer) weigh(now wasabiridge.Millis, pl *pool, r *replica, pr *prompt, target wasabiridge.Millis) choice {
-	c := choice{replica: r}
-	wait := r.queue(now, pr, pl.stay) + r.faults(pl)
+// evaluate computes the expected loss of a request at a replica.
+func (p *Placer) evaluate(now wasabiridge.Millis, pl *pool, r *replica, pr *prompt, target wasabiridge.Millis) candidate {
+	c := candidate{replica: r}
+	wait := r.expectedWait(now, pr, pl.meanDuration) + r.penalty(pl)
 	if !pr.engine {
 		c.score = lateLoss(wait+pl.delay, target)
 	} else {
-		c.source = p.sourceOf(now, pl, r, pr)
+		c.source = p.bestSource(now, pl, r, pr)
 		c.expected = wait + c.source.cost + pr.costs.Fixed()
-		c.score = lateLoss(c.expected, target) + againLoss*float64(c.source.again) + copyLoss*float64(c.source.copied) + workLoss*c.source.work
-		if age, older := p.named.overdue(now, pr.root.Model, r.weights[pr.root.Model]); older && age > oldGrace {
-			c.score += oldLoss
+		c.score = lateLoss(c.expected, target) + recomputeLoss*float64(c.source.recomputed) + copyLoss*float64(c.source.copied) + workLoss*c.source.work
+		if age, older := p.announced.supersededFor(now, pr.root.Model, r.weights[pr.root.Model]); older && age > supersededGrace {
+			c.score += supersededLoss
 		}
 	}
-	if now < r.easeUntil && pl.isHeavy(pr) {
-		c.score += easeLoss
+	if now < r.drainUntil && pl.isHeavy(pr) {
+		c.score += drainLoss
 	}
 	if p.options.Zone != "" && r.server.Zone != p.options.Zone {
 		c.score += zoneLoss
@@ -222,27 +230,28 @@
 	return c
 }
 
-func (p *Placer) placement(now wasabiridge.Millis, pl *pool, c choice, q wasabiridge.Request, pr *prompt) wasabiridge.Placement {
+func (p *Placer) placement(now wasabiridge.Millis, pl *pool, c candidate, q wasabiridge.Request, pr *prompt) wasabiridge.Placement {
 	out := wasabiridge.Placement{Backend: c.replica.server, ExpectedWait: wasabiridge.Millis(c.expected), Why: WhyLoad}
 	if q.Action.Retry && len(pl.replicas) > 1 {
-		out.FirstByte = silenceOf(q, c.expected)
+		out.FirstByte = silenceTimeout(q, c.expected)
 	}
 	if !pr.engine {
 		return out
 	}
 	out.Weights = c.replica.weights[q.Model]
-	if wait, bounded := p.beginBy(now, q.Model, c.replica); bounded && (out.FirstByte == 0 || wait < out.FirstByte) {
+	if wait, bounded := p.weightsTimeLeft(now, q.Model, c.replica); bounded && (out.FirstByte == 0 || wait < out.FirstByte) {
 		out.FirstByte = wait
 	}
-	if !pr.isTracked() {
+	if !pr.worthFetching() {
 		return out
 	}
 	out.Why, out.FetchFrom, out.ClaimedTokens = c.source.why, c.source.fetchFrom, c.source.held
 	keys := pr.keysFor(out.Weights)
-	if s := p.kept.storeOf(keys[len(keys)-1]); s != nil && pr.own <= pr.shared && !s.holds(keys[len(keys)-1]) {
-		// All that is read goes to the store, also what nobody asks for again. It
-		// takes up the store's link and memory, and other parts yield to it sooner
-		// than they are used again, so prompts that are mostly their own stay out.
+	if s := p.kvStores.storeOf(keys[len(keys)-1]); s != nil && pr.own <= pr.shared && !s.holds(keys[len(keys)-1]) {
+		// The store receives the whole prompt, including the tokens that no other
+		// request shares. They occupy the store's link and memory and evict shared
+		// segments before these are used again, so prompts that are mostly unshared are
+		// not saved.
 		out.SaveTo = s.Address
 	}
 	return out
--- a/internal/wasabireplica/pool.go
+++ b/internal/wasabireplica/pool.go
@@ -9,22 +9,24 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabicost"
 )
 
-// workRate is the weight of one prompt in the mean work: some fifty make it up.
-const workRate = 0.02
+// workSmoothing is the weight of one prompt in the moving averages of work and output.
+// About fifty prompts determine an average.
+const workSmoothing = 0.02
 
 const (
-	// lateChance is the part of first bytes that may take longer than is reckoned
-	// with.
-	lateChance = 0.15
-	// overrunRate is by which part one first byte changes what is learned, so that a
-	// second of traffic tells. overrunFirst is reckoned with before, overrunMost at
-	// most: what took longer was not waiting in any queue that is known.
-	overrunRate  = 0.05
-	overrunFirst = 1.5
-	overrunMost  = 4.0
+	// overrunTail is the fraction of first bytes that may take longer than overrun
+	// times their expected time.
+	overrunTail = 0.15
+	// overrunStep is the relative step by which one first byte changes the overrun, so
+	// that it adapts within a second of traffic. The overrun starts at initialOverrun
+	// and is limited to maxOverrun: a longer delay was not caused by any queue that is
+	// known here.
+	overrunStep    = 0.05
+	initialOverrun = 1.5
+	maxOverrun     = 4.0
 )
 
-// pool is a pool, prepared for decisions.
+// pool is the state of one pool.
 type pool struct {
 	config   wasabiridge.Pool
 	replicas []*replica
@@ -32,20 +34,20 @@
 	failures, delay float64
 	budget          *wasabibudget.Budget
 	retries         retryCounts
-	// costs are what was learned of the engines, by model.
+	// costs are the estimated computing costs of the engines, by model.
 	costs map[wasabiridge.ModelID]*wasabicost.Estimator
-	// meanWork is the learned mean time to compute a whole prompt, in
-	// milliseconds, meanOut the mean of the tokens that answers may have.
-	meanWork, meanOut float64
-	// overrun is how many times the expected time first bytes take, all but
-	// lateChance of them. It is learned.
+	// meanWork is the moving average of the time to compute a whole prompt, in
+	// milliseconds, and meanOutput that of the tokens that answers may have.
+	meanWork, meanOutput float64
+	// overrun is the ratio of actual to expected time that all but overrunTail of the
+	// first bytes stay below.
 	overrun float64
-	// stay is the learned mean time of an answer from first to last, in
-	// milliseconds.
-	stay float64
+	// meanDuration is the moving average of the time from sending a request to the end
+	// of its answer, in milliseconds.
+	meanDuration float64
 }
 
-// costsOf returns what was learned of the engines that serve a model.
+// costsOf returns the cost estimator of the engines that serve a model.
 func (pl *pool) costsOf(m wasabiridge.ModelID) *wasabicost.Estimator {
 	costs := pl.costs[m]
 	if costs == nil {
@@ -57,40 +59,41 @@
 	return costs
 }
 
-// learnWork takes the size of a request.
-func (pl *pool) learnWork(pr *prompt) {
+// observeWork updates the moving averages with a request.
+func (pl *pool) observeWork(pr *prompt) {
 	work, out := pr.compute(pr.tokens(), 0), float64(pr.out)
 	if pl.meanWork == 0 {
-		pl.meanWork, pl.meanOut = work, out
+		pl.meanWork, pl.meanOutput = work, out
 	}
-	pl.meanWork += workRate * (work - pl.meanWork)
-	pl.meanOut += workRate * (out - pl.meanOut)
+	pl.meanWork += workSmoothing * (work - pl.meanWork)
+	pl.meanOutput += workSmoothing * (out - pl.meanOutput)
 }
 
-// learnOverrun takes how many times its expected time a first byte took.
-func (pl *pool) learnOverrun(ratio float64) {
+// observeOverrun updates the overrun with the ratio of actual to expected time of a
+// first byte.
+func (pl *pool) observeOverrun(ratio float64) {
 	if ratio > pl.overrun {
-		pl.overrun = min(overrunMost, pl.overrun*(1+overrunRate*(1-lateChance)))
+		pl.overrun = min(maxOverrun, pl.overrun*(1+overrunStep*(1-overrunTail)))
 		return
 	}
-	pl.overrun = max(1, pl.overrun*(1-overrunRate*lateChance))
+	pl.overrun = max(1, pl.overrun*(1-overrunStep*overrunTail))
 }
 
-// Learned is what was learned of the engines of a pool that serve a model. Times are in
-// milliseconds.
+// Learned is the estimate of the computing costs of the engines of a pool that serve a
+// model. Times are in milliseconds.
 type Learned struct {
 	Pool  wasabiridge.PoolID
 	Model wasabiridge.ModelID
-	// FirstToken is the time to the first token of no prompt at all, Thousand what a
-	// thousand tokens add.
+	// FirstToken is the time to the first token of an empty prompt, and Thousand the
+	// additional time for a thousand tokens.
 	FirstToken, Thousand float64
-	// Overrun is how many times the expected time first bytes take at most, but for a
-	// few. Answers counts the answers that it was learned from.
+	// Overrun is the ratio of actual to expected time that nearly all first bytes stay
+	// below. Answers is the number of answers behind the estimate.
 	Overrun float64
 	Answers int
 }
 
-// Learned returns what was learned of all engines.
+// Learned returns the estimates for all pools and models, in no particular order.
 func (p *Placer) Learned() []Learned {
 	var out []Learned
 	for id, pl := range p.pools {
@@ -104,48 +107,48 @@
 	return out
 }
 
-// learnStay takes the time that an answer took from first to last.
-func (pl *pool) learnStay(ms float64) {
-	if pl.stay == 0 {
-		pl.stay = ms
+// observeDuration updates the moving average with the duration of an answer in
+// milliseconds.
+func (pl *pool) observeDuration(ms float64) {
+	if pl.meanDuration == 0 {
+		pl.meanDuration = ms
 	}
-	pl.stay += workRate * (ms - pl.stay)
+	pl.meanDuration += workSmoothing * (ms - pl.meanDuration)
 }
 
-// isHeavy reports whether a request takes longer to compute, or to answer, than
-// requests do in the mean.
+// isHeavy reports whether a request takes longer than the average to compute or to
+// answer.
 func (pl *pool) isHeavy(pr *prompt) bool {
-	return pr.compute(pr.tokens(), 0) > pl.meanWork || float64(pr.out) > pl.meanOut
+	return pr.compute(pr.tokens(), 0) > pl.meanWork || float64(pr.out) > pl.meanOutput
 }
 
-// isLight reports whether a request takes much less to compute than requests do in
-// the mean.
+// isLight reports whether a request takes much less than the average to compute.
 func (pl *pool) isLight(pr *prompt) bool {
-	return pr.compute(pr.tokens(), 0) < lightShare*pl.meanWork
+	return pr.compute(pr.tokens(), 0) < lightWorkFactor*pl.meanWork
 }
 
-// asServed returns a request without its model when the pool's servers have
-// none: a caller may name one to any service.
-func (pl *pool) asServed(r wasabiridge.Request) wasabiridge.Request {
+// normalizeRequest returns the request without its model when the servers of the pool
+// have no models: callers may name a model in a request to any service.
+func (pl *pool) normalizeRequest(r wasabiridge.Request) wasabiridge.Request {
 	if len(pl.config.Models) == 0 {
 		r.Model = ""
 	}
 	return r
 }
 
-// adopt takes the pools of a configuration. What was learned of replicas that
-// stay is kept.
+// adopt applies the pools of a configuration. The state of replicas and pools that
+// remain is kept.
 func (p *Placer) adopt(now wasabiridge.Millis, c wasabiridge.Config) {
-	p.kept.adopt(c)
+	p.kvStores.adopt(c)
 	seen := map[wasabiridge.BackendServerID]bool{}
 	pools := map[wasabiridge.PoolID]*pool{}
 	for _, cp := range c.Pools {
-		pl := &pool{config: cp, overrun: overrunFirst, costs: map[wasabiridge.ModelID]*wasabicost.Estimator{}, budget: p.budgetOf(cp.ID)}
+		pl := &pool{config: cp, overrun: initialOverrun, costs: map[wasabiridge.ModelID]*wasabicost.Estimator{}, budget: p.budgetOf(cp.ID)}
 		if before := p.pools[cp.ID]; before != nil {
 			pl.failures, pl.delay = before.failures, before.delay
 			pl.retries = before.retries
 			pl.overrun = before.overrun
-			pl.costs, pl.meanWork, pl.meanOut, pl.stay = before.costs, before.meanWork, before.meanOut, before.stay
+			pl.costs, pl.meanWork, pl.meanOutput, pl.meanDuration = before.costs, before.meanWork, before.meanOutput, before.meanDuration
 		}
 		backends := slices.SortedFunc(slices.Values(cp.Backends), func(a, b wasabiridge.BackendServer) int {
 			return compare(a.ID, b.ID)
@@ -157,23 +160,23 @@
 				r = newReplica(b)
 				p.replicas[b.ID] = r
 			}
-			r.live(now, b.Incarnation)
-			b.Incarnation = r.life.Known()
+			r.acceptIncarnation(now, b.Incarnation)
+			b.Incarnation = r.incarnation.Known()
 			r.server, r.gone = b, false
 			r.memory = cp.CacheTokens
-			r.cache.limit = int(cacheShare * float64(cp.CacheTokens))
+			r.cache.limit = int(cacheFraction * float64(cp.CacheTokens))
 			pl.replicas = append(pl.replicas, r)
 		}
 		pools[cp.ID] = pl
 	}
 	p.pools = pools
-	p.dropBudgets(now)
+	p.dropIdleBudgets(now)
 	for id, r := range p.replicas {
 		if seen[id] {
 			continue
 		}
 		r.gone = true
-		if r.own.inside <= 0 {
+		if r.own.requests <= 0 {
 			delete(p.replicas, id)
 		}
 	}
@@ -189,8 +192,8 @@
 	return 0
 }
 
-// review takes the medians of what was learned.
-func (pl *pool) review() {
+// updateMedians updates the medians of failures and delays over the replicas.
+func (pl *pool) updateMedians() {
 	var failures, delays []float64
 	for _, r := range pl.replicas {
 		failures = append(failures, r.failures)
--- a/internal/wasabireplica/prompt.go
+++ b/internal/wasabireplica/prompt.go
@@ -8,45 +8,45 @@
 )
 
 const (
-	// partsMost bounds the parts that are looked at.
-	partsMost = 16
-	// fetchSetup is what a fetch costs beside the transfer, in milliseconds: a
-	// call from one engine to another and back. Shared parts that are computed
-	// sooner are not worth looking for.
-	fetchSetup = 4.0
-	// otherZoneTransfer is how much longer transfers between zones take.
-	otherZoneTransfer = 2.0
-	// fetchShare is the time to fetch a token as a part of the time to compute
-	// it, when the configuration does not tell the links.
-	fetchShare = 0.4
+	// maxSegments bounds the segments of a prompt that are considered.
+	maxSegments = 16
+	// fetchOverhead is the cost of a fetch in addition to the transfer, in
+	// milliseconds: one round trip between engines. Shared segments that are computed
+	// in less time are not worth fetching.
+	fetchOverhead = 4.0
+	// crossZoneFactor is how much longer transfers between availability zones take.
+	crossZoneFactor = 2.0
+	// defaultFetchRatio is the time to fetch a token as a fraction of the time to
+	// compute it, for pools whose configuration has no link speed.
+	defaultFetchRatio = 0.4
 )
 
-// Reasons of a placement, as the log shows them.
+// Reasons of a placement, as they appear in the log.
 const (
-	// WhyLoad stands for requests without a long prompt.
-	WhyLoad     = "load"
-	whyHeld     = "held"
-	whyReading  = "being_read"
-	whyFetched  = "fetched"
-	whyKept     = "kept"
-	whyComputed = "computed"
+	// WhyLoad is the reason for requests without a long shared prompt.
+	WhyLoad      = "load"
+	whyHeld      = "held"
+	whyComputing = "being_read"
+	whyFetched   = "fetched"
+	whyStored    = "kept"
+	whyComputed  = "computed"
 )
 
-// prompt is what the score needs to know of a request's prompt.
+// prompt holds the properties of a request's prompt that the score depends on.
 type prompt struct {
 	root   wasabiridge.CacheRoot
 	engine bool
-	// costs tell how long engines take for it.
+	// costs estimates the computing time of the prompt.
 	costs *wasabicost.Estimator
-	// out is how many tokens the answer may have.
+	// out is the maximum number of tokens of the answer.
 	out      int
 	priority wasabiridge.Priority
-	// parts and lengths are those that other requests have too; shared sums up
-	// their tokens, and own counts the rest.
-	parts       []wasabiridge.BlockHash
+	// segments and lengths are those that other requests may share. shared is the sum
+	// of their tokens, and own counts the remaining tokens.
+	segments    []wasabiridge.BlockHash
 	lengths     []int
 	shared, own int
-	// keys are the names of the parts by weights, worked out when needed.
+	// keys caches the keys of the segments for a version of the weights.
 	weights wasabiridge.WeightsVersion
 	keys    []uint64
 }
@@ -54,9 +54,9 @@
 func (pl *pool) promptOf(r wasabiridge.Request) prompt {
 	c := r.Chain
 	out := prompt{root: c.Root, engine: r.Model != "", own: c.Tokens, costs: pl.costsOf(r.Model), out: r.MaxTokens, priority: r.Action.Priority}
-	// The last part belongs to the request or its session.
-	for i := 0; i < len(c.Blocks)-1 && i < partsMost; i++ {
-		out.parts = append(out.parts, c.Blocks[i])
+	// The last segment belongs to this request or its session only.
+	for i := 0; i < len(c.Blocks)-1 && i < maxSegments; i++ {
+		out.segments = append(out.segments, c.Blocks[i])
 		out.lengths = append(out.lengths, c.BlockLength(i))
 		out.shared += c.BlockLength(i)
 	}
@@ -64,18 +64,19 @@
 	return out
 }
 
-// isTracked reports whether the shared parts are worth looking for: whether they
-// take longer to compute than a fetch takes to begin.
-func (p *prompt) isTracked() bool { return p.engine && p.compute(p.shared, 0) >= fetchSetup }
+// worthFetching reports whether the shared segments take at least as long to compute as
+// a fetch takes to start.
+func (p *prompt) worthFetching() bool { return p.engine && p.compute(p.shared, 0) >= fetchOverhead }
 
-// compute is the time, in milliseconds, to compute tokens behind others.
+// compute returns the time, in milliseconds, to compute tokens that follow behind
+// others.
 func (p *prompt) compute(tokens, behind int) float64 {
 	return p.costs.Compute(wasabicost.Work{Tokens: tokens, Behind: behind})
 }
 
 func (p *prompt) tokens() int { return p.shared + p.own }
 
-// memory is how many tokens the request takes up in a replica's memory.
+// memory returns how many tokens the request occupies in the memory of a replica.
 func (p *prompt) memory() int {
 	if !p.engine {
 		return 0
@@ -83,58 +84,58 @@
 	return p.tokens() + p.out
 }
 
-// keysFor returns the names of the parts under a version of the weights.
+// keysFor returns the keys of the segments for a version of the weights.
 func (p *prompt) keysFor(w wasabiridge.WeightsVersion) []uint64 {
 	if p.keys != nil && p.weights == w {
 		return p.keys
 	}
 	root := p.root
 	root.Weights = w
-	keys := make([]uint64, len(p.parts))
+	keys := make([]uint64, len(p.segments))
 	salt := wasabiprefix.ShortSalt(root)
-	for i, part := range p.parts {
-		keys[i] = wasabiprefix.PartKey(salt, part)
+	for i, segment := range p.segments {
+		keys[i] = wasabiprefix.PartKey(salt, segment)
 	}
 	p.weights, p.keys = w, keys
 	return keys
 }
 
-// workFor is the time that the prompt needs at an engine that got it for the
-// given reason and holds so many tokens of it.
+// workFor returns the computing time of the prompt, in milliseconds, at an engine that
+// was chosen for the given reason and holds the given number of its tokens.
 func (p *prompt) workFor(why string, held int) float64 {
-	if why == whyFetched || why == whyKept {
+	if why == whyFetched || why == whyStored {
 		held = p.shared
 	}
 	return p.compute(p.tokens()-held, held)
 }
 
-// source is where a replica would get the shared parts of a prompt from.
+// source describes where a replica gets the shared segments of a prompt from.
 type source struct {
 	why       string
 	fetchFrom string
-	// held counts tokens that the replica holds already, or is reading.
+	// held counts tokens that the replica holds already or is computing.
 	held int
-	// cost is the time to come by the whole prompt, work that part of it in
-	// which the engine computes, in milliseconds.
+	// cost is the time to obtain the whole prompt, and work the part of it in which the
+	// engine computes, in milliseconds.
 	cost, work float64
-	// again counts tokens that are computed although another replica has read
-	// them or is reading them.
-	again int
+	// recomputed counts tokens that would be computed although another replica or a
+	// store holds them or is computing them.
+	recomputed int
 	// copied counts tokens that are fetched.
 	copied int
 }
 
-// sourceOf finds the cheapest way for a replica to come by a prompt.
-func (p *Placer) sourceOf(now wasabiridge.Millis, pl *pool, r *replica, pr *prompt) source {
-	if !pr.isTracked() {
+// bestSource returns the cheapest way for a replica to obtain a prompt.
+func (p *Placer) bestSource(now wasabiridge.Millis, pl *pool, r *replica, pr *prompt) source {
+	if !pr.worthFetching() {
 		work := pr.compute(pr.tokens(), 0)
 		return source{why: WhyLoad, cost: work, work: work}
 	}
 	keys := pr.keysFor(r.weights[pr.root.Model])
-	held, reading := r.cache.depth(keys, pr.lengths)
-	out := source{why: whyHeld, held: held + reading}
-	if reading > 0 {
-		out.why = whyReading
+	held, computing := r.cache.heldPrefix(keys, pr.lengths)
+	out := source{why: whyHeld, held: held + computing}
+	if computing > 0 {
+		out.why = whyComputing
 	}
 	out.work = pr.workFor(out.why, out.held)
 	out.cost = out.work
@@ -142,86 +143,89 @@
 	if missing <= 0 {
 		return out
 	}
-	// Unless a better source is known, the store is asked: a miss there costs
-	// a millisecond.
+	// Unless a better source is known, the replica queries the store: a miss there
+	// costs only a millisecond.
 	last := keys[len(keys)-1]
-	out.why, out.fetchFrom = whyComputed, p.kept.addressOf(last)
-	k := p.kept.holder(last)
-	if k != nil || p.isRead(pl, last, r) {
-		out.again = missing
+	out.why, out.fetchFrom = whyComputed, p.kvStores.addressOf(last)
+	k := p.kvStores.holder(last)
+	if k != nil || p.isHeldElsewhere(pl, last, r) {
+		out.recomputed = missing
 	}
 	if k != nil {
-		time := k.wait(now) + float64(missing)*pr.transfer(pl.config.TokenBytes, k.LinkMegabits)*distance(k.Zone, r)
-		out.consider(pr, whyKept, k.Address, time)
+		time := k.wait(now) + float64(missing)*pr.transfer(pl.config.TokenBytes, k.LinkMegabits)*zoneFactor(k.Zone, r)
+		out.consider(pr, whyStored, k.Address, time)
 	}
 	for _, other := range pl.replicas {
-		if other == r || other.gone || other.pause > 0 {
+		if other == r || other.gone || other.failureBackoff > 0 {
 			continue
 		}
-		if ready, ok := other.cache.find(last); ok && ready {
-			time := float64(missing) * pr.transfer(pl.config.TokenBytes, pl.config.LinkMegabits) * distance(other.server.Zone, r)
+		if ready, ok := other.cache.lookup(last); ok && ready {
+			time := float64(missing) * pr.transfer(pl.config.TokenBytes, pl.config.LinkMegabits) * zoneFactor(other.server.Zone, r)
 			out.consider(pr, whyFetched, wasabiaddress.HostPort(other.server.URL), time)
 		}
 	}
 	return out
 }
 
-// againWait is how long a fetch may take longer than computing for each token
-// that would be computed again, in milliseconds: by as much as both lose the same.
-const againWait = againLoss / workLoss
+// recomputeWait is how much longer than computing a fetch may take for each token that
+// would otherwise be computed again, in milliseconds. At this value both have the same
+// loss.
+const recomputeWait = recomputeLoss / workLoss
 
-// consider takes a fetch that takes the given time, if it is cheaper.
+// consider switches to a fetch from address, which takes the given time in
+// milliseconds, if it is cheaper.
 func (s *source) consider(pr *prompt, why, address string, time float64) {
 	work := pr.compute(pr.own, pr.shared)
-	if cost := fetchSetup + time + work; cost < s.cost+againWait*float64(s.again) {
+	if cost := fetchOverhead + time + work; cost < s.cost+recomputeWait*float64(s.recomputed) {
 		s.why, s.fetchFrom, s.cost, s.work = why, address, cost, work
-		s.again, s.copied = 0, pr.shared-s.held
+		s.recomputed, s.copied = 0, pr.shared-s.held
 	}
 }
 
-// isRead reports whether a replica other than r holds a part or is reading it.
-func (p *Placer) isRead(pl *pool, key uint64, r *replica) bool {
+// isHeldElsewhere reports whether a replica other than r holds a segment or is
+// computing it.
+func (p *Placer) isHeldElsewhere(pl *pool, key uint64, r *replica) bool {
 	for _, other := range pl.replicas {
-		if _, held := other.cache.find(key); held && other != r && !other.gone {
+		if _, held := other.cache.lookup(key); held && other != r && !other.gone {
 			return true
 		}
 	}
 	return false
 }
 
-// transfer is the time to fetch a token, in milliseconds.
+// transfer returns the time to fetch a token, in milliseconds.
 func (p *prompt) transfer(tokenBytes int, megabits float64) float64 {
 	if tokenBytes <= 0 || megabits <= 0 {
-		return fetchShare * p.compute(1, 0)
+		return defaultFetchRatio * p.compute(1, 0)
 	}
 	return transfer(tokenBytes, megabits)
 }
 
-// transfer is the time that a token takes over a link, in milliseconds.
+// transfer returns the time that a token takes over a link, in milliseconds.
 func transfer(tokenBytes int, megabits float64) float64 {
 	return float64(tokenBytes) * 8 / (megabits * 1000)
 }
 
-func distance(zone wasabiridge.AvailabilityZone, r *replica) float64 {
+func zoneFactor(zone wasabiridge.AvailabilityZone, r *replica) float64 {
 	if zone != r.server.Zone {
-		return otherZoneTransfer
+		return crossZoneFactor
 	}
 	return 1
 }
 
-// depth returns how many tokens of a chain of parts are held from its start,
-// those that have been read and those that are being read.
-func (c *cache) depth(keys []uint64, lengths []int) (held, reading int) {
+// heldPrefix returns how many tokens of consecutive segments are held from the start:
+// those that have been computed, and those that are being computed.
+func (c *cache) heldPrefix(keys []uint64, lengths []int) (held, computing int) {
 	for i, key := range keys {
-		ready, ok := c.find(key)
+		ready, ok := c.lookup(key)
 		if !ok {
 			break
 		}
-		if ready && reading == 0 {
+		if ready && computing == 0 {
 			held += lengths[i]
 		} else {
-			reading += lengths[i]
+			computing += lengths[i]
 		}
 	}
-	return held, reading
+	return held, computing
 }
--- a/internal/wasabireplica/replica.go
+++ b/internal/wasabireplica/replica.go
@@ -9,101 +9,105 @@
 )
 
 const (
-	// firstPause is how long a replica is left alone after it could not be
-	// reached or did not answer, pauseMost the longest such time.
-	firstPause = 300 * wasabiridge.Millis(1)
-	pauseMost  = 2 * wasabiridge.Second
-	// fullPause is how long a replica is left alone that refused because it
-	// was full.
-	fullPause = 120 * wasabiridge.Millis(1)
-	// reportLife is how long a load report counts.
-	reportLife = 400 * wasabiridge.Millis(1)
-	// learnRate is the weight of one answer in what is learned of a replica.
-	learnRate = 0.1
-	// faultCost is what a certain failure costs, in milliseconds.
-	faultCost = 400.0
-	// faultFree is the share of failures that counts as none: some requests
-	// fail at every replica.
-	faultFree = 0.2
-	// enoughSamples is how many answers tell how slow a replica is, and
-	// slowFactor how much slower than the pool counts.
-	enoughSamples = 8
-	slowFactor    = 2
-	// silenceFactor and silenceLeast say how long a replica may send nothing
-	// before an idempotent request goes to another one: four times the target
-	// of the first byte.
+	// A replica that could not be reached or did not answer is in backoff for
+	// minFailureBackoff, which doubles with every failure up to maxFailureBackoff.
+	minFailureBackoff = 300 * wasabiridge.Millis(1)
+	maxFailureBackoff = 2 * wasabiridge.Second
+	// overloadBackoff is the backoff of a replica that refused a request because it was
+	// full.
+	overloadBackoff = 120 * wasabiridge.Millis(1)
+	// reportExpiry is how long a load report stays valid.
+	reportExpiry = 400 * wasabiridge.Millis(1)
+	// smoothing is the weight of one answer in the moving averages of a replica.
+	smoothing = 0.1
+	// failurePenalty is the cost of a certain failure, in milliseconds.
+	failurePenalty = 400.0
+	// toleratedFailures is the failure rate that costs nothing: some requests fail at
+	// every replica.
+	toleratedFailures = 0.2
+	// A replica counts as slow once it has more than minSamples answers and its delay
+	// exceeds slowFactor times that of the pool.
+	minSamples = 8
+	slowFactor = 2
+	// A replica may send nothing for silenceFactor times the first-byte target, but at
+	// least minSilence, before an idempotent request is sent to another one.
 	silenceFactor = 4
-	silenceLeast  = 800 * wasabiridge.Millis(1)
-	// suspectAfter is how long after it was sent, and twice what was expected
-	// besides, a request may be without an answer from a replica that says
-	// nothing at all. Plain services take up to half a second.
+	minSilence    = 800 * wasabiridge.Millis(1)
+	// suspectAfter is the time without any sign of the replica after which a request
+	// counts as unanswered. Twice the expected time is added. Plain services take up to
+	// half a second.
 	suspectAfter = 600 * wasabiridge.Millis(1)
-	// queueFactor is by how much longer than expected a queue may take.
+	// queueFactor is how many times its expected time a queue may take.
 	queueFactor = 2
-	// plainWork is the work of a request without a prompt, in milliseconds.
-	plainWork = 0
-	// runningCost is the time that all slots running add to an answer, in
-	// milliseconds: the steps of the others, in which a prompt is not computed. It
-	// decides between replicas of which none has a queue.
+	// noPromptWork is the computing time of a request without a prompt, in
+	// milliseconds.
+	noPromptWork = 0
+	// runningCost is the delay of an answer when all slots are running, in
+	// milliseconds: the engine generates tokens for the running requests between its
+	// prompt steps. It decides between replicas without a queue.
 	runningCost = 8.0
-	// spareCost is the surcharge, in milliseconds, for each request beyond the
-	// slots of a server whose answers' times are not learned yet.
-	spareCost = 25.0
+	// excessCost is the surcharge, in milliseconds, for each request beyond the slots
+	// of a server whose response times are still unknown.
+	excessCost = 25.0
 )
 
-// occupation is what an instance has inside a replica: attempts, and the tokens
-// of their prompts and answers.
-type occupation struct{ inside, tokens int }
+// load is what an instance has in flight at a replica: the number of requests, and the
+// tokens of their prompts and answers.
+type load struct{ requests, tokens int }
 
-func (o occupation) plus(other occupation) occupation {
-	return occupation{inside: o.inside + other.inside, tokens: o.tokens + other.tokens}
+func (l load) plus(other load) load {
+	return load{requests: l.requests + other.requests, tokens: l.tokens + other.tokens}
 }
 
-// replica is what is known of one replica.
+// replica is the state of one replica.
 type replica struct {
-	server wasabiridge.BackendServer
-	gone   bool
-	life   wasabilife.Life
-	// doubted are the weights of an earlier life that is named again and may be new.
-	doubted map[wasabiridge.ModelID]wasabiridge.WeightsVersion
-	// weights are the versions that it serves, by model.
+	server      wasabiridge.BackendServer
+	gone        bool
+	incarnation wasabilife.Life
+	// unconfirmedWeights are the weights reported for an earlier incarnation. They
+	// apply if it turns out to be the current one, because the server's clock was set
+	// back.
+	unconfirmedWeights map[wasabiridge.ModelID]wasabiridge.WeightsVersion
+	// weights are the versions that the replica serves, by model.
 	weights map[wasabiridge.ModelID]wasabiridge.WeightsVersion
 	cache   cache
-	// own is what this instance has there, told what the others were told of it,
-	// peers what they told.
-	own, told occupation
-	peers     map[wasabiridge.InstanceID]peerLoad
-	// memory is how many tokens the replica has room for. Zero means that it is
-	// not known.
+	// own is the load of this instance, sentLoad the value of own that was last sent to
+	// the other instances, and peers the loads that they have reported.
+	own, sentLoad load
+	peers         map[wasabiridge.InstanceID]peerLoad
+	// memory is the capacity of the replica in tokens. Zero means that it is unknown.
 	memory int
-	// line is the work that was sent, by all instances.
-	line line
-	// running and waiting are from the last report, insideThen what inside was
-	// when it came.
+	// prefillQueue is the computing work sent by all instances.
+	prefillQueue prefillQueue
+	// running and waiting are from the last load report, and ownAtReport is the number
+	// of own requests when it arrived.
 	running, waiting int
 	reported         wasabiridge.Millis
-	insideThen       int
-	// heard is when anything last came from the replica.
-	heard wasabiridge.Millis
-	// restUntil is until when the replica takes no new work.
-	restUntil wasabiridge.Millis
-	// easeUntil is until when the replica takes light work only, if others can
-	// take the rest.
-	easeUntil wasabiridge.Millis
-	// pausedUntil and pause leave it alone after failures.
-	pausedUntil wasabiridge.Millis
-	pause       wasabiridge.Millis
-	trying      bool
-	// failures is the learned share of failed attempts, delay the learned time
-	// to the first byte beyond the work, in milliseconds.
+	ownAtReport      int
+	// lastReceived is when anything last arrived from the replica.
+	lastReceived wasabiridge.Millis
+	// backoffUntil is the time until which the replica takes no new requests.
+	backoffUntil wasabiridge.Millis
+	// drainUntil is the time until which the replica takes only light work, if other
+	// replicas can take the heavy work.
+	drainUntil wasabiridge.Millis
+	// After failures the replica is in backoff until failureBackoffUntil;
+	// failureBackoff is its current length. probing is set while a request tests the
+	// replica afterwards.
+	failureBackoffUntil wasabiridge.Millis
+	failureBackoff      wasabiridge.Millis
+	probing             bool
+	// failures is the moving average of the rate of failed attempts, and delay that of
+	// the time to the first byte in excess of the work, in milliseconds.
 	failures float64
 	delay    float64
 	samples  int
-	// limit is the rate that the replica takes. limitNews is what the others have not
-	// been told of it, limitTold when they were told last.
-	limit     wasabirate.Limit
-	limitNews wasabiridge.LimitNamed
-	limitTold wasabiridge.Millis
+	// limit is the rate limit that the replica reports. pendingLimit is the last report
+	// that was not sent to the other instances yet, and limitSentAt is when a report
+	// was last sent.
+	limit        wasabirate.Limit
+	pendingLimit wasabiridge.LimitNamed
+	limitSentAt  wasabiridge.Millis
 }
 
 func newReplica(b wasabiridge.BackendServer) *replica {
@@ -113,130 +117,132 @@
 	}
 }
 
-// live takes in which life something was said of the replica. It reports false for
-// one that is over. A new life holds nothing of the one before: no cache, weights,
-// queue or load, and what was learned of its failures does not count.
+// acceptIncarnation records the incarnation that a report about the replica refers to.
+// It reports false when that incarnation is over and the report has to be ignored. A
+// new incarnation starts without cache, weights, queue, load and failures.
 //
-// The failure it guards against: an engine starts again under its name, with an empty
-// cache and older weights. It would be sent prompts for parts that it does not hold,
-// and pass for one that has the newest weights.
-func (r *replica) live(now wasabiridge.Millis, said wasabiridge.Incarnation) bool {
-	switch r.life.Take(now, said) {
+// It guards against an engine that restarts under the same name with an empty cache and
+// older weights. It would be sent prompts for segments that it does not hold, and would
+// count as serving the newest weights.
+func (r *replica) acceptIncarnation(now wasabiridge.Millis, incarnation wasabiridge.Incarnation) bool {
+	switch r.incarnation.Take(now, incarnation) {
 	case wasabilife.Over:
 		return false
 	case wasabilife.New:
-		r.restart()
+		r.reset()
 	}
-	r.server.Incarnation = r.life.Known()
+	r.server.Incarnation = r.incarnation.Known()
 	return true
 }
 
-// restart forgets what was known of the life before. What this instance has sent there
-// ends by itself, one by one.
-func (r *replica) restart() {
+// reset clears the state of the previous incarnation. The attempts of this instance
+// there end one by one on their own.
+func (r *replica) reset() {
 	clear(r.weights)
 	clear(r.peers)
 	r.cache.clear()
-	r.line.clear()
-	r.running, r.waiting, r.reported, r.insideThen = 0, 0, 0, 0
-	r.restUntil, r.easeUntil = 0, 0
-	r.recovered()
+	r.prefillQueue.clear()
+	r.running, r.waiting, r.reported, r.ownAtReport = 0, 0, 0, 0
+	r.backoffUntil, r.drainUntil = 0, 0
+	r.clearFailures()
 	r.failures, r.delay, r.samples = 0, 0, 0
-	r.limit, r.limitNews, r.limitTold = wasabirate.Limit{}, wasabiridge.LimitNamed{}, 0
-	maps.Copy(r.weights, r.doubted)
-	r.doubted = nil
+	r.limit, r.pendingLimit, r.limitSentAt = wasabirate.Limit{}, wasabiridge.LimitNamed{}, 0
+	maps.Copy(r.weights, r.unconfirmedWeights)
+	r.unconfirmedWeights = nil
 }
 
-// mayTry reports whether the replica may get work as far as its failures go.
-// After a pause one request tries it; the others follow when that is answered.
-func (r *replica) mayTry(now wasabiridge.Millis) bool {
-	return r.pause == 0 || now >= r.pausedUntil && !r.trying
+// isAvailable reports whether the failure backoff of the replica permits sending work
+// to it. After the backoff a single request probes the replica; others follow when it
+// is answered.
+func (r *replica) isAvailable(now wasabiridge.Millis) bool {
+	return r.failureBackoff == 0 || now >= r.failureBackoffUntil && !r.probing
 }
 
-// fail leaves the replica alone for a while that doubles with each failure.
-func (r *replica) fail(now wasabiridge.Millis) {
-	r.pause = min(max(firstPause, 2*r.pause), pauseMost)
-	r.pausedUntil = now + r.pause
-	r.trying = false
+// recordFailure starts a failure backoff, which doubles with each failure.
+func (r *replica) recordFailure(now wasabiridge.Millis) {
+	r.failureBackoff = min(max(minFailureBackoff, 2*r.failureBackoff), maxFailureBackoff)
+	r.failureBackoffUntil = now + r.failureBackoff
+	r.probing = false
 }
 
-// recovered ends the pause.
-func (r *replica) recovered() {
-	r.pause, r.pausedUntil, r.trying = 0, 0, false
+// clearFailures ends the failure backoff.
+func (r *replica) clearFailures() {
+	r.failureBackoff, r.failureBackoffUntil, r.probing = 0, 0, false
 }
 
-// occupied is what is believed to be inside, that of other instances included.
-func (r *replica) occupied(now wasabiridge.Millis) occupation {
-	known := r.own
+// totalLoad returns the estimated load of the replica by all instances.
+func (r *replica) totalLoad(now wasabiridge.Millis) load {
+	total := r.own
 	for _, p := range r.peers {
-		if now-p.at < peerLife {
-			known = known.plus(p.occupation)
+		if now-p.at < peerLoadExpiry {
+			total = total.plus(p.load)
 		}
 	}
-	if now-r.reported <= reportLife {
-		known.inside = max(known.inside, r.running+r.waiting+r.own.inside-r.insideThen)
+	if now-r.reported <= reportExpiry {
+		total.requests = max(total.requests, r.running+r.waiting+r.own.requests-r.ownAtReport)
 	}
-	return known
+	return total
 }
 
-// fullness is what is inside as a part of the replica's slots or of its memory,
-// whichever is more, with so many further tokens.
-func (r *replica) fullness(now wasabiridge.Millis, tokens int) float64 {
-	o := r.occupied(now)
-	full := 0.0
+// loadRatio returns the load, with the given number of further tokens, as a fraction of
+// the slots or of the memory of the replica, whichever is higher.
+func (r *replica) loadRatio(now wasabiridge.Millis, tokens int) float64 {
+	o := r.totalLoad(now)
+	ratio := 0.0
 	if r.server.Slots > 0 {
-		full = float64(o.inside) / float64(r.server.Slots)
+		ratio = float64(o.requests) / float64(r.server.Slots)
 	}
 	if r.memory > 0 {
-		full = max(full, float64(o.tokens+tokens)/float64(r.memory))
+		ratio = max(ratio, float64(o.tokens+tokens)/float64(r.memory))
 	}
-	return full
+	return ratio
 }
 
-// queue is the expected wait of a request in milliseconds: for what is computed
-// before it, and for a slot and memory. Answers take stay milliseconds in the
-// mean, so what is taken by then is free.
-func (r *replica) queue(now wasabiridge.Millis, pr *prompt, stay float64) float64 {
-	full := r.fullness(now, pr.tokens())
-	wait := r.line.wait(now, pr.priority) + min(full, 1)*runningCost
-	if full <= 1 {
+// expectedWait returns the expected wait of a request in milliseconds: for the prompts
+// that are computed before it, and for a slot and memory. Answers take meanDuration
+// milliseconds on average, so what they occupy now is free by then.
+func (r *replica) expectedWait(now wasabiridge.Millis, pr *prompt, meanDuration float64) float64 {
+	ratio := r.loadRatio(now, pr.tokens())
+	wait := r.prefillQueue.wait(now, pr.priority) + min(ratio, 1)*runningCost
+	if ratio <= 1 {
 		return wait
 	}
-	if stay == 0 {
-		stay = spareCost * float64(max(1, r.server.Slots))
+	if meanDuration == 0 {
+		meanDuration = excessCost * float64(max(1, r.server.Slots))
 	}
-	return wait + (full-1)*stay
+	return wait + (ratio-1)*meanDuration
 }
 
-// faults is the surcharge for what was learned, compared with the pool.
-func (r *replica) faults(pl *pool) float64 {
-	cost := max(0, r.failures-faultFree-pl.failures) * faultCost
-	if r.samples > enoughSamples && r.delay > slowFactor*pl.delay {
+// penalty returns the surcharge for failures and slow answers relative to the pool, in
+// milliseconds.
+func (r *replica) penalty(pl *pool) float64 {
+	cost := max(0, r.failures-toleratedFailures-pl.failures) * failurePenalty
+	if r.samples > minSamples && r.delay > slowFactor*pl.delay {
 		cost += r.delay - pl.delay
 	}
 	return cost
 }
 
-func (r *replica) learnFailure(failed bool) {
+func (r *replica) observeFailure(failed bool) {
 	sample := 0.0
 	if failed {
 		sample = 1
 	}
-	r.failures += learnRate * (sample - r.failures)
+	r.failures += smoothing * (sample - r.failures)
 }
 
-func (r *replica) learnDelay(ms float64) {
+func (r *replica) observeDelay(ms float64) {
 	r.samples++
 	if r.samples == 1 {
 		r.delay = ms
 		return
 	}
-	r.delay += learnRate * (ms - r.delay)
+	r.delay += smoothing * (ms - r.delay)
 }
 
-// silenceOf is how long a replica may send nothing before the request goes to
-// another one. What waits in a long queue is not silent: sending it elsewhere
-// would only make the queues longer, everywhere.
-func silenceOf(q wasabiridge.Request, expected float64) wasabiridge.Millis {
-	return max(silenceLeast, silenceFactor*q.Action.FirstByteTarget) + wasabiridge.Millis(queueFactor*expected)
+// silenceTimeout returns how long a replica may send nothing before the request is sent
+// to another one. The expected queueing time does not count as silence: resending
+// queued requests elsewhere would only lengthen the queues everywhere.
+func silenceTimeout(q wasabiridge.Request, expected float64) wasabiridge.Millis {
+	return max(minSilence, silenceFactor*q.Action.FirstByteTarget) + wasabiridge.Millis(queueFactor*expected)
 }
--- a/internal/wasabireplica/replica_test.go
+++ b/internal/wasabireplica/replica_test.go
@@ -19,7 +19,7 @@
 
 const model wasabiridge.ModelID = "m"
 
-// rig is a placer over engines that all serve version 1.
+// rig is a Placer with a pool of engines that all serve version 1 of the weights.
 type rig struct {
 	placer  *wasabireplica.Placer
 	limiter *wasabireplica.Limiter
@@ -30,7 +30,7 @@
 
 func newRig(engines int) *rig { return newRigOf("", engines) }
 
-// newRigOf returns a rig that is one of several instances.
+// newRigOf returns a rig for an instance with the given ID.
 func newRigOf(self wasabiridge.InstanceID, engines int) *rig {
 	g := &rig{now: 1e6, pool: wasabiridge.Pool{ID: "p", CacheTokens: 200000, TokenBytes: 18432, LinkMegabits: 180000, Models: []wasabiridge.ModelID{model}}}
 	for i := range engines {
@@ -43,26 +43,26 @@
 	g.limiter = wasabireplica.NewLimiter(g.placer)
 	g.adopt()
 	for _, b := range g.pool.Backends {
-		g.tell(wasabiridge.WeightsReported{Backend: b.ID, Model: model, Weights: 1})
+		g.observe(wasabiridge.WeightsReported{Backend: b.ID, Model: model, Weights: 1})
 	}
 	return g
 }
 
 func (g *rig) adopt() {
-	g.tell(wasabiridge.ConfigAdopted{Config: wasabiridge.Config{
+	g.observe(wasabiridge.ConfigAdopted{Config: wasabiridge.Config{
 		Version: 1, Pools: []wasabiridge.Pool{g.pool},
 		KeptCaches: []wasabiridge.KeptCache{{ID: "kv", Address: "kv:1", Zone: "z", CacheTokens: 2000000, LinkMegabits: 54000}},
 	}})
 }
 
-func (g *rig) tell(e wasabiridge.Event) { g.placer.Observe(g.now, e) }
+func (g *rig) observe(e wasabiridge.Event) { g.placer.Observe(g.now, e) }
 
-// long is a request whose prompt shares a part with others.
-func long(part uint64) wasabiridge.Request {
+// long returns a request with a long prompt that shares a segment with others.
+func long(segment uint64) wasabiridge.Request {
 	return wasabiridge.Request{
 		ID: "r", Model: model, Action: wasabiridge.Action{Pool: "p", Retry: true, FirstByteTarget: 300},
 		Chain: wasabiridge.Chain{
-			Root: wasabiridge.CacheRoot{Model: model}, Blocks: []wasabiridge.BlockHash{wasabiridge.BlockHash(part), 99}, Lengths: []int{13000, 1000}, Tokens: 14000,
+			Root: wasabiridge.CacheRoot{Model: model}, Blocks: []wasabiridge.BlockHash{wasabiridge.BlockHash(segment), 99}, Lengths: []int{13000, 1000}, Tokens: 14000,
 		},
 	}
 }
@@ -73,7 +73,7 @@
 	return r
 }
 
-// place chooses a replica and sends there.
+// place chooses a replica and sends the request there.
 func (g *rig) place(r wasabiridge.Request, excluded ...wasabiridge.BackendServerID) (wasabiridge.Placement, wasabiridge.AttemptID) {
 	pl, ok := g.placer.Place(g.now, wasabiridge.PlaceQuery{Request: r, Pool: g.pool, Excluded: excluded})
 	if !ok {
@@ -81,22 +81,22 @@
 	}
 	g.next++
 	g.placer.Sent(g.now, r, g.next, pl)
-	g.tell(wasabiridge.AttemptSent{Attempt: g.next})
+	g.observe(wasabiridge.AttemptSent{Attempt: g.next})
 	return pl, g.next
 }
 
 func (g *rig) end(id wasabiridge.AttemptID, e wasabiridge.AttemptEnded) {
 	e.Attempt = id
-	g.tell(e)
+	g.observe(e)
 }
 
 func (g *rig) answer(id wasabiridge.AttemptID) {
-	g.tell(wasabiridge.AttemptFirstToken{Attempt: id})
+	g.observe(wasabiridge.AttemptFirstToken{Attempt: id})
 	g.end(id, wasabiridge.AttemptEnded{Result: wasabiridge.AttemptCompleted})
 }
 
 var _ = Describe("A long prompt", func() {
-	It("follows one that is being read, and does not have it read again", func() {
+	It("is sent to the replica that is computing its segment, and not computed twice", func() {
 		g := newRig(5)
 		first, _ := g.place(long(7))
 		Expect(first.Why).To(Equal("computed"))
@@ -105,11 +105,11 @@
 		Expect(second.Why).To(Equal("being_read"))
 	})
 
-	It("is fetched from the store of kept cache that is said to hold it", func() {
+	It("is fetched from the KV cache store that lists it", func() {
 		g := newRig(5)
-		g.tell(wasabiridge.KeptCacheSeen{Address: "kv:1", Up: true})
+		g.observe(wasabiridge.KeptCacheSeen{Address: "kv:1", Up: true})
 		root := wasabiridge.CacheRoot{Model: model, Weights: 1}
-		g.tell(wasabiridge.KeptCacheListed{Address: "kv:1", Parts: []wasabiridge.PartNews{
+		g.observe(wasabiridge.KeptCacheListed{Address: "kv:1", Parts: []wasabiridge.PartNews{
 			{Key: wasabiprefix.PartKey(wasabiprefix.ShortSalt(root), 7), Tokens: 13000, Ready: true},
 		}})
 		pl, _ := g.place(long(7))
@@ -118,7 +118,7 @@
 		Expect(pl.SaveTo).To(BeEmpty())
 	})
 
-	It("goes where it is held, or has it fetched when that one is busy", func() {
+	It("is sent to the replica that holds it, or fetched from there when that one is busy", func() {
 		g := newRig(5)
 		first, id := g.place(long(7))
 		g.now += 150
@@ -136,22 +136,21 @@
 		Expect(third.FetchFrom).To(Equal(string(first.Backend.ID) + ":1"))
 	})
 
-	// Story: each of six instances sends the first prompt of a manual to the
-	// replica that it takes for idle. All of them choose differently, and the
-	// manual is read six times.
-	It("is sent where another instance has sent its part", func() {
+	// Guards against six instances that each send the first prompt of the same manual
+	// to a different idle replica, where it is computed six times.
+	It("is sent where another instance has sent its segment", func() {
 		g := newRig(5)
 		first, _ := g.place(long(7))
-		_, parts := g.placer.TakeNews(g.now)
+		_, segments := g.placer.TakeNews(g.now)
 		other := newRig(5)
-		other.tell(wasabiridge.PeerPlaced{From: "i2", Parts: parts})
+		other.observe(wasabiridge.PeerPlaced{From: "i2", Parts: segments})
 		second, _ := other.place(long(7))
 		Expect(second.Backend.ID).To(Equal(first.Backend.ID))
 	})
 
 	It("is saved once, and fetched from the store when no replica holds it", func() {
 		g := newRig(3)
-		g.tell(wasabiridge.KeptCacheSeen{Address: "kv:1", Up: true})
+		g.observe(wasabiridge.KeptCacheSeen{Address: "kv:1", Up: true})
 		first, id := g.place(long(7))
 		Expect(first.SaveTo).To(Equal("kv:1"))
 		g.answer(id)
@@ -164,17 +163,18 @@
 		third, _ := g.place(long(7))
 		Expect(third.Why).To(Equal("kept"))
 		Expect(third.FetchFrom).To(Equal("kv:1"))
-		By("forgetting what a store held that was away")
-		g.tell(wasabiridge.KeptCacheSeen{Address: "kv:1"})
+		By("assuming that a store that was unreachable is empty")
+		g.observe(wasabiridge.KeptCacheSeen{Address: "kv:1"})
 		fourth, _ := g.place(long(8))
 		Expect(fourth.FetchFrom).To(BeEmpty())
 	})
 
-	// Story: half of what prompts hold is their own. Saved with the shared parts, it fills
-	// the store and its link, and shared parts yield before they are asked for again.
-	It("is saved by a prompt that is mostly shared, and by no other", func() {
+	// Guards against unshared tokens that fill a store and its link. When half of the
+	// prompts' tokens were unshared and saved as well, shared segments were evicted
+	// before they were requested again.
+	It("is saved only if it is mostly shared", func() {
 		g := newRig(3)
-		g.tell(wasabiridge.KeptCacheSeen{Address: "kv:1", Up: true})
+		g.observe(wasabiridge.KeptCacheSeen{Address: "kv:1", Up: true})
 		first, id := g.place(sized(7, 5000, 6000))
 		Expect(first.SaveTo).To(BeEmpty())
 		g.now += 150
@@ -183,7 +183,7 @@
 		Expect(second.SaveTo).To(Equal("kv:1"))
 	})
 
-	It("shares nothing across roots", func() {
+	It("shares no segments across cache roots", func() {
 		g := newRig(3)
 		_, id := g.place(long(7))
 		g.answer(id)
@@ -193,7 +193,7 @@
 		Expect(pl.Why).To(Equal("computed"))
 	})
 
-	It("is spread when all replicas are idle", func() {
+	It("is spread over the replicas when all are idle", func() {
 		g := newRig(6)
 		used := map[wasabiridge.BackendServerID]int{}
 		for i := range 6 {
@@ -205,7 +205,7 @@
 })
 
 var _ = Describe("Weights", func() {
-	It("that are not known yet get nothing", func() {
+	It("that are not known yet receive no requests", func() {
 		g := newRig(1)
 		g.pool.Backends = []wasabiridge.BackendServer{{ID: "new", Kind: wasabiridge.BackendEngine, Slots: 8}}
 		g.adopt()
@@ -213,84 +213,83 @@
 		Expect(id).To(BeZero())
 	})
 
-	// Story: new weights are named every four seconds. A replica that still
-	// serves the first ones was counted from the newest naming, and so never
-	// was too old.
+	// New weights are announced every few seconds. A replica that still serves the
+	// first version was judged by the newest announcement and so never became too old.
 	It("are too old from the first newer version on, however many follow", func() {
 		g := newRig(1)
-		named := g.now
+		announced := g.now
 		for v := range 4 {
-			g.tell(wasabiridge.WeightsNamed{Model: model, Weights: wasabiridge.WeightsVersion(2 + v), At: named + wasabiridge.Millis(v)*3000})
+			g.observe(wasabiridge.WeightsNamed{Model: model, Weights: wasabiridge.WeightsVersion(2 + v), At: announced + wasabiridge.Millis(v)*3000})
 		}
-		g.now = named + 9999
+		g.now = announced + 9999
 		pl, id := g.place(short())
 		Expect(pl.Weights).To(BeEquivalentTo(1))
 		g.answer(id)
-		g.now = named + 10000
+		g.now = announced + 10000
 		_, id = g.place(short())
 		Expect(id).To(BeZero())
-		Expect(g.limiter.Offer(g.now, short()).Verdict).To(Equal(wasabiridge.Rejected), "refused at once, not held")
+		Expect(g.limiter.Offer(g.now, short()).Verdict).To(Equal(wasabiridge.Rejected), "refused at once, not queued")
 	})
 
-	// Story: an instance starts seventeen seconds after version 2 was named. It
-	// reads version 3 from the platform and hears of version 2 from another
-	// instance. A replica still serves version 1. Its requests would be answered
-	// on weights that were replaced long ago.
-	It("are too old from the first newer version on, also when that is heard of last", func() {
+	// An instance starts seventeen seconds after version 2 was announced. It polls
+	// version 3 from the platform and receives version 2 from another instance
+	// afterwards. A replica that still serves version 1 must not count as superseded
+	// only since version 3.
+	It("are too old from the first newer version on, also when that is received last", func() {
 		g := newRig(1)
-		g.tell(wasabiridge.WeightsNamed{Model: model, Weights: 3, At: g.now - 1000})
+		g.observe(wasabiridge.WeightsNamed{Model: model, Weights: 3, At: g.now - 1000})
 		_, id := g.place(short())
 		Expect(id).NotTo(BeZero())
-		g.tell(wasabiridge.WeightsNamed{Model: model, Weights: 2, At: g.now - 17000})
+		g.observe(wasabiridge.WeightsNamed{Model: model, Weights: 2, At: g.now - 17000})
 		_, id = g.place(short())
 		Expect(id).To(BeZero())
 	})
 
-	It("that a stream began with are those it goes on with", func() {
+	It("that a stream started with are those it continues with", func() {
 		g := newRig(3)
-		g.tell(wasabiridge.WeightsReported{Backend: "e1", Model: model, Weights: 2})
+		g.observe(wasabiridge.WeightsReported{Backend: "e1", Model: model, Weights: 2})
 		pl, ok := g.placer.Place(g.now, wasabiridge.PlaceQuery{Request: long(1), Pool: g.pool, Weights: 2})
 		Expect(ok).To(BeTrue())
 		Expect(pl.Backend.ID).To(BeEquivalentTo("e1"))
 	})
 
-	It("that change empty the cache of a replica", func() {
+	It("that change clear the cache of a replica", func() {
 		g := newRig(1)
 		_, id := g.place(long(7))
 		g.answer(id)
-		g.tell(wasabiridge.WeightsReported{Backend: "e0", Model: model, Weights: 2})
+		g.observe(wasabiridge.WeightsReported{Backend: "e0", Model: model, Weights: 2})
 		pl, _ := g.place(long(7))
 		Expect(pl.Why).To(Equal("computed"))
 		Expect(pl.Weights).To(BeEquivalentTo(2))
 	})
 
-	// Story: an engine loads weights next. What runs there long must end first, so
-	// long work goes to others while there are any.
-	It("that are loaded soon keep heavy work away and let light work in", func() {
+	// An engine is about to load weights. Long-running work must end first, so heavy
+	// work is sent to other engines while there are any.
+	It("that are about to be loaded keep heavy work away and admit light work while the replica drains", func() {
 		g := newRig(2)
 		for range 20 {
 			_, id := g.place(short())
 			g.now += 20
 			g.answer(id)
 		}
-		g.tell(wasabiridge.BackendEasing{Backend: "e0", Until: g.now + 4000})
+		g.observe(wasabiridge.BackendEasing{Backend: "e0", Until: g.now + 4000})
 		pl, _ := g.place(long(100))
 		Expect(pl.Backend.ID).To(BeEquivalentTo("e1"))
 		pl, _ = g.place(short())
 		Expect(pl.Backend.ID).To(BeEquivalentTo("e0"))
-		g.tell(wasabiridge.BackendEasing{Backend: "e0", Until: g.now})
+		g.observe(wasabiridge.BackendEasing{Backend: "e0", Until: g.now})
 		pl, _ = g.place(long(200))
 		Expect(pl.Backend.ID).To(BeEquivalentTo("e0"))
 	})
 
-	It("that are about to be loaded keep work away, until the rest is over", func() {
+	It("that are about to be loaded keep all work away while the replica is in backoff", func() {
 		g := newRig(2)
-		g.tell(wasabiridge.BackendResting{Backend: "e0", Until: g.now + 4000})
+		g.observe(wasabiridge.BackendResting{Backend: "e0", Until: g.now + 4000})
 		for range 5 {
 			pl, _ := g.place(short())
 			Expect(pl.Backend.ID).To(BeEquivalentTo("e1"))
 		}
-		g.tell(wasabiridge.BackendResting{Backend: "e0", Until: g.now})
+		g.observe(wasabiridge.BackendResting{Backend: "e0", Until: g.now})
 		g.now++
 		pl, _ := g.place(short())
 		Expect(pl.Backend.ID).To(BeEquivalentTo("e0"))
@@ -303,15 +302,15 @@
 		first bool
 		away  bool
 	}{
-		"that cannot be reached is left alone":            {end: wasabiridge.AttemptEnded{Result: wasabiridge.AttemptNotRun, Unreachable: true}, away: true},
-		"that says nothing is left alone":                 {end: wasabiridge.AttemptEnded{Result: wasabiridge.AttemptBroken, Silent: true}, away: true},
-		"that breaks before its answer is left alone":     {end: wasabiridge.AttemptEnded{Result: wasabiridge.AttemptBroken}, away: true},
-		"that breaks in the middle is used on":            {end: wasabiridge.AttemptEnded{Result: wasabiridge.AttemptBroken}, first: true},
-		"that refuses for lack of room is left a moment":  {end: wasabiridge.AttemptEnded{Result: wasabiridge.AttemptNotRun, Overloaded: true}, away: true},
-		"that has other weights is left a moment":         {end: wasabiridge.AttemptEnded{Result: wasabiridge.AttemptNotRun, OtherWeights: true}, away: true},
-		"whose address another has is gone":               {end: wasabiridge.AttemptEnded{Result: wasabiridge.AttemptNotRun, Misdirected: true}, away: true},
-		"that answers with a failure of its own is there": {end: wasabiridge.AttemptEnded{Result: wasabiridge.AttemptBroken, Failed: true}},
-		"whose attempt was given up is used on":           {end: wasabiridge.AttemptEnded{Result: wasabiridge.AttemptCancelled}},
+		"that cannot be reached is put into backoff":                {end: wasabiridge.AttemptEnded{Result: wasabiridge.AttemptNotRun, Unreachable: true}, away: true},
+		"that sends nothing is put into backoff":                    {end: wasabiridge.AttemptEnded{Result: wasabiridge.AttemptBroken, Silent: true}, away: true},
+		"that breaks before the first byte is put into backoff":     {end: wasabiridge.AttemptEnded{Result: wasabiridge.AttemptBroken}, away: true},
+		"that breaks after the first byte stays in use":             {end: wasabiridge.AttemptEnded{Result: wasabiridge.AttemptBroken}, first: true},
+		"that refuses for lack of room is put into a short backoff": {end: wasabiridge.AttemptEnded{Result: wasabiridge.AttemptNotRun, Overloaded: true}, away: true},
+		"that has other weights is put into a short backoff":        {end: wasabiridge.AttemptEnded{Result: wasabiridge.AttemptNotRun, OtherWeights: true}, away: true},
+		"whose address belongs to another one is removed":           {end: wasabiridge.AttemptEnded{Result: wasabiridge.AttemptNotRun, Misdirected: true}, away: true},
+		"that answers with a failure of its own stays in use":       {end: wasabiridge.AttemptEnded{Result: wasabiridge.AttemptBroken, Failed: true}},
+		"whose attempt was cancelled stays in use":                  {end: wasabiridge.AttemptEnded{Result: wasabiridge.AttemptCancelled}},
 	}
 	for _, name := range slices.Sorted(maps.Keys(endings)) {
 		c := endings[name]
@@ -319,7 +318,7 @@
 			g := newRig(1)
 			_, id := g.place(short())
 			if c.first {
-				g.tell(wasabiridge.AttemptFirstToken{Attempt: id})
+				g.observe(wasabiridge.AttemptFirstToken{Attempt: id})
 			}
 			g.end(id, c.end)
 			g.now += 100
@@ -328,17 +327,18 @@
 		})
 	}
 
-	// Story: a replica goes dark with requests in it. Its kept connections do not
-	// break for seconds, and all that is sent there meanwhile is lost.
-	It("that says nothing at all is left alone before its requests are over", func() {
+	// Guards against a replica that becomes unreachable with requests in flight. Its
+	// connections do not break for seconds, and everything that is sent there until
+	// then is lost.
+	It("that sends nothing at all is put into backoff before its requests end", func() {
 		g := newRig(1)
 		_, first := g.place(short())
 		g.now += 500
-		g.tell(wasabiridge.Ticked{})
+		g.observe(wasabiridge.Ticked{})
 		_, id := g.place(short())
 		Expect(id).NotTo(BeZero())
 		g.now += 300
-		g.tell(wasabiridge.Ticked{})
+		g.observe(wasabiridge.Ticked{})
 		_, id = g.place(short())
 		Expect(id).To(BeZero())
 		g.answer(first)
@@ -346,21 +346,21 @@
 		Expect(id).NotTo(BeZero())
 	})
 
-	It("that is slow with one request and answers others is used on", func() {
+	It("that is slow with one request and answers others stays in use", func() {
 		g := newRig(1)
 		g.place(short())
 		g.now += 500
 		_, second := g.place(short())
 		g.answer(second)
 		g.now += 300
-		g.tell(wasabiridge.Ticked{})
+		g.observe(wasabiridge.Ticked{})
 		_, id := g.place(short())
 		Expect(id).NotTo(BeZero())
 	})
 
-	// Story: a quarter of the replicas go dark. Each that is tried again takes
-	// one request, not all that wait.
-	It("that was left alone is tried by one request, and used when that is answered", func() {
+	// When a quarter of the replicas is unreachable, each replica that is probed must
+	// receive one request, not all that wait.
+	It("is probed by one request after backoff, and used when that is answered", func() {
 		g := newRig(1)
 		_, id := g.place(short())
 		g.end(id, wasabiridge.AttemptEnded{Result: wasabiridge.AttemptNotRun, Unreachable: true})
@@ -374,9 +374,9 @@
 		Expect(id).NotTo(BeZero())
 	})
 
-	// Story: in an overload first bytes take a second. Requests that were taken
-	// for stuck went to other replicas, which made all queues longer, and they
-	// stayed long after the overload was over.
+	// In an overload first bytes take a second. Requests that counted as stuck were
+	// sent to other replicas as well, which lengthened all queues and kept them long
+	// after the overload.
 	It("with a long queue has longer to send its first byte", func() {
 		g := newRig(2)
 		pl, _ := g.place(long(0), "e1")
@@ -389,7 +389,7 @@
 		Expect(pl.FirstByte).To(BeNumerically(">=", idle+pl.ExpectedWait))
 	})
 
-	It("that answers slowly gets less than the others", func() {
+	It("that answers slowly receives fewer requests than the others", func() {
 		g := newRig(4)
 		for range 200 {
 			pl, id := g.place(short())
@@ -399,7 +399,7 @@
 				g.now += 60
 			}
 			g.answer(id)
-			g.tell(wasabiridge.Ticked{})
+			g.observe(wasabiridge.Ticked{})
 		}
 		count := 0
 		for range 40 {
@@ -413,7 +413,7 @@
 		Expect(count).To(BeNumerically("<", 5))
 	})
 
-	It("makes room in its queue for what is given up", func() {
+	It("has a shorter queue after a request is cancelled", func() {
 		g := newRig(1)
 		g.place(long(1))
 		_, id := g.place(long(2))
@@ -424,10 +424,10 @@
 	})
 })
 
-var _ = Describe("Further attempts", func() {
-	It("stay within the budget of every window, with a part of the slack for each instance", func() {
+var _ = Describe("Retries of one instance", func() {
+	It("stay within the budget of every window, with a share of the slack for each instance", func() {
 		g := newRig(2)
-		g.tell(wasabiridge.InstancesCounted{Count: 4})
+		g.observe(wasabiridge.InstancesCounted{Count: 4})
 		type sent struct {
 			at    wasabiridge.Millis
 			retry bool
@@ -459,10 +459,9 @@
 	})
 })
 
-// Each pattern of load is a story of who asks how much of a pool that serves so
-// much, and what must come of it.
+// Each spec applies a pattern of load to a pool of a given capacity.
 var _ = Describe("Under load", func() {
-	It("urgent requests are admitted when others are refused, and those at once", func() {
+	It("urgent requests are admitted while others are refused at once", func() {
 		g := newRig(1)
 		least, most := short(), short()
 		most.Action.Priority = 9
@@ -475,10 +474,10 @@
 		Expect(a.RetryAfter).To(BeNumerically(">", 0))
 	})
 
-	// Story: a caller names a model with a request to a plain service. The
-	// service has no weights, so none of its servers counted as knowing them,
-	// and all such requests were refused.
-	It("a plain service serves requests that name a model", func() {
+	// A caller may name a model in a request to a plain service. The service has no
+	// weights, so no server counted as serving the model, and all such requests were
+	// refused.
+	It("a plain service accepts requests that name a model", func() {
 		g := newRig(1)
 		g.pool.Models, g.pool.Backends = nil, []wasabiridge.BackendServer{{ID: "s", Kind: wasabiridge.BackendService, URL: "http://s:1", Slots: 2}}
 		g.adopt()
@@ -488,9 +487,9 @@
 		Expect(pl.Weights).To(BeZero())
 	})
 
-	// Story: some replicas are dark and others load. Long prompts pile up at the
-	// rest, short ones come late behind them, and so it stays.
-	It("long prompts are refused at once that would wait too long, and short ones are not", func() {
+	// While some replicas are unreachable and others load weights, long prompts pile up
+	// at the remaining ones and delay the short ones behind them for good.
+	It("long prompts that would wait too long are refused at once, and short ones are not", func() {
 		g := newRig(1)
 		admitted := 0
 		var sent []wasabiridge.AttemptID
@@ -514,10 +513,10 @@
 		Expect(g.limiter.Offer(g.now, long(99)).Verdict).To(Equal(wasabiridge.Admitted))
 	})
 
-	// Story: a quarter of the engines goes dark. The others fill up to the last
-	// slot, cached parts yield to what runs, and every answer is late for as long
-	// as the engines are dark, those to short prompts as well.
-	It("long prompts come back later while short ones take the last slots", func() {
+	// When a quarter of the engines is unreachable, the others fill up to the last
+	// slot, and running requests evict cached segments. Every answer is then late until
+	// the engines return, including those to short prompts.
+	It("long prompts are refused while short ones take the last slots", func() {
 		g := newRig(1)
 		for range 6 {
 			Expect(g.limiter.Offer(g.now, long(1)).Verdict).To(Equal(wasabiridge.Admitted))
@@ -532,7 +531,7 @@
 		}
 	})
 
-	It("nothing is refused while a replica has a free place", func() {
+	It("no request is refused while a replica has a free slot", func() {
 		g := newRig(4)
 		for range 31 {
 			Expect(g.limiter.Offer(g.now, short()).Verdict).To(Equal(wasabiridge.Admitted))
--- /dev/null
+++ b/internal/wasabireplica/updates.go
@@ -0,0 +1,78 @@
+package wasabireplica
+
+import (
+	"slices"
+
+	"github.com/wasabiridge/wasabiridge"
+)
+
+const (
+	// maxPendingSegments bounds the segment updates that wait to be sent. When the
+	// limit is reached the oldest is dropped; at worst the other instances have that
+	// segment computed again.
+	maxPendingSegments = 1024
+	// peerLoadExpiry is how long a load that another instance reports stays valid.
+	peerLoadExpiry = 1500 * wasabiridge.Millis(1)
+)
+
+// peerUpdates are the segment updates that were not sent to the other instances yet.
+type peerUpdates struct {
+	segments []wasabiridge.PartNews
+}
+
+func (u *peerUpdates) add(p wasabiridge.PartNews) {
+	if len(u.segments) >= maxPendingSegments {
+		u.segments = u.segments[1:]
+	}
+	u.segments = append(u.segments, p)
+}
+
+// TakeNews returns the state updates to send to the other instances, and clears them.
+// It leaves out the loads of replicas that have not changed since the last call.
+func (p *Placer) TakeNews(now wasabiridge.Millis) ([]wasabiridge.LoadNews, []wasabiridge.PartNews) {
+	segments := p.peerUpdates.segments
+	p.peerUpdates.segments = nil
+	var loads []wasabiridge.LoadNews
+	for id, r := range p.replicas {
+		limit := r.takeLimitUpdate(now)
+		if r.own == r.sentLoad && !limit.Known {
+			continue
+		}
+		r.sentLoad = r.own
+		loads = append(loads, wasabiridge.LoadNews{Backend: id, Inside: r.own.requests, Tokens: r.own.tokens, Limit: limit})
+	}
+	slices.SortFunc(loads, func(a, b wasabiridge.LoadNews) int { return compare(a.Backend, b.Backend) })
+	return loads, segments
+}
+
+// peerLoad is the load of another instance at a replica.
+type peerLoad struct {
+	load
+	at wasabiridge.Millis
+}
+
+// peerPlaced applies a state update from another instance.
+func (p *Placer) peerPlaced(now wasabiridge.Millis, e wasabiridge.PeerPlaced) {
+	for _, l := range e.Loads {
+		if r := p.replicas[l.Backend]; r != nil {
+			r.peers[e.From] = peerLoad{load: load{requests: l.Inside, tokens: l.Tokens}, at: now}
+			r.applyPeerLimit(now, l.Limit)
+		}
+	}
+	for _, segment := range e.Parts {
+		r := p.replicas[segment.Backend]
+		if r == nil || !r.acceptIncarnation(now, segment.Incarnation) {
+			continue
+		}
+		if segment.Ready {
+			r.cache.touch(segment.Key, segment.Tokens)
+			r.cache.markReady(segment.Key)
+			r.prefillQueue.markStarted(now, func(w queuedPrompt) bool { return w.attempt == 0 && w.key == segment.Key })
+			continue
+		}
+		p.recordSegment(now, r, segment)
+		if segment.Work > 0 {
+			r.prefillQueue.push(now, queuedPrompt{key: segment.Key, priority: segment.Priority, remaining: float64(segment.Work)})
+		}
+	}
+}
