--- a/internal/wasabicost/cost_test.go
+++ b/internal/wasabicost/cost_test.go
@@ -16,7 +16,7 @@
 
 func TestCost(t *testing.T) { wasabitest.Run(t, "cost") }
 
-// engine is one whose times are known.
+// engine simulates an engine with known factors.
 type engine struct{ fixed, perToken, perPair float64 }
 
 func (e engine) takes(w wasabicost.Work) float64 {
@@ -24,8 +24,8 @@
 	return e.fixed + e.perToken*n + e.perPair*n*(float64(w.Behind)+n/2)
 }
 
-// drawWork draws short prompts and some long ones, of which most of the length
-// is held.
+// drawWork draws short prompts and some long ones, most of whose tokens are held
+// already.
 func drawWork(r *rand.Rand) wasabicost.Work {
 	if r.IntN(4) == 0 {
 		return wasabicost.Work{Tokens: 1000 + r.IntN(12000), Behind: r.IntN(16000)}
@@ -33,7 +33,7 @@
 	return wasabicost.Work{Tokens: 100 + r.IntN(2500), Behind: r.IntN(600)}
 }
 
-// engines spans what is met: 20 to 400 tokens in a millisecond.
+// engines covers the range of 20 to 400 tokens per millisecond.
 var engines = map[string]engine{
 	"slow":   {fixed: 40, perToken: 1.0 / 20, perPair: 1e-6},
 	"middle": {fixed: 15, perToken: 1.0 / 66, perPair: 0.28e-6},
@@ -41,11 +41,11 @@
 }
 
 var _ = Describe("An estimate", func() {
-	// Story: a customer's engines compute prompts at a speed that nobody wrote
-	// down. Two seconds after the start, some thirty answers in, placements
-	// must weigh queues by what these engines take.
+	// The speed of a deployment's engines is not configured anywhere. Two seconds after
+	// the start, with about thirty answers, placements have to compare queues by what
+	// these engines take.
 	for _, name := range slices.Sorted(maps.Keys(engines)) {
-		It("comes close to a "+name+" engine within thirty answers, a third of which are held up", func() {
+		It("comes close to a "+name+" engine within thirty answers, a third of which are delayed", func() {
 			e, r := engines[name], rand.New(rand.NewPCG(1, 2))
 			costs := wasabicost.New()
 			for range 30 {
@@ -62,7 +62,7 @@
 		})
 	}
 
-	// Story: engines are replaced by ones four times as slow.
+	// The engines are replaced by ones that take twenty times as long for a token.
 	It("follows an engine that changes within a hundred answers", func() {
 		r, costs := rand.New(rand.NewPCG(3, 4)), wasabicost.New()
 		for _, e := range []engine{engines["fast"], engines["slow"]} {
@@ -75,7 +75,7 @@
 		}
 	})
 
-	It("knows the prior before the first answer", func() {
+	It("starts from a positive prior", func() {
 		costs := wasabicost.New()
 		Expect(costs.Answers()).To(BeZero())
 		Expect(costs.Fixed()).To(BeNumerically(">", 0))
@@ -84,8 +84,8 @@
 	})
 })
 
-// TestNeverNegative feeds answers of any kind: no prompt is ever expected to
-// take less than nothing, and a longer one never less than a shorter one.
+// TestNeverNegative feeds arbitrary answers. The expected time must never be negative,
+// and never shorter for a longer prompt.
 func TestNeverNegative(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		costs := wasabicost.New()
@@ -98,7 +98,7 @@
 		for tokens := 0; tokens < 50000; tokens += 5000 {
 			expected := costs.FirstToken(wasabicost.Work{Tokens: tokens, Behind: 100})
 			if expected < last {
-				t.Fatalf("%d tokens: %f after %f", tokens, expected, last)
+				t.Fatalf("%d tokens: expected %f ms, but %f ms for fewer tokens", tokens, expected, last)
 			}
 			last = expected
 		}
