--- a/internal/wasabirate/group.go
+++ b/internal/wasabirate/group.go
@@ -8,79 +8,83 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// memory is how long an instance that is not seen any more keeps its part. It may have
-// been cut off and go on sending.
-const memory = wasabiridge.Minute
+// departedRetention is how long an instance that is no longer seen keeps its share. It
+// may be partitioned and go on sending.
+const departedRetention = wasabiridge.Minute
 
-// aloneAfter is how long after its start an instance that knows of no others takes it
-// that there are none.
-const aloneAfter = 10 * wasabiridge.Second
+// soloDelay is how long after its start an instance that sees no other one waits before
+// it assumes that there is none.
+const soloDelay = 10 * wasabiridge.Second
 
-// Group is the instances that callers are sent to, as one of them sees them.
+// Group holds the instances that serve callers, as seen by one of them.
 type Group struct {
 	self wasabiridge.InstanceID
-	// left is when an instance was seen last. Zero means that it is seen now.
-	left map[wasabiridge.InstanceID]wasabiridge.Millis
-	// begun is when the group was first told of. alone says that nobody else is known, and
-	// that others may just not have been seen yet.
-	begun   wasabiridge.Millis
-	alone   bool
-	version uint64
+	// departedAt is when an instance was last seen. Zero means that it is seen now.
+	departedAt map[wasabiridge.InstanceID]wasabiridge.Millis
+	// firstSetAt is when Set was first called. alone is set while no other instance is
+	// known and others may merely not have been seen yet. version changes with the
+	// shares.
+	firstSetAt wasabiridge.Millis
+	alone      bool
+	version    uint64
 }
 
-// NewGroup returns a group of which only one instance is known.
+// NewGroup returns a Group that contains only the instance self.
 func NewGroup(self wasabiridge.InstanceID) *Group {
-	return &Group{self: self, left: map[wasabiridge.InstanceID]wasabiridge.Millis{self: 0}, alone: true, version: 1}
+	return &Group{self: self, departedAt: map[wasabiridge.InstanceID]wasabiridge.Millis{self: 0}, alone: true, version: 1}
 }
 
-// Set says which instances callers are sent to.
+// Set updates the instances that serve callers.
 func (g *Group) Set(now wasabiridge.Millis, instances []wasabiridge.InstanceID) {
-	if g.begun == 0 {
-		g.begun = now
+	if g.firstSetAt == 0 {
+		g.firstSetAt = now
 	}
-	for id, left := range g.left {
-		if left == 0 && !slices.Contains(instances, id) {
-			g.left[id] = now
+	for id, departedAt := range g.departedAt {
+		if departedAt == 0 && !slices.Contains(instances, id) {
+			g.departedAt[id] = now
 		}
 	}
 	for _, id := range instances {
-		if left, known := g.left[id]; !known || left != 0 {
-			g.left[id] = 0
+		if departedAt, known := g.departedAt[id]; !known || departedAt != 0 {
+			g.departedAt[id] = 0
 			g.version++
 		}
 	}
 	g.Tick(now)
 }
 
-// Tick forgets instances that have not been seen for long.
+// Tick removes instances that have not been seen for departedRetention. After soloDelay
+// it lets an instance that sees no other one use the whole rate.
 func (g *Group) Tick(now wasabiridge.Millis) {
-	for id, left := range g.left {
-		if left != 0 && now-left >= memory {
-			delete(g.left, id)
+	for id, departedAt := range g.departedAt {
+		if departedAt != 0 && now-departedAt >= departedRetention {
+			delete(g.departedAt, id)
 			g.version++
 		}
 	}
-	if alone := len(g.left) == 1 && (g.begun == 0 || now-g.begun < aloneAfter); alone != g.alone {
+	if alone := len(g.departedAt) == 1 && (g.firstSetAt == 0 || now-g.firstSetAt < soloDelay); alone != g.alone {
 		g.alone = alone
 		g.version++
 	}
 }
 
-// part is what this instance may send to a server that takes a rate.
+// share returns the rate at which this instance may send to a server that takes the
+// given rate, in requests per second.
 //
-// The failure it guards against: instances start together, and each takes the whole rate
-// until it knows the others.
-func (g *Group) part(server wasabiridge.BackendServerID, rate float64) float64 {
-	if _, known := g.left[g.self]; !known {
+// It guards against instances that start together and each take the whole rate before
+// they see the others. Until soloDelay has passed, such an instance sends at most at
+// leastRate.
+func (g *Group) share(server wasabiridge.BackendServerID, rate float64) float64 {
+	if _, known := g.departedAt[g.self]; !known {
 		return 0
 	}
 	if g.alone {
 		return min(rate, leastRate)
 	}
-	senders := int(min(max(1, sendersPerRate*rate), float64(len(g.left))))
-	own, before := weight(server, g.self), 0
-	for id := range g.left {
-		if w := weight(server, id); w > own || w == own && id < g.self {
+	senders := int(min(max(1, sendersPerRate*rate), float64(len(g.departedAt))))
+	own, before := rendezvousWeight(server, g.self), 0
+	for id := range g.departedAt {
+		if w := rendezvousWeight(server, id); w > own || w == own && id < g.self {
 			before++
 		}
 	}
@@ -90,7 +94,7 @@
 	return rate / float64(senders)
 }
 
-// weight is the rank of an instance at a server, by which all instances choose alike.
-func weight(server wasabiridge.BackendServerID, id wasabiridge.InstanceID) uint64 {
+// rendezvousWeight ranks an instance at a server. All instances compute the same ranks.
+func rendezvousWeight(server wasabiridge.BackendServerID, id wasabiridge.InstanceID) uint64 {
 	return xxhash.Sum64String(string(server) + "\x00" + string(id))
 }
--- a/internal/wasabirate/limit.go
+++ b/internal/wasabirate/limit.go
@@ -1,27 +1,29 @@
-// Package wasabirate keeps all instances together to the rate that a backend server in
-// need names in its answers.
+// Package wasabirate keeps all instances together within the rate that an overloaded
+// backend server reports in its answers.
 //
-// Few instances send to such a server: as many that each of them may send some requests
-// a second, by rendezvous hashing over those that callers are sent to. Each of them takes
-// an equal part of the rate, one request at a time. So what they send together does not
-// depend on news that may be lost or late, and a rate that is smaller than the number of
-// instances is still kept.
+// Only a few instances send to such a server: two for each request per second of the
+// rate, so that none has to wait long for its share. They are chosen by rendezvous
+// hashing over the instances that serve callers, and each takes an equal share of the
+// rate, one request at a time. So their total does not depend on updates between
+// instances, which may be lost or late, and even a rate below the number of instances
+// is kept.
 //
-// What a server says holds until it says otherwise. An answer without a limit ends it only
-// if its request was sent after the limit was heard, because answers overtake each other.
+// A reported limit holds until the server reports otherwise. Since answers may arrive
+// out of order, an answer without a limit ends the limit only if its request was sent
+// after the limit was received.
 //
 // # Usage
 //
 //	group := wasabirate.NewGroup("router-1")
 //	group.Set(now, instances)
 //	var limit wasabirate.Limit
-//	limit.Name(now, asked, 5.9)
+//	limit.Name(now, sentAt, 5.9)
 //	if limit.Wait(now, "server-1", group) == 0 {
 //		limit.Take(now, "server-1", group)
 //		send()
 //	}
 //
-// Nothing here is safe for concurrent use.
+// The types of this package are not safe for concurrent use.
 package wasabirate
 
 import (
@@ -31,95 +33,99 @@
 )
 
 const (
-	// leastRate is sent to a server that takes less, in requests a second, so that its
-	// answers tell when it takes more.
+	// leastRate is the rate, in requests per second, that a server receives even if it
+	// takes less, so that its answers show when it takes more.
 	leastRate = 0.5
-	// sendersPerRate is how many instances send for each request a second.
+	// sendersPerRate is the number of sending instances for each request per second. If
+	// there are enough instances, each of them sends one request every two seconds.
 	sendersPerRate = 2
-	// lapse is how long a limit holds that no answer names any more, and how long an
-	// instance waits at most that sends nothing.
-	lapse = 10 * wasabiridge.Second
-	// look is when an instance that sends nothing may look again.
-	look = wasabiridge.Second
+	// limitExpiry is how long a limit holds that no answer reports any more. It also
+	// bounds how long an instance goes without sending.
+	limitExpiry = 10 * wasabiridge.Second
+	// recheckInterval is the wait of an instance that has no share of the rate, after
+	// which it checks again.
+	recheckInterval = wasabiridge.Second
 )
 
-// Limit is what one server said of its limit, and what this instance has left of its
-// part. The zero Limit is none.
+// Limit is the rate limit that one server has reported, and the remaining share of this
+// instance. The zero value has no limit.
 type Limit struct {
 	limited bool
 	rate    float64
-	// heard is when the limit was heard last, lifted when the request was sent whose
-	// answer ended it.
-	heard, lifted wasabiridge.Millis
-	// credit is how many requests may be sent, as of a time. It is negative after
-	// requests that could not wait.
-	credit float64
-	at     wasabiridge.Millis
-	share  share
+	// receivedAt is when the limit was last received. liftedAt is the sending time of
+	// the request whose answer ended the limit.
+	receivedAt, liftedAt wasabiridge.Millis
+	// credit is the number of requests that may be sent, as of the time at. It is
+	// negative after requests that were sent without credit.
+	credit      float64
+	at          wasabiridge.Millis
+	cachedShare cachedShare
 }
 
-// share is the part of an instance, for a rate and a state of the group.
-type share struct {
+// cachedShare caches the share of this instance for a rate and a version of the group.
+type cachedShare struct {
 	rate    float64
 	version uint64
-	part    float64
+	share   float64
 }
 
-// Name takes that the answer to a request that was sent at a time names a limit, and
-// reports whether there was none before.
-func (l *Limit) Name(now, asked wasabiridge.Millis, rate float64) bool {
-	return l.name(now, asked, now, rate)
+// Name records a limit reported by the answer to a request that was sent at sentAt. It
+// reports whether there was no limit before. It ignores the answer to a request that
+// was sent no later than the one whose answer ended the last limit.
+func (l *Limit) Name(now, sentAt wasabiridge.Millis, rate float64) bool {
+	return l.set(now, sentAt, now, rate)
 }
 
-// Hear takes the same from another instance. Its word may have been under way for long,
-// so that it is only known to be as new as the request.
-func (l *Limit) Hear(now, asked wasabiridge.Millis, rate float64) {
-	l.name(now, asked, asked, rate)
+// Hear records a limit that another instance has received. The update may have been in
+// flight for long, so the limit is only known to be as recent as the request.
+func (l *Limit) Hear(now, sentAt wasabiridge.Millis, rate float64) {
+	l.set(now, sentAt, sentAt, rate)
 }
 
-func (l *Limit) name(now, asked, heard wasabiridge.Millis, rate float64) bool {
-	if !l.limited && asked <= l.lifted && l.lifted > 0 {
+func (l *Limit) set(now, sentAt, receivedAt wasabiridge.Millis, rate float64) bool {
+	if !l.limited && sentAt <= l.liftedAt && l.liftedAt > 0 {
 		return false
 	}
-	began := !l.limited
-	if began {
+	isNew := !l.limited
+	if isNew {
 		l.credit, l.at = 0, now
 	}
-	l.limited, l.rate, l.heard = true, max(rate, leastRate), max(l.heard, heard)
-	return began
+	l.limited, l.rate, l.receivedAt = true, max(rate, leastRate), max(l.receivedAt, receivedAt)
+	return isNew
 }
 
-// Lift takes that the answer to a request that was sent at a time names no limit, and
-// reports whether that ends one.
-func (l *Limit) Lift(asked wasabiridge.Millis) bool {
-	if !l.limited || asked <= l.heard {
+// Lift records that the answer to a request sent at sentAt reports no limit. It reports
+// whether that ends a limit.
+func (l *Limit) Lift(sentAt wasabiridge.Millis) bool {
+	if !l.limited || sentAt <= l.receivedAt {
 		return false
 	}
-	l.limited, l.lifted = false, asked
+	l.limited, l.liftedAt = false, sentAt
 	return true
 }
 
-// Rate returns the limit, in requests a second, and whether there is one.
+// Rate returns the limit, in requests per second, and whether there is one.
 func (l *Limit) Rate(now wasabiridge.Millis) (float64, bool) {
-	if l.limited && now-l.heard >= lapse {
+	if l.limited && now-l.receivedAt >= limitExpiry {
 		l.limited = false
 	}
 	return l.rate, l.limited
 }
 
-// Wait returns when this instance may send the next request. Zero means now.
+// Wait returns how long this instance has to wait before it may send the next request.
+// Zero means that it may send now.
 func (l *Limit) Wait(now wasabiridge.Millis, server wasabiridge.BackendServerID, g *Group) wasabiridge.Millis {
 	if _, limited := l.Rate(now); !limited {
 		return 0
 	}
-	part := l.refill(now, server, g)
+	share := l.refill(now, server, g)
 	switch {
 	case l.credit >= 1:
 		return 0
-	case part == 0:
-		return look
+	case share == 0:
+		return recheckInterval
 	}
-	return wasabiridge.Millis(math.Ceil((1 - l.credit) / part * float64(wasabiridge.Second)))
+	return wasabiridge.Millis(math.Ceil((1 - l.credit) / share * float64(wasabiridge.Second)))
 }
 
 // Take counts a request that is sent.
@@ -130,15 +136,15 @@
 	}
 }
 
-// refill adds the credit of the time that has passed and returns the part, in requests a
-// second.
+// refill adds the credit for the elapsed time and returns the share of this instance,
+// in requests per second.
 func (l *Limit) refill(now wasabiridge.Millis, server wasabiridge.BackendServerID, g *Group) float64 {
-	if l.share.version != g.version || l.share.rate != l.rate {
-		l.share = share{rate: l.rate, version: g.version, part: g.part(server, l.rate)}
+	if l.cachedShare.version != g.version || l.cachedShare.rate != l.rate {
+		l.cachedShare = cachedShare{rate: l.rate, version: g.version, share: g.share(server, l.rate)}
 	}
 	if now > l.at {
-		l.credit = min(1, l.credit+l.share.part*float64(now-l.at)/float64(wasabiridge.Second))
+		l.credit = min(1, l.credit+l.cachedShare.share*float64(now-l.at)/float64(wasabiridge.Second))
 		l.at = now
 	}
-	return l.share.part
+	return l.cachedShare.share
 }
--- a/internal/wasabirate/rate_test.go
+++ b/internal/wasabirate/rate_test.go
@@ -18,15 +18,15 @@
 
 const (
 	server = wasabiridge.BackendServerID("s")
-	// rate is what the server takes in a second.
+	// rate is the limit of the server, in requests per second.
 	rate = 6.0
-	// span is over what time requests are added up, most how many may reach the server
-	// in it.
-	span = 4 * wasabiridge.Second
-	most = 41
+	// span is the period over which requests are counted, and maxRequests the number
+	// that may reach the server within it.
+	span        = 4 * wasabiridge.Second
+	maxRequests = 41
 )
 
-// sender is one instance that sends whenever it may.
+// sender is one instance that sends as often as it may.
 type sender struct {
 	group *wasabirate.Group
 	limit wasabirate.Limit
@@ -50,8 +50,8 @@
 	return out
 }
 
-// send lets all instances send from one time to another. The server names its limit in
-// each answer.
+// send runs all senders over a period and returns the number of requests sent. The
+// server reports its limit in each answer.
 func send(from, until wasabiridge.Millis, senders []*sender) int {
 	sent := 0
 	for now := from; now < until; now += 20 {
@@ -68,18 +68,19 @@
 }
 
 var _ = Describe("The rate of a server", func() {
-	// Guards against instances that start together and each take themselves for the only one.
-	It("is not taken as a whole by each instance that has just started", func() {
+	// Guards against instances that start together and each assume that there is no
+	// other one.
+	It("is not used in full by each instance that has just started", func() {
 		senders := newSenders(1000, 12)
 		for i, s := range senders {
 			s.group.Set(1000, names(12)[i:i+1])
 		}
-		Expect(send(1000, 1000+span, senders)).To(BeNumerically("<=", most))
+		Expect(send(1000, 1000+span, senders)).To(BeNumerically("<=", maxRequests))
 	})
 
-	// Guards against sides of a cut that each take the whole rate once they have forgotten
-	// the others.
-	It("is kept together by two sides that have not seen each other for long", func() {
+	// Guards against both sides of a network partition taking the whole rate once they
+	// have dropped the instances of the other side.
+	It("is kept by both sides of a long network partition together", func() {
 		senders := newSenders(1000, 12)
 		for _, s := range senders {
 			s.group.Set(1000, names(12))
@@ -89,10 +90,10 @@
 			s.group.Set(5000, names(12)[i/6*6:i/6*6+6])
 		}
 		send(5000, 40_000, senders)
-		Expect(send(40_000, 40_000+span, senders)).To(BeNumerically("<=", most))
+		Expect(send(40_000, 40_000+span, senders)).To(BeNumerically("<=", maxRequests))
 	})
 
-	It("is taken as a whole by an instance that has been alone for long", func() {
+	It("is used in full by an instance that has been alone for long", func() {
 		senders := newSenders(1000, 1)
 		senders[0].group.Set(1000, names(1))
 		send(1000, 62_000, senders)
