--- a/internal/wasabibudget/sharers.go
+++ b/internal/wasabibudget/sharers.go
@@ -3,73 +3,74 @@
 import "github.com/wasabiridge/wasabiridge"
 
 const (
-	// spare is by how much the number of instances may be underestimated: those that start
-	// while they are cut in halves see half of them, and others may have been added that
-	// are not known here yet.
-	spare = 2.5
-	// memorySlots and slotTime are how long an instance that is not seen any more still
-	// counts. It may have been cut off and go on spending its part.
-	memorySlots = 12
-	slotTime    = 5 * wasabiridge.Second
-	// newPart is the part of a process of whose share nothing is known yet. A request
-	// that fails right after the start is tried once more.
-	newPart = 1.0
+	// undercountFactor is by how much the number of instances may be underestimated.
+	// Instances that start during a partition into halves see only half of them, and
+	// further ones may have been added that are not seen yet.
+	undercountFactor = 2.5
+	// An instance that is no longer seen still counts for retentionSlots slots of slotTime
+	// each. It may be partitioned and go on spending its share.
+	retentionSlots = 12
+	slotTime       = 5 * wasabiridge.Second
+	// newProcessShare is the share of a process that cannot estimate it yet. It allows
+	// one retry of a request that fails right after the start.
+	newProcessShare = 1.0
 )
 
-// Sharers counts the instances that share a fixed amount.
+// Sharers estimates the number of instances that share a fixed amount.
 type Sharers struct {
-	terms Terms
-	born  wasabiridge.Millis
-	// most is the largest count of each slot, now the latest count.
-	most [memorySlots]int
-	slot int64
-	now  int
+	terms     Terms
+	startedAt wasabiridge.Millis
+	// highest holds the highest count of each slot, and latest the last count.
+	highest [retentionSlots]int
+	slot    int64
+	latest  int
 }
 
-// NewSharers returns the sharers as a process knows them that began at a time: itself.
-func NewSharers(t Terms, born wasabiridge.Millis) *Sharers {
-	return &Sharers{terms: t, born: born, now: 1, slot: int64(born / slotTime)}
+// NewSharers returns the Sharers of a process that started at the given time and has
+// seen only itself.
+func NewSharers(t Terms, startedAt wasabiridge.Millis) *Sharers {
+	return &Sharers{terms: t, startedAt: startedAt, latest: 1, slot: int64(startedAt / slotTime)}
 }
 
-// Count says how many instances are seen, this one included.
+// Count records how many instances are seen, this one included.
 func (s *Sharers) Count(now wasabiridge.Millis, instances int) {
-	s.move(now)
-	s.now = max(1, instances)
-	s.note()
+	s.advance(now)
+	s.latest = max(1, instances)
+	s.recordCount()
 }
 
-func (s *Sharers) move(now wasabiridge.Millis) {
-	for steps := 0; s.slot < int64(now/slotTime) && steps <= memorySlots; steps++ {
+func (s *Sharers) advance(now wasabiridge.Millis) {
+	for steps := 0; s.slot < int64(now/slotTime) && steps <= retentionSlots; steps++ {
 		s.slot++
-		s.most[s.slot%memorySlots] = 0
-		s.note()
+		s.highest[s.slot%retentionSlots] = 0
+		s.recordCount()
 	}
 	s.slot = max(s.slot, int64(now/slotTime))
 }
 
-func (s *Sharers) note() {
-	at := s.slot % memorySlots
-	s.most[at] = max(s.most[at], s.now)
+func (s *Sharers) recordCount() {
+	at := s.slot % retentionSlots
+	s.highest[at] = max(s.highest[at], s.latest)
 }
 
-// Instances returns the most instances that were seen lately.
+// Instances returns the highest number of instances that were recently seen.
 func (s *Sharers) Instances(now wasabiridge.Millis) int {
-	s.move(now)
-	most := s.now
-	for _, count := range s.most {
-		most = max(most, count)
+	s.advance(now)
+	highest := s.latest
+	for _, count := range s.highest {
+		highest = max(highest, count)
 	}
-	return most
+	return highest
 }
 
-// Part returns what this instance may take of the slack of a window. A process has next
-// to none in its first window, and one that has seen no other instance until it would
-// have forgotten them.
+// Part returns how much of the slack of a window this instance may take. A process has
+// next to no share in its first window. The same holds for a process that has seen no
+// other instance, until an instance seen before its start would no longer count.
 func (s *Sharers) Part(now wasabiridge.Millis) float64 {
-	instances, age := s.Instances(now), now-s.born
-	part := s.terms.Slack / (spare * float64(instances))
-	if age < s.terms.Window || instances == 1 && age < memorySlots*slotTime {
-		return min(newPart, part)
+	instances, age := s.Instances(now), now-s.startedAt
+	share := s.terms.Slack / (undercountFactor * float64(instances))
+	if age < s.terms.Window || instances == 1 && age < retentionSlots*slotTime {
+		return min(newProcessShare, share)
 	}
-	return part
+	return share
 }
