--- a/internal/wasabikept/watch.go
+++ b/internal/wasabikept/watch.go
@@ -1,17 +1,17 @@
-// Package wasabikept knows which stores of kept KV cache can be reached.
+// Package wasabikept monitors which KV cache stores can be reached.
 //
-// # Who looks
+// # Which instances poll
 //
-// Only instances that callers are sent to place prompts, so only they look. They
-// keep one connection open to each store and see once a second whether it still
-// stands; a new one is opened only after the last has ended. An instance that is
-// not sent any callers takes every store for reachable: the few prompts that
-// reach it all the same lose some hundred milliseconds at a dead store, and would
-// be computed as a whole without one.
+// Only instances that serve callers place prompts, so only they poll the stores. They
+// keep one connection to each store and check once a second whether it is still open; a
+// new connection is opened only after the last one has ended. An instance that does not
+// serve callers assumes that every store is reachable. The few prompts that it receives
+// all the same lose some hundred milliseconds at a dead store. If it assumed the
+// opposite, they would be computed in full although a store holds them.
 //
-// The failure it guards against: with a new connection a second from every
-// instance, their number grows with instances times stores. At 195 instances
-// stores took two thirds of all connections that the system opened.
+// Polling with a new connection per second from every instance would make their number
+// grow with instances times stores. At 195 instances the stores took two thirds of all
+// connections that the system opened.
 //
 // # Usage
 //
@@ -28,64 +28,64 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Interval is the time between two looks. A store that dies is asked in vain for
-// as long.
+// Interval is the time between two polls. For up to this long, requests are sent in
+// vain to a store that has died.
 const Interval = time.Second
 
-// Reacher keeps a connection to each address that it reached.
+// Reacher keeps a connection to each address that it has reached.
 type Reacher interface {
-	// Reach reports whether an address can be reached, by the connection that it
-	// keeps or by a new one.
+	// Reach reports whether an address can be reached, through the open connection or
+	// through a new one.
 	Reach(ctx context.Context, address string) bool
-	// Drop closes what is kept for an address.
+	// Drop closes the connection to an address, if there is one.
 	Drop(address string)
 }
 
-// Options are the parts of a Watch. Both are needed.
+// Options configures a Watch. Both fields are required.
 type Options struct {
 	Reacher Reacher
-	// Active reports whether callers are sent to this instance.
+	// Active reports whether this instance serves callers.
 	Active func() bool
 }
 
-// Watch remembers which stores can be reached. It is not safe for concurrent use.
+// Watch tracks which stores can be reached. It is not safe for concurrent use.
 type Watch struct {
-	options Options
-	up      map[string]bool
+	options   Options
+	reachable map[string]bool
 }
 
-// New returns a watch that has seen nothing.
+// New returns a Watch that has not polled any store.
 func New(o Options) *Watch {
-	return &Watch{options: o, up: map[string]bool{}}
+	return &Watch{options: o, reachable: map[string]bool{}}
 }
 
-// Seen is what can be said of a store. Changed says that it is another thing than
-// at the last look.
+// Seen is the state of a store. Changed reports that it differs from the last poll, or
+// that this is the first poll of the store.
 type Seen struct {
 	wasabiridge.KeptCacheSeen
 	Changed bool
 }
 
-// Look returns what can be said of all stores. It tells of each at every look, so
-// that nothing hangs on one event being taken.
+// Look returns the state of all stores, in their order. Every poll includes the
+// unchanged ones, so that a lost event has no lasting effect.
 func (w *Watch) Look(ctx context.Context, stores []wasabiridge.KeptCache) []Seen {
 	active := w.options.Active()
 	listed := make(map[string]bool, len(stores))
 	seen := make([]Seen, 0, len(stores))
 	for _, s := range stores {
 		listed[s.Address] = true
-		up := !active || w.options.Reacher.Reach(ctx, s.Address)
+		reachable := !active || w.options.Reacher.Reach(ctx, s.Address)
 		if !active {
 			w.options.Reacher.Drop(s.Address)
 		}
-		was, known := w.up[s.Address]
-		w.up[s.Address] = up
-		seen = append(seen, Seen{KeptCacheSeen: wasabiridge.KeptCacheSeen{Address: s.Address, Up: up}, Changed: !known || was != up})
+		previous, known := w.reachable[s.Address]
+		w.reachable[s.Address] = reachable
+		seen = append(seen, Seen{KeptCacheSeen: wasabiridge.KeptCacheSeen{Address: s.Address, Up: reachable}, Changed: !known || previous != reachable})
 	}
-	for address := range w.up {
+	for address := range w.reachable {
 		if !listed[address] {
 			w.options.Reacher.Drop(address)
-			delete(w.up, address)
+			delete(w.reachable, address)
 		}
 	}
 	return seen
--- a/internal/wasabikept/watch_test.go
+++ b/internal/wasabikept/watch_test.go
@@ -14,19 +14,18 @@
 
 func TestKept(t *testing.T) { wasabitest.Run(t, "kept") }
 
-// network stands for the stores and the connections of one instance to them.
+// network simulates the stores and the connections of one instance to them.
 type network struct {
-	// idleLooks is after how many looks a store closes a connection on which
-	// nothing is sent.
-	idleLooks int
+	// idlePolls is the number of polls after which a store closes an idle connection.
+	idlePolls int
 	down      map[string]bool
 	age       map[string]int
 	opened    int
 	open      int
 }
 
-func newNetwork(idleLooks int) *network {
-	return &network{idleLooks: idleLooks, down: map[string]bool{}, age: map[string]int{}}
+func newNetwork(idlePolls int) *network {
+	return &network{idlePolls: idlePolls, down: map[string]bool{}, age: map[string]int{}}
 }
 
 // Reach implements wasabikept.Reacher.
@@ -35,7 +34,7 @@
 		n.Drop(address)
 		return false
 	}
-	if age, kept := n.age[address]; kept && age < n.idleLooks {
+	if age, kept := n.age[address]; kept && age < n.idlePolls {
 		n.age[address]++
 		return true
 	}
@@ -70,18 +69,18 @@
 	return wasabikept.Seen{KeptCacheSeen: wasabiridge.KeptCacheSeen{Address: address}, Changed: changed}
 }
 
-var _ = Describe("Connections to the stores of kept cache", func() {
-	// A large deployment: 195 instances, 12 of which callers are sent to, two
-	// stores that close idle connections after ten seconds, 48 s. Operators see
-	// as many new connections as requests, most of them at the stores, because
-	// every instance opened one a second to see whether the store was there.
-	It("do not grow with the instances", func() {
-		const instances, active, looks, requests = 195, 12, 48, 24_500
+var _ = Describe("Connections to the KV cache stores", func() {
+	// A large deployment has 195 instances, 12 of which serve callers, and two stores
+	// that close idle connections after ten seconds; it runs for 48 s. When every
+	// instance opened a connection per second to poll the stores, there were as many
+	// new connections as requests.
+	It("do not grow in number with the instances", func() {
+		const instances, active, polls, requests = 195, 12, 48, 24_500
 		opened := 0
 		for i := range instances {
 			n := newNetwork(10)
 			w := wasabikept.New(wasabikept.Options{Reacher: n, Active: func() bool { return i < active }})
-			for range looks {
+			for range polls {
 				w.Look(context.Background(), stores("kv:1", "kv:2"))
 			}
 			opened += n.opened
@@ -89,25 +88,25 @@
 		Expect(opened).To(BeNumerically("<=", requests/100))
 	})
 
-	// A store crashes, and its clients notice by the connection that they kept.
-	// Prompts must not be sent there until it can be reached again.
-	It("tell once that a store is lost, and once that it is back", func() {
+	// A store crashes, and its clients notice by the open connection. No prompts may be
+	// sent there until it can be reached again.
+	It("report a change once when a store is lost, and once when it is back", func() {
 		n := newNetwork(10)
 		w := wasabikept.New(wasabikept.Options{Reacher: n, Active: func() bool { return true }})
-		look := func() []wasabikept.Seen { return w.Look(context.Background(), stores("kv:1")) }
-		Expect(look()).To(Equal([]wasabikept.Seen{up("kv:1", true)}))
-		Expect(look()).To(Equal([]wasabikept.Seen{up("kv:1", false)}))
+		poll := func() []wasabikept.Seen { return w.Look(context.Background(), stores("kv:1")) }
+		Expect(poll()).To(Equal([]wasabikept.Seen{up("kv:1", true)}))
+		Expect(poll()).To(Equal([]wasabikept.Seen{up("kv:1", false)}))
 		n.down["kv:1"] = true
-		Expect(look()).To(Equal([]wasabikept.Seen{down("kv:1", true)}))
-		Expect(look()).To(Equal([]wasabikept.Seen{down("kv:1", false)}))
+		Expect(poll()).To(Equal([]wasabikept.Seen{down("kv:1", true)}))
+		Expect(poll()).To(Equal([]wasabikept.Seen{down("kv:1", false)}))
 		n.down["kv:1"] = false
-		Expect(look()).To(Equal([]wasabikept.Seen{up("kv:1", true)}))
+		Expect(poll()).To(Equal([]wasabikept.Seen{up("kv:1", true)}))
 	})
 
-	// Callers are sent to another instance of the zone. The connections of the
-	// one that they left must not stay, and when callers come back a store that
-	// died meanwhile is found out at the next look.
-	It("are closed by an instance that callers are not sent to any more", func() {
+	// When callers move to another instance of the availability zone, the connections
+	// of the previous one have to be closed. When the callers return, the next poll has
+	// to notice a store that died in the meantime.
+	It("are closed by an instance that no longer serves callers", func() {
 		n, active := newNetwork(10), true
 		w := wasabikept.New(wasabikept.Options{Reacher: n, Active: func() bool { return active }})
 		w.Look(context.Background(), stores("kv:1", "kv:2"))
@@ -121,7 +120,7 @@
 		Expect(w.Look(context.Background(), stores("kv:1", "kv:2"))).To(Equal([]wasabikept.Seen{up("kv:1", false), down("kv:2", true)}))
 	})
 
-	It("are closed to a store that the configuration does not name any more", func() {
+	It("are closed when the configuration removes the store", func() {
 		n := newNetwork(10)
 		w := wasabikept.New(wasabikept.Options{Reacher: n, Active: func() bool { return true }})
 		w.Look(context.Background(), stores("kv:1", "kv:2"))
