--- a/internal/wasabiending/ending.go
+++ b/internal/wasabiending/ending.go
@@ -1,6 +1,6 @@
-// Package wasabiending tells whether a server whose connection broke has ended: then
-// nothing listens at its address any more. A server that listens on, and a path on which
-// nothing comes back, tell nothing.
+// Package wasabiending checks whether a server whose connection broke has ended, that
+// is, whether nothing listens at its address any more. The check is inconclusive, and
+// reports false, when the server still listens or no reply arrives.
 //
 // # Usage
 //
@@ -20,79 +20,80 @@
 )
 
 const (
-	// dialTimeout bounds the question whether a server still listens, dialAgain is when
-	// one that does is asked once more: its listener may be closed after the connections.
+	// dialTimeout bounds a check. redialDelay is the delay before a second connection
+	// to a server that accepted the first one: its listener may be closed after its
+	// connections.
 	dialTimeout = 100 * time.Millisecond
-	dialAgain   = 10 * time.Millisecond
-	// answerLife is for how long an answer counts, so that all the requests that a server
-	// had ask once. Servers need longer to start.
-	answerLife = 200 * time.Millisecond
+	redialDelay = 10 * time.Millisecond
+	// resultLifetime is how long the result of a check is reused, so that all requests
+	// of a server share one check. Servers take longer than that to start.
+	resultLifetime = 200 * time.Millisecond
 )
 
-// Checker asks each server once for all the requests that it had. The zero value works
-// and is safe for concurrent use.
+// Checker checks each server once for all requests that it had. The zero value is ready
+// to use and safe for concurrent use.
 type Checker struct {
-	mu    sync.Mutex
-	asked map[string]*question
+	mu     sync.Mutex
+	checks map[string]*check
 }
 
-// question is one question about a server. Its answer may be read after done is closed.
-type question struct {
-	at    time.Time
-	done  chan struct{}
-	ended bool
+// check is one check of a server. ended may be read after done is closed.
+type check struct {
+	startedAt time.Time
+	done      chan struct{}
+	ended     bool
 }
 
 // HasEnded reports whether the server at an address, given as IP:port, has ended. It
-// reports false when the context ends before that is known.
+// reports false when the context ends before the result is known.
 func (c *Checker) HasEnded(ctx context.Context, address string) bool {
 	if ctx.Err() != nil {
 		return false
 	}
-	q, first := c.question(address)
+	entry, first := c.check(address)
 	if first {
-		q.ended = refuses(address)
-		close(q.done)
+		entry.ended = refusesConnections(address)
+		close(entry.done)
 	}
 	select {
-	case <-q.done:
-		return q.ended
+	case <-entry.done:
+		return entry.ended
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// question returns the question about an address, and whether the caller is to find its
-// answer.
-func (c *Checker) question(address string) (*question, bool) {
+// check returns the current check of an address, and whether the caller has to perform
+// it.
+func (c *Checker) check(address string) (*check, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for other, q := range c.asked {
-		if time.Since(q.at) >= answerLife {
-			delete(c.asked, other)
+	for other, entry := range c.checks {
+		if time.Since(entry.startedAt) >= resultLifetime {
+			delete(c.checks, other)
 		}
 	}
-	if q := c.asked[address]; q != nil {
-		return q, false
+	if entry := c.checks[address]; entry != nil {
+		return entry, false
 	}
-	if c.asked == nil {
-		c.asked = map[string]*question{}
+	if c.checks == nil {
+		c.checks = map[string]*check{}
 	}
-	q := &question{at: time.Now(), done: make(chan struct{})}
-	c.asked[address] = q
-	return q, true
+	entry := &check{startedAt: time.Now(), done: make(chan struct{})}
+	c.checks[address] = entry
+	return entry, true
 }
 
-// refuses reports whether nothing listens at an address, by a connection that is turned
-// away.
-func refuses(address string) bool {
+// refusesConnections reports whether an address refuses connections, because nothing
+// listens there.
+func refusesConnections(address string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	if dialRefused(ctx, address) {
 		return true
 	}
 	select {
-	case <-time.After(dialAgain):
+	case <-time.After(redialDelay):
 		return dialRefused(ctx, address)
 	case <-ctx.Done():
 		return false
