--- a/internal/wasabidaemon/board.go
+++ b/internal/wasabidaemon/backendstates.go
@@ -6,15 +6,16 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// board keeps the last news of each backend server for operators. It decides
-// nothing. The zero value is empty and safe for concurrent use.
-type board struct {
+// backendStates keeps the latest reported state of each backend server for the
+// operators' API. It has no effect on routing. The zero value is empty and safe
+// for concurrent use.
+type backendStates struct {
 	mu   sync.Mutex
 	seen map[wasabiridge.BackendServerID]wasabiridge.BackendStatus
 }
 
-// take notes one piece of news.
-func (b *board) take(e wasabiridge.Event) {
+// update records an event about a backend server. Other events are ignored.
+func (b *backendStates) update(e wasabiridge.Event) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.seen == nil {
@@ -38,8 +39,9 @@
 	}
 }
 
-// list describes the servers of a configuration in its order.
-func (b *board) list(cfg *wasabiridge.Config) []wasabiridge.BackendStatus {
+// list returns the status of all backend servers of a configuration, in its
+// order. A server that is in several pools is returned once for each.
+func (b *backendStates) list(cfg *wasabiridge.Config) []wasabiridge.BackendStatus {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	all := []wasabiridge.BackendStatus{}
--- a/internal/wasabidaemon/parts.go
+++ b/internal/wasabidaemon/components.go
@@ -28,36 +28,40 @@
 )
 
 const (
-	// attemptBits leaves room for the attempts of one life: identifiers of a
-	// later life, which starts at least a millisecond later, never meet those
-	// of an earlier one as long as a life makes fewer than 2^20 attempts a
-	// millisecond.
+	// attemptBits is the number of low bits of an attempt identifier that count
+	// attempts; the bits above hold the incarnation, which is the start time in
+	// milliseconds. Identifiers of two incarnations do not collide as long as an
+	// incarnation makes fewer than 2^20 attempts per millisecond.
 	attemptBits = 20
-	// newsSize bounds the news of backend servers that wait for the loop. A
-	// full ring drops the oldest and counts it.
-	newsSize = 4096
-	// eventStreams bounds the cache event streams that are followed. At the
-	// target size an instance cannot afford those of all replicas.
+	// eventRingSize is the number of events about backend servers that can wait
+	// for the decision loop. A full ring drops its oldest event and counts it.
+	eventRingSize = 4096
+	// eventStreams limits the cache event streams that are read. At the target
+	// size, an instance does not have the resources to read those of all
+	// replicas.
 	eventStreams = 64
-	// instancesInterval is how often the number of instances is looked at.
+	// instancesInterval is how often the number of instances is polled.
 	instancesInterval = time.Second
-	// secretBytes is the size of a secret that nobody else needs to know.
+	// secretBytes is the size of a generated secret that is not shared with other
+	// instances.
 	secretBytes = 32
 )
 
-// parts are what a daemon is made of.
-type parts struct {
+// components are the parts of a daemon. Those that need a service of the platform
+// or a listener are nil without it.
+type components struct {
 	platform wasabiplatform.Platform
 	timeline *wasabitimeline.Log
 	metrics  *wasabimetrics.Set
 	loop     *wasabiloop.Loop
-	news     *wasabibackend.Ring
-	intake   *wasabibackend.Intake
-	runner   *wasabibackend.Runner
-	claims   *wasabiclaim.Keeper
-	// quarantine keeps requests from servers that would end under them.
+	// backendEvents holds the events that intake puts in and that wait for loop.
+	backendEvents *wasabibackend.Ring
+	intake        *wasabibackend.Intake
+	runner        *wasabibackend.Runner
+	claims        *wasabiclaim.Keeper
+	// quarantine blocks requests that crash the backend servers that run them.
 	quarantine *wasabiquarantine.Keeper
-	// quota keeps client accounts to their limits.
+	// quota enforces the limits of client accounts.
 	quota    *wasabiquota.Keeper
 	outcomes *wasabioutcome.Recorder
 	config   *wasabiconfig.Keeper
@@ -67,10 +71,10 @@
 	gateway  *wasabigateway.Gateway
 }
 
-// join makes the parts and lets them know each other.
-func (d *Daemon) join() error {
+// assemble creates the components and connects them.
+func (d *Daemon) assemble() error {
 	s := d.options.Settings
-	p := &d.parts
+	p := &d.components
 	if s.Platform != nil {
 		p.platform = wasabiplatform.Connect(*s.Platform, d.options.Clock)
 	}
@@ -81,16 +85,16 @@
 	p.loop = d.newLoop()
 	p.quarantine.Join(p.loop)
 	p.quota.Join(p.loop)
-	if err := d.joinPeers(); err != nil {
+	if err := d.setUpPeers(); err != nil {
 		return err
 	}
-	p.news = wasabibackend.NewRing(newsSize)
+	p.backendEvents = wasabibackend.NewRing(eventRingSize)
 	p.intake = wasabibackend.NewIntake(wasabibackend.IntakeOptions{
-		Clock: d.options.Clock, Ring: p.news, Seed: d.seed, EventStreams: eventStreams,
+		Clock: d.options.Clock, Ring: p.backendEvents, Seed: d.seed, EventStreams: eventStreams,
 	})
-	d.joinClaims()
-	d.joinOutcomes()
-	d.joinConfig()
+	d.setUpClaims()
+	d.setUpOutcomes()
+	d.setUpConfig()
 	p.book = wasabiaddress.New(wasabiaddress.Options{
 		Self:     d.self(),
 		Members:  d.members,
@@ -102,7 +106,8 @@
 	return d.loadConfig()
 }
 
-// self describes this instance to callers and to other instances.
+// self returns the entry that describes this instance to callers and to other
+// instances.
 func (d *Daemon) self() wasabiridge.InstanceEntry {
 	s := d.options.Settings
 	return wasabiridge.InstanceEntry{
@@ -114,27 +119,28 @@
 func (d *Daemon) newQuarantine() *wasabiquarantine.Keeper {
 	return wasabiquarantine.NewKeeper(wasabiquarantine.KeeperOptions{
 		Self: d.options.Settings.Instance, Incarnation: d.incarnation, Clock: d.options.Clock, Seed: d.seed,
-		Log: wasabilog.Part(d.log, "quarantine"), Members: d.members, Tell: d.tellNews, Rows: d.parts.platform.Table,
+		Log: wasabilog.Part(d.log, "quarantine"), Members: d.members, Tell: d.sendUpdate, Rows: d.components.platform.Table,
 	})
 }
 
 func (d *Daemon) newQuota() *wasabiquota.Keeper {
 	o := wasabiquota.KeeperOptions{
 		Self: d.options.Settings.Instance, Incarnation: d.incarnation, Clock: d.options.Clock,
-		Log: wasabilog.Part(d.log, "quota"), Members: d.members, Rows: d.parts.platform.Table,
+		Log: wasabilog.Part(d.log, "quota"), Members: d.members, Rows: d.components.platform.Table,
 	}
 	if d.options.Settings.Peer.Listen != "" {
-		o.Tell = d.tellNews
+		o.Tell = d.sendUpdate
 	}
 	return wasabiquota.NewKeeper(o)
 }
 
-// tellNews hands news to another instance. Without a peer listener there is none.
-func (d *Daemon) tellNews(ctx context.Context, address string, n wasabiridge.News) error {
-	if d.parts.peers.client == nil {
+// sendUpdate sends a state update to the instance at a peer address. It returns
+// errNotReady when this instance has no peer listener and so no peers.
+func (d *Daemon) sendUpdate(ctx context.Context, address string, n wasabiridge.News) error {
+	if d.components.peers.client == nil {
 		return errNotReady
 	}
-	return d.parts.peers.client.TellNews(ctx, address, n)
+	return d.components.peers.client.TellNews(ctx, address, n)
 }
 
 func (d *Daemon) newLoop() *wasabiloop.Loop {
@@ -148,48 +154,49 @@
 	core := wasabicore.New(wasabicore.Options{
 		Placer:       placer,
 		Limiter:      limiter,
-		Quarantine:   d.parts.quarantine.Table(),
-		Quota:        d.parts.quota.Table(),
+		Quarantine:   d.components.quarantine.Table(),
+		Quota:        d.components.quota.Table(),
 		Instance:     d.options.Settings.Instance,
 		FirstAttempt: wasabiridge.AttemptID(d.incarnation) << attemptBits,
 	})
 	return wasabiloop.New(wasabiloop.Options{
 		Decider:  core,
 		Clock:    d.options.Clock,
-		Recorder: d.parts.timeline,
+		Recorder: d.components.timeline,
 		Ring:     d.options.Settings.Limits.Ring,
 	})
 }
 
-// joinClaims sets up the keeper of claims. Without a table it is left out, and
-// requests that run at most once are refused as not run.
-func (d *Daemon) joinClaims() {
-	if d.options.Claimer != nil || d.parts.platform.Table == nil {
+// setUpClaims creates the claim keeper, unless the options contain a claimer. It
+// needs the platform's table; without a claimer, requests that must run at most
+// once are refused with the disposition not_run.
+func (d *Daemon) setUpClaims() {
+	if d.options.Claimer != nil || d.components.platform.Table == nil {
 		return
 	}
-	d.parts.claims = wasabiclaim.New(wasabiclaim.Options{
+	d.components.claims = wasabiclaim.New(wasabiclaim.Options{
 		Self:        d.options.Settings.Instance,
 		Incarnation: d.incarnation,
 		Secret:      d.ticketSecret(),
-		Table:       d.parts.platform.Table,
+		Table:       d.components.platform.Table,
 		Peers:       d.peerClient(),
 		Clock:       d.options.Clock,
 		Locate:      d.locate,
 		Instances:   func() int { return len(d.members()) + 1 },
-		Recorder:    d.parts.timeline,
+		Recorder:    d.components.timeline,
 	})
-	d.options.Claimer = d.parts.claims
+	d.options.Claimer = d.components.claims
 }
 
-// ticketSecret returns what authenticates tickets. Alone, an instance needs no
-// secret that others know.
+// ticketSecret returns the secret that authenticates tickets: the secret shared by
+// all instances, or a random one when none is set, as for a single instance.
 func (d *Daemon) ticketSecret() []byte {
-	if len(d.parts.peers.secret) > 0 {
-		return d.parts.peers.secret
+	if len(d.components.peers.secret) > 0 {
+		return d.components.peers.secret
 	}
 	secret := make([]byte, secretBytes)
-	// Read never fails; it ends the program when the system has no
-	// randomness.
+	// rand.Read never returns an error; it crashes the program when the system
+	// provides no random data.
 	_, _ = rand.Read(secret)
 	return secret
 }
@@ -201,76 +208,76 @@
 	return d.options.Claimer.Ticket
 }
 
-func (d *Daemon) joinOutcomes() {
-	if d.parts.platform.Objects == nil {
+func (d *Daemon) setUpOutcomes() {
+	if d.components.platform.Objects == nil {
 		return
 	}
-	d.parts.outcomes = wasabioutcome.New(wasabioutcome.Options{
+	d.components.outcomes = wasabioutcome.New(wasabioutcome.Options{
 		Instance:    d.options.Settings.Instance,
 		Incarnation: d.incarnation,
 		Clock:       d.options.Clock,
-		Store:       d.parts.platform.Objects,
+		Store:       d.components.platform.Objects,
 		Seed:        d.seed,
 	})
 }
 
-// joinConfig sets up the keepers of the configuration and of rollouts, which
-// both live in the platform's table.
-func (d *Daemon) joinConfig() {
-	if d.parts.platform.Table == nil {
+// setUpConfig creates the keepers of the configuration and of rollouts, both of
+// which are stored in the platform's table.
+func (d *Daemon) setUpConfig() {
+	if d.components.platform.Table == nil {
 		return
 	}
-	d.parts.config = wasabiconfig.NewKeeper(wasabiconfig.Options{
+	d.components.config = wasabiconfig.NewKeeper(wasabiconfig.Options{
 		Self:        d.options.Settings.Instance,
 		Incarnation: d.incarnation,
 		Clock:       d.options.Clock,
-		Table:       d.parts.platform.Table,
+		Table:       d.components.platform.Table,
 		Peers:       d.peerClient(),
 		Membership:  membership{daemon: d},
 		Adopted:     d.Adopt,
 		Log:         wasabilog.Part(d.log, "config"),
 		Seed:        d.seed,
 	})
-	d.parts.rollouts = wasabirollout.New(wasabirollout.Options{
+	d.components.rollouts = wasabirollout.New(wasabirollout.Options{
 		Self:        d.options.Settings.Instance,
 		Incarnation: d.incarnation,
-		Table:       d.parts.platform.Table,
+		Table:       d.components.platform.Table,
 		Clock:       d.options.Clock,
-		Weights:     d.parts.platform.Weights,
+		Weights:     d.components.platform.Weights,
 		Engines:     wasabiorder.NewClient(nil),
 		Config:      func() wasabiridge.Config { return *d.current() },
-		Recorder:    d.parts.timeline,
+		Recorder:    d.components.timeline,
 	})
 }
 
 func (d *Daemon) newGateway() *wasabigateway.Gateway {
 	runner := d.options.Runner
 	if runner == nil {
-		d.parts.runner = wasabibackend.New(wasabibackend.Options{})
-		runner = d.parts.runner
+		d.components.runner = wasabibackend.New(wasabibackend.Options{})
+		runner = d.components.runner
 	}
 	o := wasabigateway.Options{
 		Instance:    d.options.Settings.Instance,
 		Incarnation: d.incarnation,
 		Clock:       d.options.Clock,
 		Log:         wasabilog.Part(d.log, "gateway"),
-		Loop:        d.parts.loop,
+		Loop:        d.components.loop,
 		Runner:      runner,
 		Config:      d.current,
 		Names:       wasabifingerprint.New(d.ticketSecret()),
 		Claimer:     d.options.Claimer,
-		Addresses:   d.parts.book,
+		Addresses:   d.components.book,
 		Limits:      d.options.Settings.Limits,
 		Leaving:     d.leaving.Load,
 	}
-	if d.parts.outcomes != nil {
-		o.Outcomes = d.parts.outcomes
+	if d.components.outcomes != nil {
+		o.Outcomes = d.components.outcomes
 	}
 	return wasabigateway.New(o)
 }
 
-// close ends what holds goroutines or connections.
-func (p *parts) close() {
+// close closes the components that hold goroutines or connections.
+func (p *components) close() {
 	p.peers.close()
 	if p.intake != nil {
 		p.intake.Close()
--- a/internal/wasabidaemon/config.go
+++ b/internal/wasabidaemon/config.go
@@ -8,27 +8,30 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabirule"
 )
 
-// inForce is a configuration and where it came from. The zero value stands
-// for none.
-type inForce struct {
+// adoptedConfig is a configuration and its source. The zero value means that no
+// configuration has been adopted.
+type adoptedConfig struct {
 	config wasabiridge.Config
-	// fromFile says that it came from the file that the settings name.
-	// Whatever the platform or a peer has stands above it.
+	// fromFile is set for the configuration from the file named in the settings.
+	// Every configuration from the platform or from a peer replaces it,
+	// whatever their versions.
 	fromFile bool
 }
 
-// current returns the configuration in force for the gateway.
+// current returns the configuration in force. Its version is zero when none has
+// been adopted.
 func (d *Daemon) current() *wasabiridge.Config {
 	return &d.config.Load().config
 }
 
-// Adopt puts a configuration in force. An older one than that in force is
-// ignored.
+// Adopt puts a configuration from the platform or from a peer in force. It is
+// ignored unless its version is higher than that of the configuration in force;
+// a configuration from the file is always replaced.
 func (d *Daemon) Adopt(cfg wasabiridge.Config) {
-	d.adopt(&inForce{config: cfg})
+	d.adopt(&adoptedConfig{config: cfg})
 }
 
-func (d *Daemon) adopt(next *inForce) {
+func (d *Daemon) adopt(next *adoptedConfig) {
 	for {
 		now := d.config.Load()
 		if next.fromFile && now.config.Version > 0 || !now.fromFile && next.config.Version <= now.config.Version {
@@ -38,16 +41,16 @@
 			break
 		}
 	}
-	d.parts.loop.Post(wasabiridge.ConfigAdopted{Config: next.config})
-	d.parts.intake.Watch(engines(next.config))
-	if d.parts.peers.members != nil && !next.fromFile {
-		d.parts.peers.members.SetConfig(next.config.Version)
+	d.components.loop.Post(wasabiridge.ConfigAdopted{Config: next.config})
+	d.components.intake.Watch(engines(next.config))
+	if d.components.peers.members != nil && !next.fromFile {
+		d.components.peers.members.SetConfig(next.config.Version)
 	}
 	d.log.Info().Uint64("version", uint64(next.config.Version)).Msg("Configuration adopted.")
 }
 
-// engines lists the model engines of all pools. A server that stands in two
-// pools is listed once.
+// engines returns the model engines of all pools. An engine that is in several
+// pools is returned once.
 func engines(cfg wasabiridge.Config) []wasabiridge.BackendServer {
 	var all []wasabiridge.BackendServer
 	seen := map[wasabiridge.BackendServerID]bool{}
@@ -62,15 +65,17 @@
 	return all
 }
 
-// fileGrace is how long a start waits for the platform or a peer before it
-// serves by the file. The file may be older than what was accepted since it was
-// written; a restart that used it at once would revert the configuration until
-// the first answer of the platform. When neither answers in time, serving by
-// the file goes before not serving.
-const fileGrace = 75 * wasabiridge.Millis(1)
+// fileFallbackDelay is how long a starting daemon waits for a configuration from
+// the platform or a peer before it adopts the one from the file. Newer
+// configurations may have been accepted since the file was written, and a
+// restart that adopted the file at once would revert to it until the platform
+// answered. If neither the platform nor a peer answers in time, serving with the
+// configuration from the file is better than not serving.
+const fileFallbackDelay = 75 * wasabiridge.Millis(1)
 
-// loadConfig takes the configuration from the file that the settings name, if
-// they name one.
+// loadConfig reads the configuration file, if the settings name one, and adopts
+// it: at once when there is no platform, otherwise after fileFallbackDelay. It
+// returns ErrInvalid when the file cannot be read.
 func (d *Daemon) loadConfig() error {
 	file := d.options.Settings.ConfigFile
 	if file == "" {
@@ -79,7 +84,7 @@
 	var text []byte
 	var err error
 	if text, err = os.ReadFile(file); err != nil {
-		return wasabiridge.ErrInvalid.Wrap(err, "daemon: configuration file")
+		return wasabiridge.ErrInvalid.Wrap(err, "daemon: cannot read the configuration file")
 	}
 	var cfg wasabiridge.Config
 	if cfg, err = wasabirule.Parse(text); err != nil {
@@ -88,19 +93,20 @@
 	if cfg.Version == 0 {
 		cfg = cfg.WithVersion(1)
 	}
-	next := &inForce{config: cfg, fromFile: true}
-	if d.parts.config == nil {
+	next := &adoptedConfig{config: cfg, fromFile: true}
+	if d.components.config == nil {
 		d.adopt(next)
 		return nil
 	}
-	time.AfterFunc(fileGrace.Duration(), func() { d.adoptFile(next) })
+	time.AfterFunc(fileFallbackDelay.Duration(), func() { d.adoptFallback(next) })
 	return nil
 }
 
-// adoptFile puts the file's configuration in force when no other one came.
-func (d *Daemon) adoptFile(next *inForce) {
+// adoptFallback adopts the configuration from the file if no other one has been
+// adopted yet.
+func (d *Daemon) adoptFallback(next *adoptedConfig) {
 	if d.current().Version == 0 {
-		d.log.Warn().Msg("Neither platform nor peers gave a configuration in time; using the file.")
+		d.log.Warn().Msg("No configuration from the platform or from peers in time; using the configuration file.")
 		d.adopt(next)
 	}
 }
--- a/internal/wasabidaemon/crash_test.go
+++ b/internal/wasabidaemon/crash_test.go
@@ -17,14 +17,15 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabisettings"
 )
 
-// Story: a program sends a chat that ends every engine that runs it, and sends it again
-// after each failure, to any router. Engine after engine ends, until none is left for
-// anybody. The cause is that of requests on the users' platform; here nothing asked at
-// all. Proof: with eight engines and eight sends at two routers all engines end.
-var _ = Describe("a chat that ends every engine that runs it", func() {
+// Guards against one request that crashes all engines of a pool: it crashes every
+// engine that runs it, and its caller repeats it after each failure at any router.
+// Without the quarantine, eight sends to two routers crash all eight engines.
+// The cause is the same as for requests on the users' platform, except that this
+// daemon did not query the quarantine at all.
+var _ = Describe("a chat that crashes every engine that runs it", func() {
 	const fatal, allowed, further = "ends engines", 3, 3
 
-	It("is not sent on from engine to engine, by any router", func() {
+	It("is not sent to one engine after another by any router", func() {
 		var engines []*wasabiengine.Engine
 		for i := range 8 {
 			engines = append(engines, startEngine(wasabiengine.Options{Spec: wasabifake.Spec{ID: wasabiridge.BackendServerID(fmt.Sprint("e", i))}, CrashOn: fatal}))
@@ -34,7 +35,7 @@
 		file := writeConfig(engines...)
 		settings := func(id string) wasabisettings.Settings {
 			return wasabisettings.Settings{
-				Instance: wasabiridge.InstanceID(id), ConfigFile: file, Drain: short, Operator: operators,
+				Instance: wasabiridge.InstanceID(id), ConfigFile: file, Drain: shortDrain, Operator: operators,
 				Peer: wasabisettings.PeerListener{Listen: "127.0.0.1:0", SecretFile: secret},
 			}
 		}
@@ -42,25 +43,25 @@
 		two := settings("pos-2")
 		two.Peer.Seeds = []wasabisettings.Seed{{Instance: "pos-1", Address: first.Entry().PeerAddress}}
 		second := startDaemon(wasabidaemon.Options{Settings: two})
-		Eventually(func() int { return len(addresses(first.URL()).Addresses) }, patience).Should(Equal(2))
-		proper := func(d *wasabidaemon.Daemon) int {
+		Eventually(func() int { return len(addresses(first.URL()).Addresses) }, eventuallyTimeout).Should(Equal(2))
+		sendHarmless := func(d *wasabidaemon.Daemon) int {
 			return post(d.URL(), `{"model":"m","max_tokens":3,"messages":[{"role":"user","content":"Code 17?"}]}`).StatusCode
 		}
 		var last *http.Response
 		for i := range 8 {
 			last = post([]*wasabidaemon.Daemon{first, second}[i%2].URL(), `{"model":"m","max_tokens":3,"messages":[{"role":"user","content":"`+fatal+`"}]}`)
-			// Routers hear of each other within this time.
+			// Routers receive each other's state updates within this time.
 			time.Sleep(150 * time.Millisecond)
 		}
-		ended := 0
+		crashes := 0
 		for _, e := range engines {
-			ended += e.Ends()
+			crashes += e.Ends()
 		}
-		Expect(ended).To(BeNumerically("<=", allowed+further))
+		Expect(crashes).To(BeNumerically("<=", allowed+further))
 		Expect(last.StatusCode).To(Equal(http.StatusUnprocessableEntity))
-		Expect(last.Header.Get("Retry-After")).To(BeEmpty(), "it is not invited back")
+		Expect(last.Header.Get("Retry-After")).To(BeEmpty(), "the caller is not asked to retry")
 		Expect(last.Header.Get("Wasabi-Disposition")).To(Equal("not_run"))
-		Expect(proper(first)).To(Equal(http.StatusOK))
-		Expect(proper(second)).To(Equal(http.StatusOK))
+		Expect(sendHarmless(first)).To(Equal(http.StatusOK))
+		Expect(sendHarmless(second)).To(Equal(http.StatusOK))
 	})
 })
--- a/internal/wasabidaemon/daemon.go
+++ b/internal/wasabidaemon/daemon.go
@@ -1,13 +1,14 @@
-// Package wasabidaemon joins all parts of a router into one process: the
-// listeners, the loop of decisions, the gateway and the controllers that keep
-// claims, outcomes, configuration and the picture of the backend servers.
+// Package wasabidaemon assembles a router process from its components: the
+// listeners, the decision loop, the gateway, and the controllers for claims,
+// outcomes, the configuration and the state of backend servers.
 //
-// # Life
+// # Life cycle
 //
-// A daemon serves as soon as it knows a configuration from any source; it
-// waits for nothing else. On Drain it takes itself out of address answers at
-// once, goes on accepting requests until the last answer that named it has
-// expired, then finishes what it has and ends. Settings bound the whole.
+// A daemon serves requests as soon as it has a configuration from any source; it
+// waits for nothing else. Drain removes it from address answers at once. It
+// accepts requests until the last address answer that contained it has expired,
+// then finishes the open requests and ends. The settings limit the duration of
+// the drain.
 //
 // # Usage
 //
@@ -39,26 +40,26 @@
 )
 
 const (
-	// drainMargin covers the time an address answer is on its way.
+	// drainMargin allows for the time that an address answer is in flight.
 	drainMargin = wasabiridge.Second / 2
-	// endTimeout bounds how long the last writes to the platform may take
-	// after the last request was answered.
+	// endTimeout limits the last writes to the platform after the last request
+	// was answered, and the closing of the peer server.
 	endTimeout = 10 * time.Second
 )
 
-// Options are the parts of a daemon. Settings are needed; every other zero
-// value stands for the usual part.
+// Options configure a daemon. Settings is required. A zero value elsewhere
+// selects the default component.
 type Options struct {
 	Settings wasabisettings.Settings
 	Clock    wasabiridge.Clock
-	// Log is where log lines go. Nil drops them.
+	// Log receives the log lines. Nil discards them.
 	Log     io.Writer
 	Runner  wasabiridge.AttemptRunner
 	Placer  wasabiridge.Placer
 	Limiter wasabiridge.Limiter
-	// Claimer decides on requests that run at most once.
+	// Claimer decides whether a request that must run at most once may run.
 	Claimer wasabiridge.Claimer
-	// Members returns what is known of the other instances.
+	// Members returns the other instances in the membership view.
 	Members func() []wasabiridge.Member
 }
 
@@ -69,25 +70,25 @@
 	incarnation wasabiridge.Incarnation
 	started     wasabiridge.Millis
 	seed        uint64
-	parts       parts
-	board       board
-	config      atomic.Pointer[inForce]
+	components  components
+	backends    backendStates
+	config      atomic.Pointer[adoptedConfig]
 	caller      *listener
 	operator    *listener
 	leaving     atomic.Bool
-	drain       sync.Once
-	// drained is closed when the last answer that named this instance has
-	// expired.
+	drainOnce   sync.Once
+	// drained is closed when the last address answer that contained this
+	// instance has expired.
 	drained chan struct{}
-	// duties are the goroutines of the controllers. They end after the last
-	// request.
-	duties sync.WaitGroup
-	end    context.CancelFunc
+	// tasks counts the goroutines of the controllers, which end after the last
+	// request. stopTasks cancels their context.
+	tasks     sync.WaitGroup
+	stopTasks context.CancelFunc
 }
 
-// New opens the listeners and starts the decisions. It reports ErrInvalid for
-// settings that cannot be used and ErrUnavailable for an address that is
-// taken.
+// New opens the listeners and starts the decision loop. It returns ErrInvalid for
+// settings that cannot be used and ErrUnavailable for an address that it cannot
+// listen on.
 func New(o Options) (*Daemon, error) {
 	if o.Clock == nil {
 		o.Clock = wasabiclock.System()
@@ -106,11 +107,11 @@
 		d.seed = rand.Uint64()
 	}
 	d.log = wasabilog.New(o.Log, o.Settings.LogLevel).With().Str(wasabilog.InstanceField, string(o.Settings.Instance)).Logger()
-	d.config.Store(&inForce{})
+	d.config.Store(&adoptedConfig{})
 	if err := d.listen(); err != nil {
 		return nil, err
 	}
-	if err := d.join(); err != nil {
+	if err := d.assemble(); err != nil {
 		d.close()
 		return nil, err
 	}
@@ -129,34 +130,35 @@
 	return err
 }
 
-// close gives up what New has opened.
+// close closes the listeners and the components.
 func (d *Daemon) close() {
 	d.caller.close()
 	d.operator.close()
-	d.parts.close()
+	d.components.close()
 }
 
-// start runs a duty until the daemon ends.
-func (d *Daemon) start(ctx context.Context, duty func(context.Context)) {
-	d.duties.Add(1)
+// startTask runs a task in a goroutine. The task must return when the context is
+// done, which happens after the last request.
+func (d *Daemon) startTask(ctx context.Context, task func(context.Context)) {
+	d.tasks.Add(1)
 	go func() {
-		defer d.duties.Done()
-		duty(ctx)
+		defer d.tasks.Done()
+		task(ctx)
 	}()
 }
 
-// URL returns where callers reach this instance.
+// URL returns the URL of the callers' listener.
 func (d *Daemon) URL() string {
 	return d.caller.url
 }
 
-// Entry describes this instance as the platform's list would.
+// Entry returns this instance as an entry of the platform's list of instances.
 func (d *Daemon) Entry() wasabiridge.InstanceEntry {
 	return d.self()
 }
 
-// OperatorURL returns where operators reach this instance, or nothing when
-// the listener is off.
+// OperatorURL returns the URL of the operators' listener, or the empty string
+// when the listener is off.
 func (d *Daemon) OperatorURL() string {
 	if d.operator == nil {
 		return ""
@@ -164,18 +166,19 @@
 	return d.operator.url
 }
 
-// Timeline returns the time line of this instance.
+// Timeline returns the time line that this instance records.
 func (d *Daemon) Timeline() *wasabitimeline.Log {
-	return d.parts.timeline
+	return d.components.timeline
 }
 
-// Run serves until the daemon is drained. It returns nil when no request was
-// cut.
+// Run serves until the daemon is drained. It returns nil when all requests were
+// finished, and ErrUnavailable when open requests were aborted because the drain
+// limit expired or when the callers' listener failed.
 func (d *Daemon) Run() error {
 	var ctx context.Context
-	ctx, d.end = context.WithCancel(context.Background())
-	d.startDuties(ctx)
-	server := d.newServer("caller", d.parts.gateway)
+	ctx, d.stopTasks = context.WithCancel(context.Background())
+	d.startTasks(ctx)
+	server := d.newServer("caller", d.components.gateway)
 	failed := make(chan error, 1)
 	go func() { failed <- server.Serve(d.caller.socket) }()
 	operator := d.serveOperators()
@@ -198,46 +201,48 @@
 		Handler:           h,
 		ReadHeaderTimeout: limits.HeaderTimeout.Duration(),
 		IdleTimeout:       limits.IdleTimeout.Duration(),
-		// The gateway turns down large headers itself, in the shape of the
-		// API. This limit holds against what is larger by far.
+		// The gateway rejects headers beyond HeaderBytes itself, with an error
+		// response of the API. This limit only stops headers far larger than
+		// that.
 		MaxHeaderBytes: 2 * limits.HeaderBytes,
 		ErrorLog:       wasabilog.ServerErrors(wasabilog.Part(d.log, part)),
 	}
 }
 
-// Drain makes the daemon leave. It returns at once; Run returns when the last
-// request is answered. A second call changes nothing: an impatient operator
-// or supervisor must not cut a stream.
+// Drain starts to drain the daemon. It returns at once; Run returns when the last
+// request has been answered. Further calls have no effect, so that an operator or
+// a supervisor that repeats the call does not abort a stream.
 func (d *Daemon) Drain(context.Context) error {
-	d.drain.Do(func() {
+	d.drainOnce.Do(func() {
 		d.leaving.Store(true)
-		d.parts.book.Leave()
-		if d.parts.peers.members != nil {
-			d.parts.peers.members.Leave(context.Background())
+		d.components.book.Leave()
+		if d.components.peers.members != nil {
+			d.components.peers.members.Leave(context.Background())
 		}
-		d.parts.timeline.Record(wasabiridge.TimelineEvent{Kind: wasabiridge.EventLifecycle, Cause: "leaving"})
-		d.log.Info().Msg("Leaving; still accepting.")
+		d.components.timeline.Record(wasabiridge.TimelineEvent{Kind: wasabiridge.EventLifecycle, Cause: "leaving"})
+		d.log.Info().Msg("Draining; accepting requests until the address answers have expired.")
 		wait := d.options.Settings.Drain.WithDefaults().AnswerLifetime + drainMargin
 		time.AfterFunc(wait.Duration(), func() { close(d.drained) })
 	})
 	return nil
 }
 
-// finish ends the process after its last request. Requests that are open when
-// the limit passes are cut and reported.
+// finish waits for the open requests and stops the components. Requests that are
+// still open when the drain limit expires are aborted, and finish returns
+// ErrUnavailable.
 func (d *Daemon) finish(server *http.Server) error {
 	drain := d.options.Settings.Drain.WithDefaults()
 	ctx, cancel := context.WithTimeout(context.Background(), (drain.Limit - drain.AnswerLifetime).Duration())
 	defer cancel()
 	err := server.Shutdown(ctx)
 	if err != nil {
-		d.log.Error().Int("open", d.parts.gateway.Open()).Msg("Drain limit passed; open requests are cut.")
+		d.log.Error().Int("open", d.components.gateway.Open()).Msg("Drain limit expired; aborting the open requests.")
 		_ = server.Close()
 		err = wasabiridge.ErrUnavailable.New("daemon: drain limit passed with open requests")
 	}
-	d.parts.gateway.Wait()
-	d.endDuties()
-	d.parts.close()
+	d.components.gateway.Wait()
+	d.finishTasks()
+	d.components.close()
 	d.log.Info().Msg("Ended.")
 	return err
 }
--- a/internal/wasabidaemon/daemon_test.go
+++ b/internal/wasabidaemon/daemon_test.go
@@ -33,7 +33,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// startEngine starts a stand-in of a model engine on a port of its own.
+// startEngine starts a stand-in for a model engine on a free port. It is closed
+// when the spec ends.
 func startEngine(o wasabiengine.Options) *wasabiengine.Engine {
 	GinkgoHelper()
 	o.Clock = wasabiclock.System()
@@ -43,7 +44,8 @@
 	return e
 }
 
-// writeConfig writes a configuration with one pool of engines.
+// writeConfig writes a configuration with one pool of engines to a temporary file
+// and returns its name.
 func writeConfig(engines ...*wasabiengine.Engine) string {
 	GinkgoHelper()
 	pool := wasabiridge.Pool{ID: "answer"}
@@ -61,7 +63,7 @@
 	return file
 }
 
-// startDaemon runs a daemon until the test ends.
+// startDaemon starts a daemon that is drained when the spec ends.
 func startDaemon(o wasabidaemon.Options) *wasabidaemon.Daemon {
 	GinkgoHelper()
 	d, ended := runDaemon(o)
@@ -72,10 +74,11 @@
 	return d
 }
 
-// short lets a daemon end soon.
-var short = wasabisettings.Drain{AnswerLifetime: 1}
+// shortDrain makes a drain end almost immediately.
+var shortDrain = wasabisettings.Drain{AnswerLifetime: 1}
 
-// runDaemon is startDaemon for tests that watch the end.
+// runDaemon starts a daemon without draining it at the end of the spec. The
+// channel receives the result of Run.
 func runDaemon(o wasabidaemon.Options) (*wasabidaemon.Daemon, <-chan error) {
 	GinkgoHelper()
 	if o.Settings.Instance == "" {
@@ -105,11 +108,11 @@
 }
 
 var _ = Describe("a router", func() {
-	It("streams an answer from settings to the time line", func() {
+	It("streams an answer of an engine and records the request in the time line", func() {
 		engine := startEngine(wasabiengine.Options{Spec: wasabifake.Spec{ID: "e1"}})
 		d := startDaemon(wasabidaemon.Options{Settings: wasabisettings.Settings{
 			ConfigFile: writeConfig(engine),
-			Drain:      short,
+			Drain:      shortDrain,
 		}})
 		resp := post(d.URL(), `{"model":"m","stream":true,"max_tokens":4,"messages":[{"role":"user","content":"Code 17?"}]}`)
 		text, err := io.ReadAll(resp.Body)
--- a/internal/wasabidaemon/drain_test.go
+++ b/internal/wasabidaemon/drain_test.go
@@ -20,7 +20,7 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabisettings"
 )
 
-// newRequest builds a request with the key of the tests.
+// newRequest builds a request that is authorized with testKey.
 func newRequest(method, url, body string) *http.Request {
 	GinkgoHelper()
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
@@ -29,8 +29,9 @@
 	return req
 }
 
-// streamWhole reads one stream and reports whether it came whole.
-func streamWhole(client *http.Client, url, body string) bool {
+// streamComplete requests one stream and reports whether it was received
+// completely.
+func streamComplete(client *http.Client, url, body string) bool {
 	resp, err := client.Do(newRequest(http.MethodPost, url+"/v1/chat/completions", body))
 	if err != nil {
 		return false
@@ -52,11 +53,11 @@
 
 const longStream = `{"model":"m","stream":true,"max_tokens":20,"messages":[{"role":"user","content":"Code 17?"}]}`
 
-var _ = Describe("a router that leaves", func() {
-	// An operator replaces an instance. Vans have streams open and keep its
-	// address for a while. Nobody may see a cut answer or a refused
-	// connection, and a second SIGTERM must not hurry it.
-	It("cuts no stream and refuses nobody who holds a valid address answer", func() {
+var _ = Describe("a router that drains", func() {
+	// Guards against aborted streams and refused connections when an operator
+	// replaces an instance while callers have open streams and still use its
+	// address. A second request to drain must not shorten the drain.
+	It("aborts no stream and refuses no caller that holds a valid address answer", func() {
 		engine := startEngine(wasabiengine.Options{Spec: wasabifake.Spec{ID: "e1", Slots: 200, Decode: 20}})
 		d, ended := runDaemon(wasabidaemon.Options{
 			Settings: wasabisettings.Settings{ConfigFile: writeConfig(engine), Drain: wasabisettings.Drain{AnswerLifetime: 2000}},
@@ -69,7 +70,7 @@
 		Expect(answer.Addresses[0].URL).To(Equal(d.URL()))
 
 		var callers sync.WaitGroup
-		var cut, whole atomic.Int32
+		var broken, complete atomic.Int32
 		expired := make(chan struct{})
 		for range 20 {
 			callers.Add(1)
@@ -78,10 +79,10 @@
 				client := &http.Client{Transport: &http.Transport{}}
 				defer client.CloseIdleConnections()
 				for open := true; open; {
-					if streamWhole(client, d.URL(), longStream) {
-						whole.Add(1)
+					if streamComplete(client, d.URL(), longStream) {
+						complete.Add(1)
 					} else {
-						cut.Add(1)
+						broken.Add(1)
 					}
 					select {
 					case <-expired:
@@ -95,26 +96,26 @@
 		Expect(d.Drain(context.Background())).To(Succeed())
 		Expect(addresses(d.URL()).Addresses).To(HaveExactElements(HaveField("Zone", wasabiridge.AvailabilityZone("arima"))))
 		Expect(d.Drain(context.Background())).To(Succeed())
-		// Callers stop well before the answers that they hold expire, so that
-		// a busy machine does not make them late.
-		beforeDrain := whole.Load()
-		Eventually(whole.Load).Should(BeNumerically(">", beforeDrain+20))
+		// Callers stop well before their address answers expire, so that a busy
+		// machine does not make them use an expired one.
+		beforeDrain := complete.Load()
+		Eventually(complete.Load).Should(BeNumerically(">", beforeDrain+20))
 		close(expired)
 		Eventually(ended, "30s").Should(Receive(BeNil()))
 		callers.Wait()
-		Expect(cut.Load()).To(BeZero())
+		Expect(broken.Load()).To(BeZero())
 	})
 
-	// A stream hangs for ever. The settings say how long the supervisor is
-	// ready to wait.
-	It("is bounded by the settings and says what it cut", func() {
+	// Guards against a drain that never ends because a stream hangs. The settings
+	// limit the drain to the time that the supervisor waits.
+	It("ends after the limit in the settings and reports that it aborted requests", func() {
 		engine := startEngine(wasabiengine.Options{Spec: wasabifake.Spec{ID: "e1", Decode: 5 * wasabiridge.Second}})
 		d, ended := runDaemon(wasabidaemon.Options{Settings: wasabisettings.Settings{
 			ConfigFile: writeConfig(engine),
 			Drain:      wasabisettings.Drain{AnswerLifetime: 10, Limit: 300},
 		}})
 		result := make(chan bool, 1)
-		go func() { result <- streamWhole(http.DefaultClient, d.URL(), longStream) }()
+		go func() { result <- streamComplete(http.DefaultClient, d.URL(), longStream) }()
 		Eventually(engine.Served).Should(Equal(1))
 		Expect(d.Drain(context.Background())).To(Succeed())
 		Eventually(ended, "10s").Should(Receive(MatchError(ContainSubstring("drain limit passed"))))
--- a/internal/wasabidaemon/listener.go
+++ b/internal/wasabidaemon/listener.go
@@ -13,14 +13,14 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabitls"
 )
 
-// listener is an open socket and where others reach it.
+// listener is an open socket and the URL at which clients reach it.
 type listener struct {
 	socket net.Listener
 	url    string
 }
 
-// newListener opens a listener. It returns nil when the settings leave it
-// out.
+// newListener opens a listener, with TLS if the settings name certificate files.
+// It returns nil when no address to listen on is set.
 func (d *Daemon) newListener(part string, s wasabisettings.Listener) (*listener, error) {
 	if s.Listen == "" {
 		return nil, nil
--- a/internal/wasabidaemon/openai_test.go
+++ b/internal/wasabidaemon/openai_test.go
@@ -28,14 +28,14 @@
 
 	BeforeEach(func() {
 		engine = startEngine(wasabiengine.Options{Spec: wasabifake.Spec{ID: "e1"}})
-		d := startDaemon(wasabidaemon.Options{Settings: wasabisettings.Settings{ConfigFile: writeConfig(engine), Drain: short}})
+		d := startDaemon(wasabidaemon.Options{Settings: wasabisettings.Settings{ConfigFile: writeConfig(engine), Drain: shortDrain}})
 		client = openai.NewClient(option.WithBaseURL(d.URL()+"/v1"), option.WithAPIKey(testKey), option.WithMaxRetries(0))
 	})
 
-	It("reads whole answers and streams alike", func() {
-		whole, err := client.Chat.Completions.New(context.Background(), params)
+	It("reads the same text from a streamed and a non-streamed answer", func() {
+		answer, err := client.Chat.Completions.New(context.Background(), params)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(whole.Usage.CompletionTokens).To(Equal(int64(12)))
+		Expect(answer.Usage.CompletionTokens).To(Equal(int64(12)))
 
 		stream := client.Chat.Completions.NewStreaming(context.Background(), params)
 		var text strings.Builder
@@ -45,7 +45,7 @@
 			}
 		}
 		Expect(stream.Err()).NotTo(HaveOccurred())
-		Expect(text.String()).To(Equal(whole.Choices[0].Message.Content))
+		Expect(text.String()).To(Equal(answer.Choices[0].Message.Content))
 	})
 
 	It("reads text completions and the list of models", func() {
@@ -58,7 +58,7 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("understands a refusal", func() {
+	It("parses the error response to a wrong key", func() {
 		_, err := client.Chat.Completions.New(context.Background(), params, option.WithAPIKey("wrong"))
 		var refused *openai.Error
 		Expect(errors.As(err, &refused)).To(BeTrue())
@@ -67,9 +67,9 @@
 		Expect(refused.Response.Header.Get("Wasabi-Disposition")).To(Equal("not_run"))
 	})
 
-	// The engine ends its answer cleanly before the end marker. The program of
-	// a caller must not take the part for the whole.
-	It("sees that a stream is cut", func() {
+	// The engine closes its answer in an orderly way before the end marker. The
+	// caller must not take the truncated answer for a complete one.
+	It("receives an error when a stream is truncated", func() {
 		engine.Inject(wasabiserver.Fault{Point: wasabiserver.AtToken, Token: 7, Manner: wasabiserver.CleanEnd})
 		stream := client.Chat.Completions.NewStreaming(context.Background(), params)
 		tokens := 0
--- a/internal/wasabidaemon/operator.go
+++ b/internal/wasabidaemon/operator.go
@@ -12,32 +12,33 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabitimeline"
 )
 
-// serveOperators serves the operators' listener, if there is one. It goes on
-// while the daemon leaves, so that operators can watch it.
+// serveOperators starts the server of the operators' listener and returns it, or
+// nil when the listener is off. The server runs until the drain has ended, so
+// that operators can watch the drain.
 func (d *Daemon) serveOperators() *http.Server {
 	if d.operator == nil {
 		return nil
 	}
-	d.setGauges()
+	d.registerGauges()
 	o := wasabioperator.Options{
 		Clock:     d.options.Clock,
 		KeyHashes: d.operatorKeys,
 		Timeline:  d.newCollector(),
 		Status:    d,
 		Drainer:   d,
-		Metrics:   d.parts.metrics,
+		Metrics:   d.components.metrics,
 
-		Quarantine: d.parts.quarantine.Handler(),
-		Quotas:     d.parts.quota,
+		Quarantine: d.components.quarantine.Handler(),
+		Quotas:     d.components.quota,
 		Log:        wasabilog.Part(d.log, "operator"),
 	}
-	if d.parts.config != nil {
-		o.Config = d.parts.config
-		o.Rollouts = d.parts.rollouts
+	if d.components.config != nil {
+		o.Config = d.components.config
+		o.Rollouts = d.components.rollouts
 	}
-	if d.parts.platform.Objects != nil {
+	if d.components.platform.Objects != nil {
 		o.Outcomes = wasabioutcome.Reader{
-			Store: d.parts.platform.Objects, Clock: d.options.Clock,
+			Store: d.components.platform.Objects, Clock: d.options.Clock,
 			Targets: func() []wasabiridge.Target { return d.current().Targets },
 		}
 	}
@@ -47,14 +48,15 @@
 	return server
 }
 
-// operatorKeys returns the hashes of the settings and of the configuration.
+// operatorKeys returns the hashes of operator keys from the settings and from the
+// configuration.
 func (d *Daemon) operatorKeys() []string {
-	own := d.options.Settings.Operator.KeyHashes
-	return append(own[:len(own):len(own)], d.current().OperatorKeyHashes...)
+	hashes := d.options.Settings.Operator.KeyHashes
+	return append(hashes[:len(hashes):len(hashes)], d.current().OperatorKeyHashes...)
 }
 
 func (d *Daemon) newCollector() *wasabitimeline.Collector {
-	return &wasabitimeline.Collector{Own: d.parts.timeline, Peers: d.peerClient(), Members: d.members}
+	return &wasabitimeline.Collector{Own: d.components.timeline, Peers: d.peerClient(), Members: d.members}
 }
 
 // Status implements wasabiridge.StatusReader.
@@ -67,7 +69,7 @@
 		Config:       d.current().Version,
 		Started:      d.started,
 		Leaving:      d.leaving.Load(),
-		OpenRequests: d.parts.gateway.Open(),
+		OpenRequests: d.components.gateway.Open(),
 	}
 	for _, m := range d.members() {
 		s.Members = append(s.Members, wasabiridge.MemberStatus{
@@ -78,23 +80,24 @@
 	return s
 }
 
-// Backends implements wasabiridge.StatusReader. It shows what the servers last
-// said; what the decisions learned of them, such as limits, is not in it.
+// Backends implements wasabiridge.StatusReader. It returns the state last reported
+// by the backend servers, without the estimates of the decision loop, such as
+// adaptive limits.
 func (d *Daemon) Backends() []wasabiridge.BackendStatus {
-	return d.board.list(d.current())
+	return d.backends.list(d.current())
 }
 
-// setGauges tells the metrics whom to ask.
-func (d *Daemon) setGauges() {
+// registerGauges registers the functions that return the values of gauges.
+func (d *Daemon) registerGauges() {
 	gauges := map[wasabimetrics.Name]func() int64{
-		wasabimetrics.RequestsOpen:    func() int64 { return int64(d.parts.gateway.Open()) },
+		wasabimetrics.RequestsOpen:    func() int64 { return int64(d.components.gateway.Open()) },
 		wasabimetrics.ConfigVersion:   func() int64 { return int64(d.current().Version) },
 		wasabimetrics.MembersKnown:    func() int64 { return int64(len(d.members())) },
 		wasabimetrics.ProcessRoutines: func() int64 { return int64(runtime.NumGoroutine()) },
 	}
 	for name, f := range gauges {
-		if err := d.parts.metrics.GaugeFunc(name, f); err != nil {
-			d.log.Error().Err(err).Str("metric", string(name)).Msg("Metric is not defined.")
+		if err := d.components.metrics.GaugeFunc(name, f); err != nil {
+			d.log.Error().Err(err).Str("metric", string(name)).Msg("Cannot register a gauge: the metric is not defined.")
 		}
 	}
 }
--- a/internal/wasabidaemon/peers.go
+++ b/internal/wasabidaemon/peers.go
@@ -15,20 +15,21 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabitls"
 )
 
-// peers joins this instance to the others.
+// peers holds the connections to the other instances and the membership view.
+// Its pointers are nil without a peer listener.
 type peers struct {
 	client  *wasabipeer.Client
 	server  *wasabipeer.Server
 	members *wasabimember.Keeper
-	// secret is what all instances share. It authenticates tickets too.
+	// secret is shared by all instances. It authenticates peers and tickets.
 	secret []byte
-	// ready is set when the parts behind the server are there.
+	// ready is set when all components exist that handle requests of peers.
 	ready atomic.Bool
 }
 
-// joinPeers opens the peer listener and sets up the membership. Without a
-// listener this instance knows no other.
-func (d *Daemon) joinPeers() error {
+// setUpPeers opens the peer listener and creates the membership keeper. Without a
+// peer listener the membership view stays empty.
+func (d *Daemon) setUpPeers() error {
 	s := d.options.Settings
 	if s.Peer.Listen == "" {
 		return nil
@@ -38,7 +39,7 @@
 	if o, err = d.peerOptions(); err != nil {
 		return err
 	}
-	p := &d.parts.peers
+	p := &d.components.peers
 	p.secret = o.Key
 	if p.client, err = wasabipeer.NewClient(o); err != nil {
 		return err
@@ -51,39 +52,42 @@
 		Incarnation:       d.incarnation,
 		Seed:              d.seed,
 		Clock:             d.options.Clock,
-		List:              &seedList{platform: d.parts.platform.Instances, seeds: s.Peer.Seeds},
+		List:              &seedList{platform: d.components.platform.Instances, seeds: s.Peer.Seeds},
 		Peers:             p.client,
 		Log:               wasabilog.Part(d.log, "member"),
-		Recorder:          d.parts.timeline,
-		OnHeard:           d.heardMember,
-		OnBackendsLeaving: d.heardLeaving,
-		HybridNow:         d.parts.timeline.Now,
-		ObserveHybrid:     d.parts.timeline.Observe,
+		Recorder:          d.components.timeline,
+		OnHeard:           d.receiveMember,
+		OnBackendsLeaving: d.receiveLeaving,
+		HybridNow:         d.components.timeline.Now,
+		ObserveHybrid:     d.components.timeline.Observe,
 	})
 	return nil
 }
 
-// seedList is the platform's list of instances, with the seeds of the settings
-// in its place until it was read once. An instance that starts while the
-// platform is down finds the others, and so the configuration, through them.
+// seedList returns the platform's list of instances, or the seeds of the settings
+// until that list has been read once. With the seeds, an instance that starts
+// while the platform is down finds its peers and receives the configuration from
+// them.
 type seedList struct {
 	platform wasabiridge.InstanceList
 	seeds    []wasabisettings.Seed
-	wasRead  bool
+	// listRead is set once the platform's list has been read.
+	listRead bool
 }
 
-// Instances implements wasabiridge.InstanceList for one goroutine.
+// Instances implements wasabiridge.InstanceList. It is not safe for concurrent
+// use.
 func (l *seedList) Instances(ctx context.Context) ([]wasabiridge.InstanceEntry, error) {
 	var entries []wasabiridge.InstanceEntry
-	var err error = wasabiridge.ErrUnavailable.New("daemon: no list of instances")
+	var err error = wasabiridge.ErrUnavailable.New("daemon: no service that lists the instances is configured")
 	if l.platform != nil {
 		entries, err = l.platform.Instances(ctx)
 	}
 	if err == nil {
-		l.wasRead = true
+		l.listRead = true
 		return entries, nil
 	}
-	if l.wasRead || len(l.seeds) == 0 {
+	if l.listRead || len(l.seeds) == 0 {
 		return nil, err
 	}
 	for _, seed := range l.seeds {
@@ -98,7 +102,7 @@
 	var err error
 	if s.SecretFile != "" {
 		if o.Key, err = os.ReadFile(s.SecretFile); err != nil {
-			return o, wasabiridge.ErrInvalid.Wrap(err, "daemon: secret of the instances")
+			return o, wasabiridge.ErrInvalid.Wrap(err, "daemon: cannot read the peer secret file")
 		}
 		o.Key = bytes.TrimSpace(o.Key)
 	}
@@ -110,77 +114,82 @@
 }
 
 func (d *Daemon) peerTLS() (*tls.Config, error) {
-	keeper, err := wasabitls.New(wasabitls.Options{
+	certificates, err := wasabitls.New(wasabitls.Options{
 		Files: *d.options.Settings.Peer.TLS, Clock: d.options.Clock, Log: wasabilog.Part(d.log, "peer"),
 	})
 	if err != nil {
 		return nil, err
 	}
-	return keeper.Mutual(), nil
+	return certificates.Mutual(), nil
 }
 
-// peerAddress returns where other instances reach this one.
+// peerAddress returns the address at which other instances reach this one, or the
+// empty string without a peer listener.
 func (d *Daemon) peerAddress() string {
 	if address := d.options.Settings.Peer.Address; address != "" && address != d.options.Settings.Peer.Listen {
 		return address
 	}
-	if d.parts.peers.server == nil {
+	if d.components.peers.server == nil {
 		return ""
 	}
-	return d.parts.peers.server.Address()
+	return d.components.peers.server.Address()
 }
 
-// heardMember takes what another instance says of itself. It must not block.
-func (d *Daemon) heardMember(m wasabiridge.Member) {
-	if d.parts.config != nil {
-		d.parts.config.Heard(m)
+// receiveMember passes the state that another instance announced of itself to the
+// configuration keeper. It must not block.
+func (d *Daemon) receiveMember(m wasabiridge.Member) {
+	if d.components.config != nil {
+		d.components.config.Heard(m)
 	}
 }
 
-// heardLeaving takes the names of backend servers that other instances saw
-// leaving. News that finds the loop full is lost; the own load reports follow.
-func (d *Daemon) heardLeaving(backends []wasabiridge.BackendServerID) {
+// receiveLeaving notifies the decision loop of backend servers that other
+// instances report as leaving. A notification is dropped when the loop's queue is
+// full; the load reports that this instance polls contain the same information.
+func (d *Daemon) receiveLeaving(backends []wasabiridge.BackendServerID) {
 	for _, b := range backends {
-		d.parts.loop.Observe(wasabiridge.BackendLeaving{Backend: b})
+		d.components.loop.Observe(wasabiridge.BackendLeaving{Backend: b})
 	}
 }
 
-// tellLeaving hands on which backend server is leaving, so that instances whose
-// reports of it come late stop sending to it too.
-func (d *Daemon) tellLeaving(e wasabiridge.Event) {
-	if left, ok := e.(wasabiridge.BackendLeaving); ok && d.parts.peers.members != nil {
-		d.parts.peers.members.LeavingBackends(left.Backend)
+// announceLeaving announces a leaving backend server to the other instances, so
+// that those that receive its load reports later also stop sending to it.
+func (d *Daemon) announceLeaving(e wasabiridge.Event) {
+	if leaving, ok := e.(wasabiridge.BackendLeaving); ok && d.components.peers.members != nil {
+		d.components.peers.members.LeavingBackends(leaving.Backend)
 	}
 }
 
-// peerClient returns what calls other instances, or nil when there is none.
+// peerClient returns the client for calls to other instances, or a nil interface
+// without a peer listener.
 func (d *Daemon) peerClient() wasabiridge.PeerClient {
-	if d.parts.peers.client == nil {
+	if d.components.peers.client == nil {
 		return nil
 	}
-	return d.parts.peers.client
+	return d.components.peers.client
 }
 
-// members returns the other instances.
+// members returns the other instances in the membership view.
 func (d *Daemon) members() []wasabiridge.Member {
 	switch {
 	case d.options.Members != nil:
 		return d.options.Members()
-	case d.parts.peers.members != nil:
-		return d.parts.peers.members.Members()
+	case d.components.peers.members != nil:
+		return d.components.peers.members.Members()
 	}
 	return nil
 }
 
-// locate returns the peer address of another instance.
+// locate returns the peer address of another instance, and whether the instance is
+// known.
 func (d *Daemon) locate(id wasabiridge.InstanceID) (string, bool) {
-	if d.parts.peers.members == nil {
+	if d.components.peers.members == nil {
 		return "", false
 	}
-	return d.parts.peers.members.Locate(id)
+	return d.components.peers.members.Locate(id)
 }
 
-// membership tells the keeper of the configuration about other instances.
+// membership implements wasabiconfig.Membership over the daemon's membership view.
 type membership struct {
 	daemon *Daemon
 }
@@ -190,12 +199,12 @@
 
 // Announce implements wasabiconfig.Membership.
 func (m membership) Announce(n int) {
-	if members := m.daemon.parts.peers.members; members != nil {
+	if members := m.daemon.components.peers.members; members != nil {
 		members.Announce(n)
 	}
 }
 
-// close ends the exchange with other instances.
+// close closes the peer server and the peer client.
 func (p *peers) close() {
 	if p.server != nil {
 		ctx, cancel := context.WithTimeout(context.Background(), endTimeout)
@@ -207,7 +216,8 @@
 	}
 }
 
-// peerHandler answers other instances with the parts of this one.
+// peerHandler handles the requests of other instances by passing them to the
+// components of this one.
 type peerHandler struct {
 	daemon *Daemon
 }
@@ -217,10 +227,10 @@
 	_ wasabiridge.CatalogHandler = peerHandler{}
 )
 
-var errNotReady = wasabiridge.ErrUnavailable.New("daemon: not ready yet")
+var errNotReady = wasabiridge.ErrUnavailable.New("daemon: the instance is not ready, or the component is not configured")
 
 func (h peerHandler) ready() bool {
-	return h.daemon.parts.peers.ready.Load()
+	return h.daemon.components.peers.ready.Load()
 }
 
 // HandleExchange implements wasabiridge.PeerHandler.
@@ -228,15 +238,15 @@
 	if !h.ready() {
 		return wasabiridge.Heartbeat{}, errNotReady
 	}
-	return h.daemon.parts.peers.members.HandleExchange(ctx, b)
+	return h.daemon.components.peers.members.HandleExchange(ctx, b)
 }
 
 // HandleFetchConfig implements wasabiridge.PeerHandler.
 func (h peerHandler) HandleFetchConfig(ctx context.Context) (wasabiridge.ConfigDocument, error) {
-	if !h.ready() || h.daemon.parts.config == nil {
+	if !h.ready() || h.daemon.components.config == nil {
 		return wasabiridge.ConfigDocument{}, errNotReady
 	}
-	return h.daemon.parts.config.HandleFetchConfig(ctx)
+	return h.daemon.components.config.HandleFetchConfig(ctx)
 }
 
 // HandleQueryTimeline implements wasabiridge.PeerHandler.
@@ -244,27 +254,28 @@
 	if !h.ready() {
 		return wasabiridge.TimelinePage{}, errNotReady
 	}
-	return h.daemon.parts.timeline.Page(q), nil
+	return h.daemon.components.timeline.Page(q), nil
 }
 
 // HandleClaim implements wasabiridge.PeerHandler.
 func (h peerHandler) HandleClaim(ctx context.Context, q wasabiridge.ClaimQuery) (wasabiridge.ClaimOutcome, error) {
-	if !h.ready() || h.daemon.parts.claims == nil {
+	if !h.ready() || h.daemon.components.claims == nil {
 		return wasabiridge.ClaimOutcome{}, errNotReady
 	}
-	return h.daemon.parts.claims.HandleClaim(ctx, q)
+	return h.daemon.components.claims.HandleClaim(ctx, q)
 }
 
 // HandleFinishClaim implements wasabiridge.PeerHandler.
 func (h peerHandler) HandleFinishClaim(ctx context.Context, r wasabiridge.ClaimResult) error {
-	if !h.ready() || h.daemon.parts.claims == nil {
+	if !h.ready() || h.daemon.components.claims == nil {
 		return errNotReady
 	}
-	return h.daemon.parts.claims.HandleFinishClaim(ctx, r)
+	return h.daemon.components.claims.HandleFinishClaim(ctx, r)
 }
 
-// HandleAskCatalog implements wasabiridge.CatalogHandler. What operators and the platform
-// say goes with the configuration.
+// HandleAskCatalog implements wasabiridge.CatalogHandler. It always returns
+// errNotReady: a daemon has no catalog of its own, because the statements of
+// operators and of the platform are distributed with the configuration.
 func (h peerHandler) HandleAskCatalog(context.Context, wasabiridge.CatalogQuery) (wasabiridge.CatalogAnswer, error) {
 	return wasabiridge.CatalogAnswer{}, errNotReady
 }
@@ -274,7 +285,7 @@
 	if !h.ready() {
 		return errNotReady
 	}
-	h.daemon.parts.quarantine.Hear(n)
-	h.daemon.parts.quota.Hear(n)
+	h.daemon.components.quarantine.Hear(n)
+	h.daemon.components.quota.Hear(n)
 	return nil
 }
--- a/internal/wasabidaemon/peers_test.go
+++ b/internal/wasabidaemon/peers_test.go
@@ -16,9 +16,9 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabisettings"
 )
 
-const patience = "20s"
+const eventuallyTimeout = "20s"
 
-var _ = Describe("routers together", func() {
+var _ = Describe("several routers", func() {
 	var secret string
 	var engine *wasabiengine.Engine
 
@@ -30,17 +30,18 @@
 
 	settings := func(id string) wasabisettings.Settings {
 		return wasabisettings.Settings{
-			Instance: wasabiridge.InstanceID(id), Operator: operators, Drain: short,
+			Instance: wasabiridge.InstanceID(id), Operator: operators, Drain: shortDrain,
 			Peer: wasabisettings.PeerListener{Listen: "127.0.0.1:0", SecretFile: secret},
 		}
 	}
 	serves := func(d *wasabidaemon.Daemon) func() bool {
-		return func() bool { return streamWhole(http.DefaultClient, d.URL(), longStream) }
+		return func() bool { return streamComplete(http.DefaultClient, d.URL(), longStream) }
 	}
 
-	// The platform goes down. An instance that starts now must serve from what
-	// the others know, and callers must hear of it and of who leaves.
-	It("spread the configuration, name each other, and start while the platform is down", func() {
+	// Guards against an instance that cannot serve because it starts while the
+	// platform is down: it must get the configuration from its peers. Address
+	// answers must contain new instances and must not contain draining ones.
+	It("share the configuration, list each other's addresses, and start while the platform is down", func() {
 		platform, standIn, server := startPlatform()
 		one := settings("pos-1")
 		one.Platform = &platform
@@ -56,19 +57,19 @@
 		Eventually(func() int {
 			status, _ := asOperator(http.MethodPut, first.OperatorURL()+"/v1/config", string(text), map[string]string{"If-Match": `"0"`})
 			return status
-		}, patience).Should(BeNumerically("<", 300))
-		Eventually(serves(second), patience).Should(BeTrue())
-		Eventually(func() int { return len(addresses(first.URL()).Addresses) }, patience).Should(Equal(2))
+		}, eventuallyTimeout).Should(BeNumerically("<", 300))
+		Eventually(serves(second), eventuallyTimeout).Should(BeTrue())
+		Eventually(func() int { return len(addresses(first.URL()).Addresses) }, eventuallyTimeout).Should(Equal(2))
 
 		Expect(second.Drain(context.Background())).To(Succeed())
-		Eventually(func() int { return len(addresses(first.URL()).Addresses) }, patience).Should(Equal(1))
-		Eventually(ended, patience).Should(Receive(BeNil()))
+		Eventually(func() int { return len(addresses(first.URL()).Addresses) }, eventuallyTimeout).Should(Equal(1))
+		Eventually(ended, eventuallyTimeout).Should(Receive(BeNil()))
 
 		server.Close()
 		three := settings("pos-3")
 		three.Platform = &platform
 		three.Peer.Seeds = []wasabisettings.Seed{{Instance: "pos-1", Address: first.Entry().PeerAddress}}
 		third := startDaemon(wasabidaemon.Options{Settings: three})
-		Eventually(serves(third), patience).Should(BeTrue())
+		Eventually(serves(third), eventuallyTimeout).Should(BeTrue())
 	})
 })
--- a/internal/wasabidaemon/platform_test.go
+++ b/internal/wasabidaemon/platform_test.go
@@ -23,7 +23,7 @@
 
 const operatorKey = "operator-key"
 
-// startPlatform serves a stand-in of the platform.
+// startPlatform starts a stand-in for the platform's services.
 func startPlatform() (wasabiplatform.Settings, *wasabiplatform.StandIn, *httptest.Server) {
 	GinkgoHelper()
 	standIn := wasabiplatform.NewStandIn(wasabiplatform.StandInOptions{Clock: wasabiclock.System()})
@@ -32,13 +32,14 @@
 	return standIn.Settings(server.URL), standIn, server
 }
 
-// operators is an operators' listener with the key of the tests.
+// operators are the settings of an operators' listener that accepts operatorKey.
 var operators = wasabisettings.OperatorListener{
 	Listener:  wasabisettings.Listener{Listen: "127.0.0.1:0"},
 	KeyHashes: []string{keyHash(operatorKey)},
 }
 
-// asOperator sends a request to the operators' listener.
+// asOperator sends a request with operatorKey to the operators' listener and
+// returns the status and the body of the response.
 func asOperator(method, url, body string, header map[string]string) (int, string) {
 	GinkgoHelper()
 	req := newRequest(method, url, body)
@@ -55,7 +56,7 @@
 }
 
 var _ = Describe("a router with the platform", func() {
-	It("takes its configuration from an operator, and a booking runs once", func() {
+	It("adopts the configuration that an operator puts, and runs a repeated booking once", func() {
 		engine := startEngine(wasabiengine.Options{Spec: wasabifake.Spec{ID: "e1"}})
 		service := wasabiservice.New("bookings")
 		Expect(service.Start("127.0.0.1:0")).To(Succeed())
@@ -63,7 +64,7 @@
 		platform, _, _ := startPlatform()
 		log := gbytes.NewBuffer()
 		d := startDaemon(wasabidaemon.Options{Log: log, Settings: wasabisettings.Settings{
-			Platform: &platform, Drain: short,
+			Platform: &platform, Drain: shortDrain,
 			Operator: operators,
 		}})
 		Expect(post(d.URL(), longStream).StatusCode).To(Equal(http.StatusServiceUnavailable), "no configuration yet")
@@ -82,7 +83,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		status, answer := asOperator(http.MethodPut, d.OperatorURL()+"/v1/config", string(text), map[string]string{"If-Match": `"0"`})
 		Expect(status).To(BeNumerically("<", 300), answer)
-		Eventually(func() bool { return streamWhole(http.DefaultClient, d.URL(), longStream) }, "10s").Should(BeTrue())
+		Eventually(func() bool { return streamComplete(http.DefaultClient, d.URL(), longStream) }, "10s").Should(BeTrue())
 
 		book := func(key string) (int, string, string) {
 			req := newRequest(http.MethodPost, d.URL()+"/bookings", `{"lift":7}`)
