--- a/internal/wasabiserver/fault.go
+++ b/internal/wasabiserver/fault.go
@@ -6,56 +6,60 @@
 	"sync"
 )
 
-// Point is a place in an answer at which a stand-in can fail.
+// Point is the point in an answer at which a fault occurs.
 type Point uint8
 
-// Points of failure, in the order of an answer.
+// Points in an answer, in the order in which they are reached.
 const (
-	// BeforeHeaders is after the request was read and run.
+	// BeforeHeaders is after the request was read and run, before the header of
+	// the answer is sent.
 	BeforeHeaders Point = iota
-	// AfterHeaders is before the first token or byte of the answer.
+	// AfterHeaders is after the header, before the first token or byte of the
+	// body.
 	AfterHeaders
-	// AtToken is before the token whose number is in Fault.Token.
+	// AtToken is before the token with the index Fault.Token.
 	AtToken
-	// BeforeEndMarker is after the last token.
+	// BeforeEndMarker is after the last token, before the end marker of a stream.
 	BeforeEndMarker
 )
 
-// Manner is the way in which a stand-in fails.
+// Manner is the kind of a fault.
 type Manner uint8
 
-// Manners of failing.
+// Kinds of faults.
 const (
-	// Abort cuts the connection.
+	// Abort closes the connection without finishing the answer.
 	Abort Manner = iota
-	// CleanEnd ends the answer as if it were whole.
+	// CleanEnd ends the truncated answer as if it were complete.
 	CleanEnd
 	// BrokenChunking writes bytes that are not a valid HTTP chunk.
 	BrokenChunking
 	// OversizeLine writes one event line of 4 MiB.
 	OversizeLine
-	// Stall writes nothing more until the caller gives up.
+	// Stall writes nothing more until the caller closes the connection.
 	Stall
 )
 
 const oversizeBytes = 4 << 20
 
-// Fault is one failure of one answer. It is an immutable value.
+// Fault is an injected fault in one answer. It is an immutable value.
 type Fault struct {
 	Point  Point
 	Manner Manner
-	// Token counts output tokens of the whole answer, for AtToken.
+	// Token is the index of the output token before which an AtToken fault
+	// occurs, counted from zero at the start of the complete answer.
 	Token int
 }
 
-// Strikes reports whether the failure is due at this point. A nil fault never
-// strikes.
+// Strikes reports whether the fault occurs at a point of the answer; token is the
+// index of the next token and only used with AtToken. A nil fault never occurs.
 func (f *Fault) Strikes(p Point, token int) bool {
 	return f != nil && f.Point == p && (p != AtToken || f.Token == token)
 }
 
-// Perform carries the failure out. It returns only for CleanEnd; for the
-// others it aborts the handler that calls it.
+// Perform executes the fault in an HTTP handler. It returns only for CleanEnd,
+// after which the handler must return; for the other kinds it panics with
+// http.ErrAbortHandler to abort the handler.
 func (f *Fault) Perform(w http.ResponseWriter, r *http.Request) {
 	switch f.Manner {
 	case CleanEnd:
@@ -73,7 +77,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// breakChunking takes the connection over and writes a chunk size that is no
+// breakChunking hijacks the connection and writes a chunk size that is not a
 // hexadecimal number.
 func breakChunking(w http.ResponseWriter) {
 	controller := http.NewResponseController(w)
@@ -87,28 +91,28 @@
 	_ = conn.Close()
 }
 
-// Faults is a list of failures that wait for answers. It is safe for
-// concurrent use. The zero value is empty.
+// Faults is a queue of faults for the next answers. It is safe for concurrent
+// use. The zero value is empty.
 type Faults struct {
-	mu      sync.Mutex
-	waiting []Fault
+	mu    sync.Mutex
+	queue []Fault
 }
 
-// Inject adds failures. Each answer takes at most the first one that waits.
+// Inject adds faults to the end of the queue. Each answer takes at most one.
 func (l *Faults) Inject(f ...Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.waiting = append(l.waiting, f...)
+	l.queue = append(l.queue, f...)
 }
 
-// Take hands the first waiting failure to an answer, or nil.
+// Take removes and returns the first fault of the queue, or nil if it is empty.
 func (l *Faults) Take() *Fault {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.waiting) == 0 {
+	if len(l.queue) == 0 {
 		return nil
 	}
-	f := l.waiting[0]
-	l.waiting = l.waiting[1:]
+	f := l.queue[0]
+	l.queue = l.queue[1:]
 	return &f
 }
--- a/internal/wasabiserver/server.go
+++ b/internal/wasabiserver/server.go
@@ -1,6 +1,6 @@
-// Package wasabiserver is the HTTP listener of the stand-ins: a server that
-// can crash and come back at the same address, and failures that strike one
-// answer each.
+// Package wasabiserver is the HTTP server of the stand-ins for backend servers: it
+// can crash and restart at the same address, and faults can be injected into
+// single answers.
 //
 // # Usage
 //
@@ -24,7 +24,7 @@
 
 const readHeaderTimeout = 10 * time.Second
 
-// Server is an HTTP server of one stand-in. It is safe for concurrent use.
+// Server is the HTTP server of one stand-in. It is safe for concurrent use.
 type Server struct {
 	handler http.Handler
 
@@ -34,13 +34,14 @@
 	done    chan struct{}
 }
 
-// New returns a server that does not listen yet.
+// New returns a server for a handler. It does not listen until Start.
 func New(h http.Handler) *Server {
 	return &Server{handler: h}
 }
 
-// Start listens on the address, such as "127.0.0.1:0". After a crash it
-// listens where it did before, whatever the address says.
+// Start listens on an address such as "127.0.0.1:0". After a crash it listens on
+// the same address and port as before and ignores its argument. It returns
+// ErrUnavailable when it cannot listen.
 func (s *Server) Start(address string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,8 +64,8 @@
 	return nil
 }
 
-// Crash stops listening and cuts all connections. It does nothing when the
-// server does not listen.
+// Crash stops listening and closes all connections, without finishing the
+// answers. It has no effect when the server is not listening.
 func (s *Server) Crash() {
 	s.mu.Lock()
 	running, done := s.running, s.done
@@ -77,7 +78,7 @@
 	<-done
 }
 
-// URL returns the base address of the server.
+// URL returns the base URL of the server. It is not valid before the first Start.
 func (s *Server) URL() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
