--- a/internal/wasabiservice/service.go
+++ b/internal/wasabiservice/service.go
@@ -1,7 +1,7 @@
-// Package wasabiservice is an HTTP stand-in of a plain service that takes
-// bookings. It counts how often the request of each idempotency key was
-// executed and does nothing to prevent a second execution, so that a test sees
-// whether the router does.
+// Package wasabiservice is an HTTP stand-in for a booking service, a backend
+// server that is not an engine. It counts how often the request of each
+// idempotency key was executed and does not prevent a second execution, so that
+// a test can check that the router does.
 //
 // # Usage
 //
@@ -28,17 +28,17 @@
 
 const (
 	maxBodyBytes = 1 << 20
-	// KeyHeader names a booking, so that it can be recognised.
+	// KeyHeader is the header with the idempotency key that identifies a booking.
 	KeyHeader = "Idempotency-Key"
 )
 
-// Booking is the answer to a booking.
+// Booking is the body of the answer to a booking request.
 type Booking struct {
 	Number int    `json:"number"`
 	Key    string `json:"key"`
 }
 
-// Service is one stand-in of a plain service. It is safe for concurrent use.
+// Service is one stand-in for a booking service. It is safe for concurrent use.
 type Service struct {
 	wasabiserver.Faults
 	*wasabiserver.Server
@@ -50,7 +50,7 @@
 	refusals   int
 }
 
-// New returns a service that does not listen yet.
+// New returns a service that does not listen until Start.
 func New(id wasabiridge.BackendServerID) *Service {
 	s := &Service{id: id, executions: make(map[string]int)}
 	r := chi.NewRouter()
@@ -60,37 +60,39 @@
 	return s
 }
 
-// Close ends the service.
+// Close stops the service and closes its connections.
 func (s *Service) Close() { s.Crash() }
 
-// Backend describes the service as a configuration would.
+// Backend returns the service as a backend server of a configuration.
 func (s *Service) Backend() wasabiridge.BackendServer {
 	return wasabiridge.BackendServer{ID: s.id, Kind: wasabiridge.BackendService, URL: s.URL()}
 }
 
-// Executions counts how often a booking with the key was executed.
+// Executions returns how often a booking with the key was executed.
 func (s *Service) Executions(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.executions[key]
 }
 
-// Total counts all executed bookings.
+// Total returns the number of bookings executed with any key.
 func (s *Service) Total() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.total
 }
 
-// Refuse makes the next bookings be refused in the form that says that they
-// did not run.
+// Refuse makes the service refuse the next count bookings without running them,
+// with status 503 and the disposition not_run.
 func (s *Service) Refuse(count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refusals = count
 }
 
-func (s *Service) refuses() bool {
+// takeRefusal reports whether the current booking is to be refused, and counts
+// it.
+func (s *Service) takeRefusal() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.refusals == 0 {
@@ -113,7 +115,7 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if s.refuses() {
+	if s.takeRefusal() {
 		w.Header().Set(wasabiridge.HeaderDisposition, wasabiridge.NotRun.String())
 		w.Header().Set("Retry-After", "2")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -126,8 +128,9 @@
 	s.answer(w, r, http.StatusOK, map[string]string{"item": chi.URLParam(r, "item")})
 }
 
-// answer writes the answer, or fails where the next fault says. A clean end
-// closes the connection behind an answer without length, half way through.
+// answer writes the answer and executes the next injected fault, if there is one.
+// A CleanEnd fault after the headers closes the connection half way through an
+// answer that has no content length.
 func (s *Service) answer(w http.ResponseWriter, r *http.Request, status int, v any) {
 	var data []byte
 	var err error
@@ -153,7 +156,8 @@
 	_, _ = w.Write(data)
 }
 
-// endByClose answers without a length, as HTTP/1.0 servers do.
+// endByClose sends an answer without a content length, whose end is the end of the
+// connection, as HTTP/1.0 servers do.
 func endByClose(w http.ResponseWriter, data []byte) {
 	conn, buffer, err := http.NewResponseController(w).Hijack()
 	if err != nil {
