--- a/internal/wasabiclient/client.go
+++ b/internal/wasabiclient/client.go
@@ -1,9 +1,9 @@
-// Package wasabiclient calls the operators' listener of a router.
+// Package wasabiclient is a client for the operators' API of a router.
 //
-// A client knows several addresses and uses the first one that answers. Only
-// requests that change nothing go on to the next address after a connection
-// was made: a change whose answer was lost may have taken effect, and the
-// caller is told so with ErrOutcomeUnknown.
+// A client can have several addresses and uses the first one that answers. If a
+// connection was made but no answer arrived, only GET requests are sent to the
+// next address: a change whose answer was lost may have taken effect, and the
+// call returns ErrOutcomeUnknown.
 //
 // # Usage
 //
@@ -31,29 +31,33 @@
 
 // Bounds of a call.
 const (
-	// DefaultTimeout bounds a call. A quarter's report may take long.
+	// DefaultTimeout limits a call. It allows for the outcome report of a quarter,
+	// which can take long.
 	DefaultTimeout = 2 * time.Minute
 	dialTimeout    = 3 * time.Second
-	maxAnswer      = 256 << 20
+	maxAnswerBytes = 256 << 20
 )
 
-// Error types that only a client reports.
+// Error types that only this package returns.
 var (
-	// ErrUnauthorized says that the router does not know the key.
+	// ErrUnauthorized means that the router rejected the key.
 	ErrUnauthorized = wasabiridge.Errors.NewType("unauthorized")
-	// ErrNotBuilt says that the router has no such part.
+	// ErrNotBuilt means that the router does not implement the request, for
+	// example because it runs without the component that handles it.
 	ErrNotBuilt = wasabiridge.Errors.NewType("not_built")
-	// ErrRouter says that a router failed in a way that it has no name for.
+	// ErrRouter means that a router returned an internal error, or an error code
+	// that this client does not know.
 	ErrRouter = wasabiridge.Errors.NewType("router")
-	// ErrNoRouter says that no address answers. Nothing took effect.
+	// ErrNoRouter means that no address answered. The request had no effect.
 	ErrNoRouter = wasabiridge.Errors.NewType("no_router", errorx.Temporary())
 )
 
-// theirs is the property under which an ErrConflict carries the configuration
-// that it lost against.
+// theirs is the errorx property of an ErrConflict that contains the configuration
+// in force at the router.
 var theirs = errorx.RegisterProperty("theirs")
 
-// Theirs returns the configuration that a change lost a race against.
+// Theirs returns the configuration with which a change was in conflict, if the
+// error contains it.
 func Theirs(err error) (wasabioperator.DocumentBody, bool) {
 	value, found := errorx.ExtractProperty(err, theirs)
 	if !found {
@@ -65,18 +69,20 @@
 
 // Options configure a Client.
 type Options struct {
-	// Addresses are base URLs or host:port, in the order of preference.
+	// Addresses are base URLs or host:port, in order of preference.
 	Addresses []string
-	Key       string
-	// Operator names the person, for the history.
+	// Key is the operator's key.
+	Key string
+	// Operator is the person's name, which the configuration history records.
 	Operator string
-	// TLS is used for https addresses. Nil means the system's roots.
+	// TLS is used for https addresses. Nil means the default configuration, which
+	// trusts the system's root certificates.
 	TLS *tls.Config
-	// Timeout bounds a call. Zero means DefaultTimeout.
+	// Timeout limits each request to one address. Zero means DefaultTimeout.
 	Timeout time.Duration
 }
 
-// Client calls routers. It is safe for concurrent use.
+// Client sends requests to routers. It is safe for concurrent use.
 type Client struct {
 	options Options
 	http    *http.Client
@@ -94,18 +100,18 @@
 	}}
 }
 
-// request is one call before an address is chosen.
+// request holds the parts of an HTTP request that do not depend on the address.
 type request struct {
 	method, path string
 	header       http.Header
 	body         []byte
 }
 
-// do sends a request to the first address that answers and decodes the answer
-// into a pointer. A *bytes.Buffer takes the answer as it is.
+// do sends a request to the first address that answers and decodes the JSON answer
+// into a pointer. A *bytes.Buffer receives the answer undecoded.
 func (c *Client) do(ctx context.Context, r request, into any) error {
 	if len(c.options.Addresses) == 0 {
-		return wasabiridge.ErrInvalid.New("client: no address of a router is set")
+		return wasabiridge.ErrInvalid.New("client: no router address is configured")
 	}
 	var failures []string
 	for _, address := range c.options.Addresses {
@@ -118,7 +124,7 @@
 			return wasabiridge.ErrUnavailable.Wrap(ctx.Err(), "client: %s %s", r.method, r.path)
 		}
 		if r.method != http.MethodGet && !neverConnected(err) {
-			return wasabiridge.ErrOutcomeUnknown.Wrap(err, "client: %s gave no answer; whether the change took effect is unknown", address)
+			return wasabiridge.ErrOutcomeUnknown.Wrap(err, "client: no answer from %s; it is unknown whether the change took effect", address)
 		}
 		failures = append(failures, address+": "+rootCause(err))
 	}
@@ -133,8 +139,9 @@
 	if out, err = http.NewRequestWithContext(ctx, r.method, baseURL(address)+r.path, bytes.NewReader(r.body)); err != nil {
 		return nil, wasabiridge.ErrInvalid.Wrap(err, "client: address %s", address)
 	}
-	// Without a way to read the body again, the transport of net/http cannot
-	// send a change twice over a connection that went stale.
+	// Without GetBody, http.Transport cannot read the body again and so cannot
+	// send a change a second time after a reused connection turned out to be
+	// closed.
 	out.GetBody = nil
 	for name, values := range r.header {
 		out.Header[name] = values
@@ -153,13 +160,14 @@
 	return strings.TrimRight(address, "/")
 }
 
-// neverConnected reports whether an error came before a connection stood, so
-// that nothing can have taken effect.
+// neverConnected reports whether an error occurred before a connection was
+// established, so that the request cannot have taken effect.
 func neverConnected(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
+// rootCause returns the text of the innermost wrapped error.
 func rootCause(err error) string {
 	for {
 		inner := errors.Unwrap(err)
@@ -170,13 +178,15 @@
 	}
 }
 
+// readAnswer decodes a successful answer, or returns the error that the answer
+// contains.
 func readAnswer(response *http.Response, into any) error {
 	var (
 		data []byte
 		err  error
 	)
-	if data, err = io.ReadAll(io.LimitReader(response.Body, maxAnswer)); err != nil {
-		return wasabiridge.ErrOutcomeUnknown.Wrap(err, "client: the answer broke off")
+	if data, err = io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes)); err != nil {
+		return wasabiridge.ErrOutcomeUnknown.Wrap(err, "client: the answer was truncated")
 	}
 	if response.StatusCode != http.StatusOK {
 		return readError(response, data)
@@ -186,12 +196,12 @@
 		return nil
 	}
 	if err = json.Unmarshal(data, into); err != nil {
-		return wasabiridge.ErrInvalid.Wrap(err, "client: the answer is not what a router sends")
+		return wasabiridge.ErrInvalid.Wrap(err, "client: cannot decode the router's answer")
 	}
 	return nil
 }
 
-// errorTypes ties the codes of a router to error types.
+// errorTypes maps the error codes of a router to error types.
 var errorTypes = map[wasabioperator.Code]*errorx.Type{
 	wasabioperator.CodeInvalid:        wasabiridge.ErrInvalid,
 	wasabioperator.CodeUnauthorized:   ErrUnauthorized,
@@ -202,10 +212,12 @@
 	wasabioperator.CodeNotImplemented: ErrNotBuilt,
 }
 
+// readError converts an error answer to an error. It returns ErrInvalid when the
+// answer does not have the form of the operators' API.
 func readError(response *http.Response, data []byte) error {
 	var answer wasabioperator.ErrorAnswer
 	if err := json.Unmarshal(data, &answer); err != nil || answer.Error.Code == "" {
-		return wasabiridge.ErrInvalid.New("client: HTTP status %s from something that is no router", response.Status)
+		return wasabiridge.ErrInvalid.New("client: HTTP status %s from a server that is not a router", response.Status)
 	}
 	kind, known := errorTypes[answer.Error.Code]
 	if !known {
