--- a/internal/wasabilistener/listener.go
+++ b/internal/wasabilistener/listener.go
@@ -1,13 +1,15 @@
-// Package wasabilistener accepts connections of callers for net/http.
+// Package wasabilistener provides a net.Listener for net/http whose connections
+// return data that arrived before a read deadline even after the deadline.
 //
-// # Requests that came while the process stood still
+// # Requests that arrive during a pause of the process
 //
-// net/http bounds the time to read a header, from the moment at which a connection
-// is accepted, or the next request may come. The time goes on while the process is
-// stopped, and what a caller sends meanwhile waits in the system. When the process
-// goes on, the deadline has passed: the connection would be closed on a request
-// that was never read, and its caller hears nothing at all. Here a read whose
-// deadline has passed still takes what has already come.
+// net/http limits the time to read a request header, counted from when the
+// connection is accepted or the next request may arrive. The time also runs while
+// the process is paused, and data that a caller sends meanwhile waits in the
+// kernel's receive buffer. When the process continues, the deadline has expired:
+// net/http would close the connection without reading the request, and the caller
+// would get no response at all. With this listener, a read whose deadline has
+// expired still returns data that is already in the receive buffer.
 //
 // # Usage
 //
@@ -27,12 +29,14 @@
 	"time"
 )
 
-// lateReads bounds the reads beyond one deadline. With the buffers of net/http they
-// hold the longest header that is read at all; a caller that sends a header slowly
-// gains no more than that.
-const lateReads = 16
+// maxLateReads limits the reads after one deadline has expired. With the buffer size
+// of net/http, 16 reads are enough for the longest header that the router accepts. A
+// caller that sends its header slowly cannot extend the deadline by more than these
+// reads.
+const maxLateReads = 16
 
-// New returns a listener whose connections take what came before their deadline.
+// New returns a listener whose TCP connections return data from the receive buffer
+// after their read deadline. Other connections are returned unchanged.
 func New(l net.Listener) net.Listener { return listener{Listener: l} }
 
 type listener struct{ net.Listener }
@@ -50,28 +54,31 @@
 	return &conn{TCPConn: tcp}, nil
 }
 
-// conn is a connection of a caller. It can do all that a TCP connection can:
-// net/http half-closes one whose request it has not read to the end, so that the
-// answer is not lost with a reset.
+// conn is a connection of a caller. It embeds *net.TCPConn and so keeps all its
+// methods: net/http calls CloseWrite on a connection whose request it has not read
+// completely, so that a TCP reset does not discard the response.
 type conn struct {
 	*net.TCPConn
-	late atomic.Int32
+	// lateReads counts the reads since the current deadline expired.
+	lateReads atomic.Int32
 }
 
-// Read implements net.Conn.
+// Read implements net.Conn. After the deadline it returns data that is already in
+// the receive buffer, for up to maxLateReads reads.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
-	if n > 0 || len(p) == 0 || !errors.Is(err, os.ErrDeadlineExceeded) || c.late.Add(1) > lateReads {
+	if n > 0 || len(p) == 0 || !errors.Is(err, os.ErrDeadlineExceeded) || c.lateReads.Add(1) > maxLateReads {
 		return n, err
 	}
-	if waiting := c.readWaiting(p); waiting > 0 {
-		return waiting, nil
+	if buffered := c.readBuffered(p); buffered > 0 {
+		return buffered, nil
 	}
 	return n, err
 }
 
-// readWaiting reads what has come already, and returns zero when nothing has.
-func (c *conn) readWaiting(p []byte) int {
+// readBuffered reads from the kernel's receive buffer without blocking. It returns
+// zero when the buffer is empty, and on any error.
+func (c *conn) readBuffered(p []byte) int {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return 0
@@ -89,14 +96,14 @@
 	return n
 }
 
-// SetReadDeadline implements net.Conn.
+// SetReadDeadline implements net.Conn and resets the count of late reads.
 func (c *conn) SetReadDeadline(t time.Time) error {
-	c.late.Store(0)
+	c.lateReads.Store(0)
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// SetDeadline implements net.Conn.
+// SetDeadline implements net.Conn and resets the count of late reads.
 func (c *conn) SetDeadline(t time.Time) error {
-	c.late.Store(0)
+	c.lateReads.Store(0)
 	return c.TCPConn.SetDeadline(t)
 }
--- a/internal/wasabilistener/listener_test.go
+++ b/internal/wasabilistener/listener_test.go
@@ -21,7 +21,8 @@
 
 var past = time.Unix(1, 0)
 
-// pair returns both ends of a connection; the listener accepted the second.
+// pair returns both ends of a connection. The server end was accepted by the
+// listener under test.
 func pair() (client, server net.Conn) {
 	GinkgoHelper()
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
@@ -37,8 +38,9 @@
 	return client, server
 }
 
-// eventually reads until something comes that was sent before.
-func eventually(c net.Conn, p []byte) int {
+// readEventually repeats a read, whose deadline it sets in the past each time, until
+// it returns data that was sent before.
+func readEventually(c net.Conn, p []byte) int {
 	GinkgoHelper()
 	n := 0
 	Eventually(func() error {
@@ -50,21 +52,21 @@
 	return n
 }
 
-var _ = Describe("A read whose deadline has passed", func() {
-	// A router process stands still. A technician's question arrives in the
-	// meantime. When the process goes on, the time to read the question's header is
-	// over, and without this the question is dropped unread.
-	It("takes what has come", func() {
+var _ = Describe("A read whose deadline has expired", func() {
+	// Guards against requests that are lost when the router process is paused: a
+	// request arrives during the pause, and when the process continues, the deadline
+	// for reading its header has expired, so that it would be discarded unread.
+	It("returns data that has already arrived", func() {
 		client, server := pair()
 		Expect(server.SetReadDeadline(past)).To(Succeed())
 		_, err := client.Write([]byte("abc"))
 		Expect(err).NotTo(HaveOccurred())
 		p := make([]byte, 2)
-		Expect(string(p[:eventually(server, p)])).To(Equal("ab"))
-		Expect(string(p[:eventually(server, p)])).To(Equal("c"))
+		Expect(string(p[:readEventually(server, p)])).To(Equal("ab"))
+		Expect(string(p[:readEventually(server, p)])).To(Equal("c"))
 	})
 
-	It("ends as any other when nothing has come, or the caller has left", func() {
+	It("fails with the deadline error when no data has arrived or the caller has closed the connection", func() {
 		client, server := pair()
 		Expect(server.SetDeadline(past)).To(Succeed())
 		_, err := server.Read(make([]byte, 1))
@@ -76,9 +78,9 @@
 		}, "50ms").Should(MatchError(os.ErrDeadlineExceeded))
 	})
 
-	// A caller sends the bytes of its header one at a time, so that it holds a
-	// connection for ever.
-	It("is granted a bounded number of times for each deadline", func() {
+	// Guards against a caller that holds a connection for ever by sending its header
+	// one byte at a time.
+	It("returns data a limited number of times for each deadline", func() {
 		client, server := pair()
 		_, err := client.Write([]byte(strings.Repeat("x", 100)))
 		Expect(err).NotTo(HaveOccurred())
@@ -95,9 +97,10 @@
 	})
 })
 
-// Story: a caller sends a body that is too large and is refused at once. The
-// connection is closed with unread bytes; without a half-close first, the system
-// resets it and the caller never sees why.
+// Guards against a lost error response: a caller sends a body that is too large and
+// is refused before the body was read. If the connection is closed with unread bytes
+// and without a half-close first, the kernel resets it, and the caller does not
+// receive the response.
 var _ = It("a connection can be half-closed, as net/http does before it closes one", func() {
 	client, server := pair()
 	half, ok := server.(interface{ CloseWrite() error })
@@ -114,7 +117,7 @@
 	Expect(err).NotTo(HaveOccurred())
 })
 
-var _ = It("net/http serves over its connections, kept and pipelined ones too", func() {
+var _ = It("net/http serves kept-alive and pipelined requests over its connections", func() {
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
