--- a/internal/wasabitls/keeper.go
+++ b/internal/wasabitls/keeper.go
@@ -1,11 +1,11 @@
-// Package wasabitls keeps the certificate of a listener and reads it again
-// when its files change, without a restart.
+// Package wasabitls loads the certificate of a listener and reloads it when its
+// files change, without a restart.
 //
 // # Usage
 //
 //	var keeper *wasabitls.Keeper
 //	var err error
-//	if keeper, err = wasabitls.New(wasabitls.Options{Files: files}); err != nil {
+//	if keeper, err = wasabitls.New(wasabitls.Options{Files: files, Clock: clock}); err != nil {
 //		return err
 //	}
 //	listener = tls.NewListener(listener, keeper.Config())
@@ -24,41 +24,44 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabisettings"
 )
 
-// checkInterval is how long a certificate is used before its files are looked
-// at again.
+// checkInterval is the shortest time between two checks whether the files have
+// changed. Files are checked when a connection is opened.
 const checkInterval = wasabiridge.Second
 
-// Options are the parts of a Keeper. Files and Clock are needed.
+// Options configure a Keeper. Files and Clock are required.
 type Options struct {
 	Files wasabisettings.TLS
 	Clock wasabiridge.Clock
-	// Log takes a line when files changed. The zero value is silent.
+	// Log receives a line when the files were reloaded or cannot be used. The
+	// zero value logs nothing.
 	Log zerolog.Logger
-	// Protocols are the names that the listener offers, such as "h2".
+	// Protocols are the ALPN protocol names that the listener offers, such as
+	// "h2".
 	Protocols []string
 }
 
-// Keeper holds the certificate of one listener. It is safe for concurrent
-// use.
+// Keeper holds the certificate of one listener and reloads it when its files
+// change. It is safe for concurrent use.
 type Keeper struct {
 	options Options
 
 	mu      sync.Mutex
 	current *tls.Config
-	stamp   stamp
+	digests fileDigests
 	checked wasabiridge.Millis
 }
 
-// stamp tells whether the files are the same as before. It covers what they
-// hold: times are too coarse for two changes in a row.
-type stamp struct {
+// fileDigests are the digests of the files' contents, by which changes are detected.
+// Modification times are too coarse to distinguish two changes in quick succession.
+type fileDigests struct {
 	certificate, key, authorities [sha256.Size]byte
 }
 
-// New reads the files. It reports ErrInvalid when they cannot be used.
+// New loads the files. It returns ErrInvalid when they cannot be read or do not
+// contain a valid certificate and key.
 func New(o Options) (*Keeper, error) {
 	k := &Keeper{options: o, checked: o.Clock.Now()}
-	k.stamp = stampOf(o.Files)
+	k.digests = digestsOf(o.Files)
 	var err error
 	if k.current, err = k.load(); err != nil {
 		return nil, err
@@ -66,39 +69,40 @@
 	return k, nil
 }
 
-// Config returns the configuration of a server. Every new connection uses the
-// files as they are then.
+// Config returns a server configuration. Every new connection uses the current
+// certificate and authorities.
 func (k *Keeper) Config() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		NextProtos: k.options.Protocols,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			return k.fresh(), nil
+			return k.latest(), nil
 		},
 	}
 }
 
-// Mutual returns a configuration for both sides of connections between equals.
-// New connections use the certificate as it is then; authorities are those of
-// the start.
+// Mutual returns a configuration for both the server and the client side of
+// mutual TLS between instances. New connections use the current certificate; the
+// authorities are those loaded when Mutual is called.
 func (k *Keeper) Mutual() *tls.Config {
-	start := k.fresh()
-	cfg := start.Clone()
+	initial := k.latest()
+	cfg := initial.Clone()
 	cfg.Certificates = nil
-	cfg.RootCAs = start.ClientCAs
+	cfg.RootCAs = initial.ClientCAs
 	cfg.GetCertificate = func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-		return &k.fresh().Certificates[0], nil
+		return &k.latest().Certificates[0], nil
 	}
 	cfg.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-		return &k.fresh().Certificates[0], nil
+		return &k.latest().Certificates[0], nil
 	}
 	return cfg
 }
 
-// fresh returns the configuration for one connection. Files that cannot be
-// used, such as a certificate whose key is not written yet, leave the old
-// ones in force; the next check tries again.
-func (k *Keeper) fresh() *tls.Config {
+// latest returns the configuration for a new connection, reloaded if the files have
+// changed. If the files cannot be used, such as a certificate whose key has not
+// been written yet, the previous configuration stays in use, and the next check
+// tries again.
+func (k *Keeper) latest() *tls.Config {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.options.Clock.Now()
@@ -106,27 +110,28 @@
 		return k.current
 	}
 	k.checked = now
-	latest := stampOf(k.options.Files)
-	if latest == k.stamp {
+	digests := digestsOf(k.options.Files)
+	if digests == k.digests {
 		return k.current
 	}
 	loaded, err := k.load()
 	if err != nil {
-		k.options.Log.Warn().Err(err).Msg("New certificate cannot be used; the old one stays.")
+		k.options.Log.Warn().Err(err).Msg("The changed certificate files cannot be used; keeping the previous certificate.")
 		return k.current
 	}
-	k.stamp = latest
+	k.digests = digests
 	k.current = loaded
-	k.options.Log.Info().Str("file", k.options.Files.CertificateFile).Msg("Certificate read again.")
+	k.options.Log.Info().Str("file", k.options.Files.CertificateFile).Msg("Certificate reloaded.")
 	return k.current
 }
 
+// load reads the files and returns a server configuration for them.
 func (k *Keeper) load() (*tls.Config, error) {
 	files := k.options.Files
 	var pair tls.Certificate
 	var err error
 	if pair, err = tls.LoadX509KeyPair(files.CertificateFile, files.KeyFile); err != nil {
-		return nil, wasabiridge.ErrInvalid.Wrap(err, "tls: certificate %s", files.CertificateFile)
+		return nil, wasabiridge.ErrInvalid.Wrap(err, "tls: cannot load certificate %s", files.CertificateFile)
 	}
 	cfg := &tls.Config{
 		MinVersion:   tls.VersionTLS12,
@@ -147,24 +152,25 @@
 	var text []byte
 	var err error
 	if text, err = os.ReadFile(file); err != nil {
-		return nil, wasabiridge.ErrInvalid.Wrap(err, "tls: authorities %s", file)
+		return nil, wasabiridge.ErrInvalid.Wrap(err, "tls: cannot read authorities %s", file)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(text) {
-		return nil, wasabiridge.ErrInvalid.New("tls: authorities %s hold no certificate", file)
+		return nil, wasabiridge.ErrInvalid.New("tls: authorities file %s contains no certificate", file)
 	}
 	return pool, nil
 }
 
-func stampOf(files wasabisettings.TLS) stamp {
-	return stamp{
+func digestsOf(files wasabisettings.TLS) fileDigests {
+	return fileDigests{
 		certificate: digestOf(files.CertificateFile),
 		key:         digestOf(files.KeyFile),
 		authorities: digestOf(files.ClientCAFile),
 	}
 }
 
-// digestOf counts a file that cannot be read as empty.
+// digestOf returns the SHA-256 digest of a file, or zeros if the file cannot be
+// read.
 func digestOf(file string) [sha256.Size]byte {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/wasabitls/keeper_test.go
+++ b/internal/wasabitls/keeper_test.go
@@ -29,7 +29,7 @@
 
 func TestTLS(t *testing.T) { wasabitest.Run(t, "tls") }
 
-// writePair writes a certificate that signs itself, and its key.
+// writePair writes a self-signed certificate and its key.
 func writePair(files wasabisettings.TLS, serial int64) *x509.Certificate {
 	GinkgoHelper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -61,8 +61,8 @@
 	return wasabisettings.TLS{CertificateFile: filepath.Join(dir, "a.pem"), KeyFile: filepath.Join(dir, "a.key")}
 }
 
-// serve starts a server and returns what asks it over a new connection for
-// the serial number of its certificate.
+// serve starts a server and returns a function that opens a new connection to it and
+// returns the serial number of its certificate.
 func serve(k *wasabitls.Keeper, client *tls.Config) func() (int64, error) {
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	server.Config.ErrorLog = nil
@@ -76,7 +76,8 @@
 			return 0, err
 		}
 		defer conn.Close()
-		// With TLS 1.3 the server's refusal of a client shows at the first read.
+		// With TLS 1.3 the client learns at its first read that the server rejected
+		// its certificate.
 		if _, err = conn.Write([]byte("GET / HTTP/1.0\r\n\r\n")); err != nil {
 			return 0, err
 		}
@@ -88,30 +89,30 @@
 }
 
 var _ = Describe("certificates", func() {
-	It("are read again when their files change, and broken files leave the old ones", func() {
+	It("are reloaded when their files change, and stay in use when the new files are invalid", func() {
 		files := filesIn(GinkgoT().TempDir())
 		writePair(files, 1)
 		clock := wasabiclock.NewVirtual(0)
 		k, err := wasabitls.New(wasabitls.Options{Files: files, Clock: clock})
 		Expect(err).NotTo(HaveOccurred())
-		ask := serve(k, &tls.Config{InsecureSkipVerify: true}) //nolint:gosec // only the serial number counts
-		Expect(ask()).To(Equal(int64(1)))
+		serialNumber := serve(k, &tls.Config{InsecureSkipVerify: true}) //nolint:gosec // the test reads only the serial number
+		Expect(serialNumber()).To(Equal(int64(1)))
 
 		writePair(files, 2)
-		Expect(ask()).To(Equal(int64(1)), "files are looked at once a second")
+		Expect(serialNumber()).To(Equal(int64(1)), "files are checked once a second")
 		clock.Advance(2 * wasabiridge.Second)
-		Expect(ask()).To(Equal(int64(2)))
+		Expect(serialNumber()).To(Equal(int64(2)))
 
 		Expect(os.WriteFile(files.KeyFile, []byte("half a key"), 0o600)).To(Succeed())
 		clock.Advance(2 * wasabiridge.Second)
-		Expect(ask()).To(Equal(int64(2)))
+		Expect(serialNumber()).To(Equal(int64(2)))
 
 		writePair(files, 3)
 		clock.Advance(2 * wasabiridge.Second)
-		Expect(ask()).To(Equal(int64(3)))
+		Expect(serialNumber()).To(Equal(int64(3)))
 	})
 
-	It("of clients are asked for when the settings name their authorities", func() {
+	It("of clients are required when the settings name their authorities", func() {
 		files := filesIn(GinkgoT().TempDir())
 		authority := writePair(files, 1)
 		files.ClientCAFile = files.CertificateFile
@@ -126,7 +127,7 @@
 		Expect(serve(k, &tls.Config{RootCAs: roots, Certificates: []tls.Certificate{pair}})()).To(Equal(int64(1)))
 	})
 
-	It("that are not there are refused at the start", func() {
+	It("that do not exist are rejected by New", func() {
 		_, err := wasabitls.New(wasabitls.Options{Files: filesIn(GinkgoT().TempDir()), Clock: wasabiclock.NewVirtual(0)})
 		Expect(err).To(MatchError(ContainSubstring("a.pem")))
 	})
