--- a/internal/wasabikey/index.go
+++ b/internal/wasabikey/index.go
@@ -1,7 +1,7 @@
-// Package wasabikey finds client accounts by the keys that callers send.
+// Package wasabikey looks up client accounts by the keys that callers send.
 //
-// Configurations hold hashes of keys, never keys. A look-up takes the same
-// time whether a key is nearly right or wholly wrong.
+// A configuration contains hashes of keys, never the keys themselves. The time that
+// a look-up takes does not reveal how similar a wrong key is to a valid one.
 //
 // # Usage
 //
@@ -18,19 +18,19 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// bucketBytes is the part of a hash that finds candidates. What it takes to
-// find them depends on the hash of the given key only, which tells nothing of
-// other keys.
+// bucketBytes is the length of the hash prefix that selects the candidates for a
+// key. The time of this step depends only on the hash of the given key, which
+// reveals nothing about other keys.
 const bucketBytes = 8
 
-// Index finds client accounts by their keys. It is built once for each
-// configuration, which must not change afterwards. The zero value is empty and
-// safe for concurrent use.
+// Index looks up client accounts by key. It keeps a table for the configuration that
+// was used last; a configuration must not be modified after it was passed to Find.
+// The zero value is ready for use. It is safe for concurrent use.
 type Index struct {
 	latest atomic.Pointer[table]
 }
 
-// table belongs to one configuration and is never changed.
+// table is the look-up table of one configuration. It is immutable.
 type table struct {
 	config  *wasabiridge.Config
 	entries map[[bucketBytes]byte][]entry
@@ -41,8 +41,9 @@
 	account wasabiridge.ClientAccount
 }
 
-// Find returns the client account of a key, and whether there is one. Hashes
-// are compared in constant time.
+// Find returns the client account of a key in a configuration, and whether there is
+// one. The hash of the key is compared with the candidates in constant time. Find
+// builds a new table when cfg is not the configuration of the previous call.
 func (x *Index) Find(cfg *wasabiridge.Config, key string) (wasabiridge.ClientAccount, bool) {
 	t := x.latest.Load()
 	if t == nil || t.config != cfg {
@@ -58,6 +59,8 @@
 	return wasabiridge.ClientAccount{}, false
 }
 
+// newTable builds the table of a configuration. Key hashes that are not hexadecimal
+// SHA-256 hashes are skipped.
 func newTable(cfg *wasabiridge.Config) *table {
 	t := &table{config: cfg, entries: map[[bucketBytes]byte][]entry{}}
 	for _, account := range cfg.Accounts {
@@ -67,8 +70,8 @@
 				continue
 			}
 			bucket := [bucketBytes]byte(hash[:bucketBytes])
-			found := entry{hash: [sha256.Size]byte(hash), account: account}
-			t.entries[bucket] = append(t.entries[bucket], found)
+			e := entry{hash: [sha256.Size]byte(hash), account: account}
+			t.entries[bucket] = append(t.entries[bucket], e)
 		}
 	}
 	return t
--- a/internal/wasabikey/index_test.go
+++ b/internal/wasabikey/index_test.go
@@ -35,12 +35,12 @@
 		key     string
 		account string
 	}{
-		"each key of an account":         {key: "second", account: "liftwell"},
-		"a key beside a broken hash":     {key: "third", account: "selam"},
-		"an unknown key":                 {key: "fourth"},
-		"the hash itself is no key":      {key: hashOf("first")},
-		"no key":                         {key: ""},
-		"a key that another begins with": {key: "firs"},
+		"each key of an account":       {key: "second", account: "liftwell"},
+		"a key beside an invalid hash": {key: "third", account: "selam"},
+		"an unknown key":               {key: "fourth"},
+		"the hash of a key as the key": {key: hashOf("first")},
+		"an empty key":                 {key: ""},
+		"a prefix of a valid key":      {key: "firs"},
 	} {
 		It("finds accounts by key: "+name, func() {
 			var keys wasabikey.Index
@@ -50,10 +50,10 @@
 		})
 	}
 
-	// An account changes its key because the old one leaked. The configuration
-	// is replaced while the instance serves; a table built for the configuration
-	// before must not let the old key in.
-	It("forgets a key with the configuration that held it", func() {
+	// Guards against a revoked key that stays valid: a client account changes its key
+	// because the old one leaked, and the configuration is replaced while the instance
+	// serves. The table of the previous configuration must not be used any more.
+	It("rejects a key that the current configuration no longer contains", func() {
 		var keys wasabikey.Index
 		_, ok := keys.Find(before, "first")
 		Expect(ok).To(BeTrue())
