--- a/internal/wasabilog/log.go
+++ b/internal/wasabilog/log.go
@@ -1,8 +1,8 @@
-// Package wasabilog makes the loggers of all parts. Each part has a fixed
-// prefix, and its lines are short sentences.
+// Package wasabilog creates the loggers of all parts of a router. Each part marks its
+// lines with a fixed name, and its messages are short sentences.
 //
-// Lines never hold prompt text, answer text or keys. Every line that concerns
-// a request carries its identifier.
+// Log lines must not contain prompt text, answer text or keys. Every line about a
+// request must contain the request's identifier.
 //
 // # Usage
 //
@@ -19,25 +19,26 @@
 	"github.com/rs/zerolog"
 )
 
-// Names of fields that every part uses alike.
+// Names of log fields that all parts share.
 const (
-	// RequestField holds the identifier of a request.
+	// RequestField is the field with the identifier of a request.
 	RequestField = "request_id"
-	// BackendField holds the name of a backend server.
+	// BackendField is the field with the identifier of a backend server.
 	BackendField = "backend"
-	// InstanceField holds the name of an instance.
+	// InstanceField is the field with the identifier of an instance.
 	InstanceField = "instance"
 )
 
-type prefix string
+// partHook is a zerolog hook that adds the name of a part to each line.
+type partHook string
 
-// Run puts the prefix before the message of an event.
-func (p prefix) Run(e *zerolog.Event, _ zerolog.Level, _ string) {
+// Run implements zerolog.Hook.
+func (p partHook) Run(e *zerolog.Event, _ zerolog.Level, _ string) {
 	e.Str("part", string(p))
 }
 
-// New returns a root logger that writes JSON lines. An unknown level counts
-// as "info".
+// New returns a root logger that writes JSON lines with timestamps. The level is a
+// zerolog level such as "debug"; an empty or unknown level means "info".
 func New(w io.Writer, level string) zerolog.Logger {
 	lvl, err := zerolog.ParseLevel(level)
 	if err != nil || level == "" {
@@ -46,22 +47,24 @@
 	return zerolog.New(w).Level(lvl).With().Timestamp().Logger()
 }
 
-// Part returns a logger whose lines carry the fixed prefix of a part.
+// Part returns a logger whose lines contain the name of a part in the field "part".
 func Part(root zerolog.Logger, name string) zerolog.Logger {
-	return root.Hook(prefix(name))
+	return root.Hook(partHook(name))
 }
 
-// ServerErrors returns a logger for net/http whose lines go to log. They name
-// addresses and protocol errors, never contents.
+// ServerErrors returns a logger for http.Server.ErrorLog that writes to log at debug
+// level. The lines of net/http contain addresses and protocol errors, never the
+// contents of requests.
 func ServerErrors(log zerolog.Logger) *stdlog.Logger {
 	return stdlog.New(lineWriter{log: log}, "", 0)
 }
 
+// lineWriter is an io.Writer that logs each write as one line.
 type lineWriter struct {
 	log zerolog.Logger
 }
 
-// Write logs one line.
+// Write implements io.Writer.
 func (w lineWriter) Write(line []byte) (int, error) {
 	w.log.Debug().Str("detail", strings.TrimSpace(string(line))).Msg("Connection failed.")
 	return len(line), nil
--- a/internal/wasabilog/ring_test.go
+++ b/internal/wasabilog/ring_test.go
@@ -16,32 +16,32 @@
 
 func TestLog(t *testing.T) { wasabitest.Run(t, "log") }
 
-// stalled takes nothing until it is opened.
-type stalled struct {
+// stalledWriter blocks each Write until open is closed.
+type stalledWriter struct {
 	open chan struct{}
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (s *stalled) Write(p []byte) (int, error) {
+func (s *stalledWriter) Write(p []byte) (int, error) {
 	<-s.open
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.text.Write(p)
 }
 
-func (s *stalled) String() string {
+func (s *stalledWriter) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.text.String()
 }
 
-var _ = Describe("A ring before the log", func() {
-	// Story: whatever reads standard output stops. A process that writes its log
-	// lines straight to it stands still with the first full pipe, and all its
-	// callers with it.
-	It("never blocks, and counts what it drops while its reader stands still", func() {
-		out := &stalled{open: make(chan struct{})}
+var _ = Describe("A ring buffer of log lines", func() {
+	// Guards against a process that blocks, with all its callers, because the program
+	// that reads its standard output has stopped: without the ring buffer, writing a
+	// log line blocks as soon as the pipe is full.
+	It("never blocks, and counts the lines that it drops while its writer is stalled", func() {
+		out := &stalledWriter{open: make(chan struct{})}
 		ring := wasabilog.NewRing(out)
 		log := wasabilog.Part(wasabilog.New(ring, "info"), "relay")
 		done := make(chan struct{})
@@ -58,7 +58,7 @@
 		Expect(ring.Close()).To(Succeed())
 	})
 
-	It("loses nothing otherwise", func() {
+	It("drops no lines while its writer keeps up", func() {
 		var out strings.Builder
 		ring := wasabilog.NewRing(&out)
 		for range 100 {
