--- a/internal/wasabisettings/check.go
+++ b/internal/wasabisettings/check.go
@@ -14,16 +14,16 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabiplatform"
 )
 
-// check names everything that is wrong with the meaning of settings whose
-// form is right.
+// check validates the values of decoded settings. It returns nil, or an ErrInvalid
+// that lists every invalid field with its path.
 func check(s Settings) error {
 	c := checker{}
-	c.filled("/instance", string(s.Instance))
-	c.filled("/zone", string(s.Zone))
+	c.required("/instance", string(s.Instance))
+	c.required("/zone", string(s.Zone))
 	if s.Capacity < 0 {
 		c.report("/capacity", "must not be negative")
 	}
-	c.filled("/caller/listen", s.Caller.Listen)
+	c.required("/caller/listen", s.Caller.Listen)
 	c.listener("/caller", s.Caller)
 	c.listener("/operator", s.Operator.Listener)
 	c.keyHashes("/operator/key_hashes", s.Operator.KeyHashes)
@@ -31,12 +31,12 @@
 	c.address("/peer/address", s.Peer.Address)
 	c.tls("/peer/tls", s.Peer.TLS)
 	for i, seed := range s.Peer.Seeds {
-		c.filled(fmt.Sprintf("/peer/seeds/%d/instance", i), string(seed.Instance))
-		c.filled(fmt.Sprintf("/peer/seeds/%d/address", i), seed.Address)
+		c.required(fmt.Sprintf("/peer/seeds/%d/instance", i), string(seed.Instance))
+		c.required(fmt.Sprintf("/peer/seeds/%d/address", i), seed.Address)
 		c.address(fmt.Sprintf("/peer/seeds/%d/address", i), seed.Address)
 	}
 	if s.Peer.Listen != "" && !s.Peer.Open {
-		c.filled("/peer/secret_file", s.Peer.SecretFile)
+		c.required("/peer/secret_file", s.Peer.SecretFile)
 	}
 	c.platform(s.Platform)
 	c.hosted(s.Hosted)
@@ -49,6 +49,7 @@
 	return wasabiridge.ErrInvalid.New("settings: %s", strings.Join(c.problems, "\n"))
 }
 
+// checker collects the problems found in settings.
 type checker struct {
 	problems []string
 }
@@ -57,14 +58,16 @@
 	c.problems = append(c.problems, path+": "+text)
 }
 
-func (c *checker) filled(path, value string) {
+// required reports a string field that is empty.
+func (c *checker) required(path, value string) {
 	if value == "" {
 		c.report(path, "must be set")
 	}
 }
 
-// address takes IP addresses only: a name would need a resolver, which may be
-// down just when an instance restarts.
+// address reports a value that is not an IP address and a port. Host names are not
+// accepted, because resolving them would need DNS, which may be down at the moment
+// when an instance restarts. An empty value is accepted.
 func (c *checker) address(path, value string) {
 	if value == "" {
 		return
@@ -74,6 +77,8 @@
 	}
 }
 
+// url reports a value that is not an absolute http or https URL. An empty value is
+// accepted.
 func (c *checker) url(path, value string) {
 	if value == "" {
 		return
@@ -88,8 +93,8 @@
 	if p == nil {
 		return
 	}
-	c.filled("/platform/table_url", p.TableURL)
-	c.filled("/platform/table", p.Table)
+	c.required("/platform/table_url", p.TableURL)
+	c.required("/platform/table", p.Table)
 	c.url("/platform/table_url", p.TableURL)
 	c.url("/platform/objects_url", p.ObjectsURL)
 	c.url("/platform/instances_url", p.InstancesURL)
@@ -113,8 +118,8 @@
 	if t == nil {
 		return
 	}
-	c.filled(path+"/certificate_file", t.CertificateFile)
-	c.filled(path+"/key_file", t.KeyFile)
+	c.required(path+"/certificate_file", t.CertificateFile)
+	c.required(path+"/key_file", t.KeyFile)
 }
 
 func (c *checker) level(path, value string) {
@@ -127,26 +132,26 @@
 }
 
 func (c *checker) limits(l Limits) {
-	c.notNegative("/limits/header_bytes", int64(l.HeaderBytes))
-	c.notNegative("/limits/body_bytes", l.BodyBytes)
-	c.notNegative("/limits/requests", int64(l.Requests))
-	c.notNegative("/limits/stream_bytes", int64(l.StreamBytes))
-	c.notNegative("/limits/answer_bytes", int64(l.AnswerBytes))
-	c.notNegative("/limits/header_timeout_ms", int64(l.HeaderTimeout))
-	c.notNegative("/limits/body_timeout_ms", int64(l.BodyTimeout))
-	c.notNegative("/limits/idle_timeout_ms", int64(l.IdleTimeout))
-	c.notNegative("/limits/ring", int64(l.Ring))
+	c.nonNegative("/limits/header_bytes", int64(l.HeaderBytes))
+	c.nonNegative("/limits/body_bytes", l.BodyBytes)
+	c.nonNegative("/limits/requests", int64(l.Requests))
+	c.nonNegative("/limits/stream_bytes", int64(l.StreamBytes))
+	c.nonNegative("/limits/answer_bytes", int64(l.AnswerBytes))
+	c.nonNegative("/limits/header_timeout_ms", int64(l.HeaderTimeout))
+	c.nonNegative("/limits/body_timeout_ms", int64(l.BodyTimeout))
+	c.nonNegative("/limits/idle_timeout_ms", int64(l.IdleTimeout))
+	c.nonNegative("/limits/ring", int64(l.Ring))
 }
 
 func (c *checker) drain(d Drain) {
-	c.notNegative("/drain/answer_lifetime_ms", int64(d.AnswerLifetime))
-	c.notNegative("/drain/limit_ms", int64(d.Limit))
+	c.nonNegative("/drain/answer_lifetime_ms", int64(d.AnswerLifetime))
+	c.nonNegative("/drain/limit_ms", int64(d.Limit))
 	if d = d.WithDefaults(); d.Limit < d.AnswerLifetime {
-		c.report("/drain/limit_ms", "must not be shorter than answer_lifetime_ms, or callers with a valid answer are cut")
+		c.report("/drain/limit_ms", "must not be shorter than answer_lifetime_ms, or the instance ends while callers still hold valid address answers")
 	}
 }
 
-func (c *checker) notNegative(path string, value int64) {
+func (c *checker) nonNegative(path string, value int64) {
 	if value < 0 {
 		c.report(path, "must not be negative")
 	}
--- a/internal/wasabisettings/hosted.go
+++ b/internal/wasabisettings/hosted.go
@@ -7,60 +7,66 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Hosted is what a process is told of the platform that it runs on.
+// Hosted are the settings of a process that runs on a platform whose operators
+// write the configuration into its store.
 type Hosted struct {
-	// Store is where the platform's store is, as IP:port.
+	// Store is the address of the platform's store, as IP:port.
 	Store string `json:"store"`
-	// Ready, Directory and Metrics are addresses to listen on, as IP:port:
-	// for the platform's own checks, for callers that ask where to connect,
-	// and for metrics. An empty one is off.
+	// Ready, Directory and Metrics are addresses to listen on, as IP:port: for
+	// the platform's readiness checks, for callers that request the addresses of
+	// instances, and for metrics. An empty address turns the listener off.
 	Ready     string `json:"ready,omitempty"`
 	Directory string `json:"directory,omitempty"`
 	Metrics   string `json:"metrics,omitempty"`
 	Bounds    Bounds `json:"bounds,omitempty"`
 }
 
-// Span is a length of time in milliseconds. Platforms write fractions too.
+// Span is a duration in milliseconds. It is a floating-point number, because
+// platforms also write fractions.
 type Span float64
 
-// Seconds is a length of time in seconds, with fractions.
+// Seconds is a duration in seconds. It is a floating-point number, because
+// platforms also write fractions.
 type Seconds float64
 
-// Bounds are the times and shares that the platform's operators count on. A
-// zero field means its default.
+// Bounds are the time limits and the retry budget that the platform's operators
+// rely on. A zero field means its default.
 type Bounds struct {
-	// KeyLife is how long after a key was taken away it may still be used. The
-	// default is 5 s.
+	// KeyLife is the longest time for which a revoked key may still be accepted.
+	// The default is 5 s.
 	KeyLife Span `json:"key_life_ms,omitempty"`
-	// ConfigLife is how long after its acceptance a configuration must be in
-	// force everywhere. The default is 2 s.
+	// ConfigLife is the time after its acceptance within which a configuration
+	// must be in force at all instances. The default is 2 s.
 	ConfigLife Span `json:"config_life_ms,omitempty"`
-	// WeightsLife is how long after new weights were named older ones may
-	// begin to answer. The default is 12 s.
+	// WeightsLife is the time after the announcement of new weights during which
+	// answers may still be started with older weights. The default is 12 s.
 	WeightsLife Span `json:"weights_life_ms,omitempty"`
-	// Turn is how long orders of two instances must lie apart. The default is
-	// 3 s.
+	// Turn is the lease term: the shortest time between orders that two different
+	// instances issue. The default is 3 s.
 	Turn Span `json:"turn_ms,omitempty"`
-	// Grace is how long a process may take to end. The default is 8 s.
+	// Grace is the longest time from the request to end until the process has
+	// ended. The default is 8 s.
 	Grace Seconds `json:"grace_s,omitempty"`
-	// AddressLife is the longest time for which an address answer counts. The
+	// AddressLife is the longest time for which an address answer is valid. The
 	// default is 5 s.
 	AddressLife Seconds `json:"address_life_s,omitempty"`
-	// RetryRatio, RetrySlack and RetryWindow are the budget of further
-	// attempts that all instances share: within a window, that share of the
-	// requests and the slack. The defaults are 0.2, 50 and 10 s.
+	// RetryRatio, RetrySlack and RetryWindow are the retry budget that all
+	// instances share: within each window, the further attempts must not exceed
+	// RetryRatio times the number of requests plus RetrySlack. The defaults are
+	// 0.2, 50 and 10 s.
 	RetryRatio  float64 `json:"retry_ratio,omitempty"`
 	RetrySlack  float64 `json:"retry_slack,omitempty"`
 	RetryWindow Seconds `json:"retry_window_s,omitempty"`
 }
 
-// Terms are bounds with every default filled in. Values are immutable.
+// Terms are Bounds with the defaults filled in and all times in milliseconds. It is
+// an immutable value.
 type Terms struct {
 	KeyLife, ConfigLife, WeightsLife, Turn, Grace, AddressLife, RetryWindow wasabiridge.Millis
 	RetryRatio, RetrySlack                                                  float64
 }
 
-// Defaults of the bounds.
+// Defaults of Bounds.
 const (
 	DefaultKeyLife     = 5 * wasabiridge.Second
 	DefaultConfigLife  = 2 * wasabiridge.Second
@@ -73,7 +79,7 @@
 	DefaultRetryWindow = 10 * wasabiridge.Second
 )
 
-// Terms returns the bounds with every zero field filled in.
+// Terms returns the bounds with every zero field set to its default.
 func (b Bounds) Terms() Terms {
 	t := Terms{
 		KeyLife: wasabiridge.Millis(b.KeyLife), ConfigLife: wasabiridge.Millis(b.ConfigLife),
@@ -105,19 +111,19 @@
 	if h == nil {
 		return
 	}
-	c.filled("/hosted/store", h.Store)
+	c.required("/hosted/store", h.Store)
 	c.address("/hosted/store", h.Store)
 	c.address("/hosted/ready", h.Ready)
 	c.address("/hosted/directory", h.Directory)
 	c.address("/hosted/metrics", h.Metrics)
 	b := h.Bounds
-	numbers := map[string]float64{
+	values := map[string]float64{
 		"key_life_ms": float64(b.KeyLife), "config_life_ms": float64(b.ConfigLife), "weights_life_ms": float64(b.WeightsLife),
 		"turn_ms": float64(b.Turn), "grace_s": float64(b.Grace), "address_life_s": float64(b.AddressLife),
 		"retry_window_s": float64(b.RetryWindow), "retry_ratio": b.RetryRatio, "retry_slack": b.RetrySlack,
 	}
-	for _, name := range slices.Sorted(maps.Keys(numbers)) {
-		if numbers[name] < 0 {
+	for _, name := range slices.Sorted(maps.Keys(values)) {
+		if values[name] < 0 {
 			c.report("/hosted/bounds/"+name, "must not be negative")
 		}
 	}
--- a/internal/wasabisettings/settings.go
+++ b/internal/wasabisettings/settings.go
@@ -1,9 +1,10 @@
-// Package wasabisettings reads the settings of one router process: its name,
-// zone and addresses, where the platform is, and its limits. Everything that
-// is alike on all instances stands in the configuration instead.
+// Package wasabisettings reads the settings of one router process: its name, its
+// availability zone, its addresses, the addresses of the platform's services, and
+// its limits. Values that are the same for all instances belong in the configuration
+// instead.
 //
-// Settings are JSON with comments. They are checked as a whole; every unknown
-// or wrong field is named with its place.
+// Settings are JSON with comments. The error for invalid settings lists every
+// unknown or invalid field with its path.
 //
 // # Usage
 //
@@ -22,15 +23,15 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabiplatform"
 )
 
-// Settings is what one process is told at its start. It is an immutable
+// Settings are the settings of one process, read when it starts. It is an immutable
 // value.
 type Settings struct {
 	Instance wasabiridge.InstanceID       `json:"instance"`
 	Zone     wasabiridge.AvailabilityZone `json:"zone"`
 	Region   wasabiridge.Region           `json:"region,omitempty"`
-	// Capacity is how much the instance can take beside others, such as its
-	// share of a core. Zero counts as one. Where there are many instances,
-	// callers are sent to the largest.
+	// Capacity is the capacity of the instance relative to the other instances,
+	// such as the share of a CPU core that it may use. Zero counts as one. If there
+	// are many instances, callers are directed to those with the largest capacity.
 	Capacity float64 `json:"capacity,omitempty"`
 	// Caller is the listener of callers.
 	Caller Listener `json:"caller"`
@@ -39,20 +40,21 @@
 	// Peer is the listener of other instances. It is off when Listen is
 	// empty.
 	Peer PeerListener `json:"peer,omitempty"`
-	// Platform says where the platform's services are. Without it nothing
-	// outlasts the process, and requests that run at most once need tickets.
+	// Platform contains the addresses of the platform's services. Without it no
+	// state survives the process, and requests that must run at most once need
+	// tickets.
 	Platform *wasabiplatform.Settings `json:"platform,omitempty"`
-	// ConfigFile names a configuration to start from when neither a peer nor
-	// the platform gives one.
+	// ConfigFile names a file with the configuration that is used when neither a
+	// peer nor the platform provides one at the start.
 	ConfigFile string `json:"config_file,omitempty"`
 	// LogLevel is "debug", "info", "warn" or "error". Empty means "info".
 	LogLevel string `json:"log_level,omitempty"`
 	Limits   Limits `json:"limits,omitempty"`
 	Drain    Drain  `json:"drain,omitempty"`
-	// Hosted says that the process runs on a platform whose operators write
-	// the configuration into its store. Nil means that it does not.
+	// Hosted is set for a process that runs on a platform whose operators write
+	// the configuration into the platform's store.
 	Hosted *Hosted `json:"hosted,omitempty"`
-	// Seed starts the random choices of the decisions. Zero takes a new one
+	// Seed is the seed of the random number generators. Zero means a random seed
 	// at every start.
 	Seed int64 `json:"seed,omitempty"`
 }
@@ -61,97 +63,99 @@
 type Listener struct {
 	// Listen is an IP address and a port, such as "10.0.0.7:8080".
 	Listen string `json:"listen"`
-	// URL is where others reach the listener. Empty means that it follows
-	// from Listen.
+	// URL is the URL at which clients reach the listener. Empty means that it is
+	// derived from Listen.
 	URL string `json:"url,omitempty"`
 	TLS *TLS   `json:"tls,omitempty"`
 }
 
-// TLS names the files of a listener's certificate and key in PEM form. They
-// are read again when they change.
+// TLS names the files with a listener's certificate and key, in PEM format. The files
+// are reloaded when they change.
 type TLS struct {
 	CertificateFile string `json:"certificate_file"`
 	KeyFile         string `json:"key_file"`
-	// ClientCAFile names the authorities that sign the certificates of
-	// clients. Empty means that clients need no certificate.
+	// ClientCAFile names the file with the certificate authorities that sign the
+	// certificates of clients. Empty means that clients need no certificate.
 	ClientCAFile string `json:"client_ca_file,omitempty"`
 }
 
-// OperatorListener is the listener of operators.
+// OperatorListener is the listener for operators.
 type OperatorListener struct {
 	Listener
-	// KeyHashes are hexadecimal SHA-256 hashes of keys that hold beside those
-	// of the configuration, so that the first configuration can be put.
+	// KeyHashes are hexadecimal SHA-256 hashes of operator keys. They are accepted
+	// in addition to those in the configuration, so that an operator can put the
+	// first configuration.
 	KeyHashes []string `json:"key_hashes,omitempty"`
 }
 
-// PeerListener is the listener of other instances.
+// PeerListener is the listener for other instances.
 type PeerListener struct {
 	// Listen is an IP address and a port.
 	Listen string `json:"listen"`
-	// Address is where other instances reach the listener, as IP:port. Empty
-	// means that it follows from Listen.
+	// Address is the address at which other instances reach the listener, as
+	// IP:port. Empty means that it is the same as Listen.
 	Address string `json:"address,omitempty"`
 	TLS     *TLS   `json:"tls,omitempty"`
 	// SecretFile names a file with the secret that all instances share. It
-	// authenticates tickets, and without TLS the instances themselves.
+	// authenticates tickets and, without TLS, the instances to each other. It is
+	// required unless Open is set.
 	SecretFile string `json:"secret_file,omitempty"`
-	// Open says that nobody but instances can reach the listener, so that they
-	// need no secret.
+	// Open means that only instances can reach the listener through the network,
+	// so that they need no secret.
 	Open bool `json:"open,omitempty"`
-	// Seeds name other instances to ask while the platform's list cannot be
-	// read at the start.
+	// Seeds are other instances to contact at the start while the platform's list
+	// of instances cannot be read.
 	Seeds []Seed `json:"seeds,omitempty"`
 }
 
-// Seed is another instance.
+// Seed is another instance and its peer address.
 type Seed struct {
 	Instance wasabiridge.InstanceID `json:"instance"`
-	// Address is where the instance listens for others, as IP:port.
+	// Address is the address of the instance's peer listener, as IP:port.
 	Address string `json:"address"`
 }
 
-// Limits bounds what callers may take up. A zero field means its default.
+// Limits are limits on the resources that callers can use. A zero field means its
+// default.
 type Limits struct {
-	// HeaderBytes bounds the header of a request. The default is 32 KiB.
+	// HeaderBytes limits the header of a request. The default is 32 KiB.
 	HeaderBytes int `json:"header_bytes,omitempty"`
-	// BodyBytes bounds the body of a request. The default is 8 MiB.
+	// BodyBytes limits the body of a request. The default is 8 MiB.
 	BodyBytes int64 `json:"body_bytes,omitempty"`
-	// Requests bounds the requests that are open at once. The default is
-	// 4096.
+	// Requests limits the number of open requests. The default is 4096.
 	Requests int `json:"requests,omitempty"`
-	// StreamBytes bounds what is kept of one answer for a slow reader. The
-	// default is 16 KiB.
+	// StreamBytes limits the data of one answer that is buffered for a caller that
+	// reads slowly. The default is 16 KiB.
 	StreamBytes int `json:"stream_bytes,omitempty"`
-	// AnswerBytes bounds the part of an answer that is held back so that a
-	// broken attempt can be repeated. The default is 1 MiB.
+	// AnswerBytes limits the data of one answer that is buffered before it is sent
+	// to the caller, so that a broken attempt can be retried. The default is
+	// 1 MiB.
 	AnswerBytes int `json:"answer_bytes,omitempty"`
-	// HeaderTimeout bounds the time to read a request's header. The default
-	// is 10 s.
+	// HeaderTimeout limits the time to read a request's header. The default is
+	// 10 s.
 	HeaderTimeout wasabiridge.Millis `json:"header_timeout_ms,omitempty"`
-	// BodyTimeout bounds the time to read a request's body. The default is
-	// 60 s.
+	// BodyTimeout limits the time to read a request's body. The default is 60 s.
 	BodyTimeout wasabiridge.Millis `json:"body_timeout_ms,omitempty"`
-	// IdleTimeout bounds the time a connection waits for its next request.
-	// The default is 120 s.
+	// IdleTimeout limits the time for which a connection waits for its next
+	// request. The default is 120 s.
 	IdleTimeout wasabiridge.Millis `json:"idle_timeout_ms,omitempty"`
-	// Ring bounds the events that wait for the decisions. The default is
+	// Ring is the capacity of the event queue of the decision loop. The default is
 	// 8192.
 	Ring int `json:"ring,omitempty"`
 }
 
-// Drain says how the process ends.
+// Drain are the settings for draining the process before it ends.
 type Drain struct {
-	// AnswerLifetime is how long callers may keep an address answer. The
-	// process accepts requests for that long after it began to leave. The
-	// default is 10 s.
+	// AnswerLifetime is how long callers may use an address answer. The process
+	// accepts requests for this time after the start of the drain. The default is
+	// 10 s.
 	AnswerLifetime wasabiridge.Millis `json:"answer_lifetime_ms,omitempty"`
-	// Limit bounds the whole drain; streams that are open after it are cut.
-	// The default is 15 min.
+	// Limit limits the duration of the complete drain, including AnswerLifetime.
+	// Requests that are still open then are aborted. The default is 15 min.
 	Limit wasabiridge.Millis `json:"limit_ms,omitempty"`
 }
 
-// Defaults of the limits.
+// Defaults of Limits and Drain.
 const (
 	DefaultHeaderBytes    = 32 << 10
 	DefaultBodyBytes      = 8 << 20
@@ -166,18 +170,19 @@
 	DefaultDrainLimit     = 15 * wasabiridge.Minute
 )
 
-// Load reads and checks a settings file.
+// Load reads and checks a settings file. It returns ErrInvalid when the file cannot be
+// read or its settings are invalid.
 func Load(file string) (Settings, error) {
 	var text []byte
 	var err error
 	if text, err = os.ReadFile(file); err != nil {
-		return Settings{}, wasabiridge.ErrInvalid.Wrap(err, "settings: cannot be read")
+		return Settings{}, wasabiridge.ErrInvalid.Wrap(err, "settings: cannot read the settings file")
 	}
 	return Parse(text)
 }
 
-// Parse reads and checks settings and fills in the defaults. It reports
-// ErrInvalid with everything that is wrong.
+// Parse decodes and checks settings and fills in the defaults. It returns ErrInvalid
+// with a list of all problems.
 func Parse(text []byte) (Settings, error) {
 	var s Settings
 	if err := wasabidocument.Decode(text, &s); err != nil {
@@ -203,7 +208,7 @@
 	return s
 }
 
-// WithDefaults returns the limits with every zero field filled in.
+// WithDefaults returns the limits with every zero field set to its default.
 func (l Limits) WithDefaults() Limits {
 	setInt(&l.HeaderBytes, DefaultHeaderBytes)
 	if l.BodyBytes == 0 {
@@ -219,13 +224,14 @@
 	return l
 }
 
-// WithDefaults returns the drain settings with every zero field filled in.
+// WithDefaults returns the drain settings with every zero field set to its default.
 func (d Drain) WithDefaults() Drain {
 	setMillis(&d.AnswerLifetime, DefaultAnswerLifetime)
 	setMillis(&d.Limit, DefaultDrainLimit)
 	return d
 }
 
+// withURL returns the listener with an empty URL derived from Listen and TLS.
 func (l Listener) withURL() Listener {
 	if l.URL != "" || l.Listen == "" {
 		return l
@@ -238,12 +244,14 @@
 	return l
 }
 
+// setInt sets a field that is zero.
 func setInt(field *int, value int) {
 	if *field == 0 {
 		*field = value
 	}
 }
 
+// setMillis sets a field that is zero.
 func setMillis(field *wasabiridge.Millis, value wasabiridge.Millis) {
 	if *field == 0 {
 		*field = value
--- a/internal/wasabisettings/settings_test.go
+++ b/internal/wasabisettings/settings_test.go
@@ -18,33 +18,33 @@
 const start = `{"instance":"a","zone":"z","caller":{"listen":"127.0.0.1:1"}`
 
 var _ = Describe("settings", func() {
-	wrong := map[string]struct {
+	invalid := map[string]struct {
 		text string
 		want []string
 	}{
 		"nothing set":              {`{}`, []string{"/instance: must be set", "/zone: must be set", "/caller/listen: must be set"}},
 		"unknown field":            {start + `,"drian":{}}`, []string{"/drian: unknown field", "1:"}},
 		"several unknown fields":   {start + ",\n\"a\":1,\n\"b\":2}", []string{"2:", "/a", "3:", "/b"}},
-		"wrong kind":               {start + `,"limits":{"requests":"many"}}`, []string{"/limits/requests"}},
-		"name instead of a number": {`{"instance":"a","zone":"z","caller":{"listen":"localhost:1"}}`, []string{"/caller/listen: must be an IP address and a port"}},
+		"wrong type":               {start + `,"limits":{"requests":"many"}}`, []string{"/limits/requests"}},
+		"host name in an address":  {`{"instance":"a","zone":"z","caller":{"listen":"localhost:1"}}`, []string{"/caller/listen: must be an IP address and a port"}},
 		"platform without scheme":  {start + `,"platform":{"table":"t","table_url":"127.0.0.1:9"}}`, []string{"/platform/table_url: must be a URL"}},
 		"key in place of its hash": {start + `,"operator":{"key_hashes":["secret"]}}`, []string{"/operator/key_hashes/0: must be a SHA-256 hash"}},
 		"certificate without key":  {start + `,"operator":{"listen":"127.0.0.1:2","tls":{"certificate_file":"c"}}}`, []string{"/operator/tls/key_file: must be set"}},
 		"unknown level":            {start + `,"log_level":"loud"}`, []string{"/log_level"}},
 		"negative capacity":        {start + `,"capacity":-1}`, []string{"/capacity: must not be negative"}},
 		"negative limit":           {start + `,"limits":{"ring":-1}}`, []string{"/limits/ring: must not be negative"}},
-		"drain shorter than the answers": {start + `,"drain":{"answer_lifetime_ms":5000,"limit_ms":4000}}`,
+		"drain shorter than address answers": {start + `,"drain":{"answer_lifetime_ms":5000,"limit_ms":4000}}`,
 			[]string{"/drain/limit_ms: must not be shorter"}},
-		"no JSON": {`{"instance"`, []string{"document"}},
+		"invalid JSON": {`{"instance"`, []string{"document"}},
 	}
-	names := make([]string, 0, len(wrong))
-	for name := range wrong {
+	names := make([]string, 0, len(invalid))
+	for name := range invalid {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		c := wrong[name]
-		It("are refused with the place: "+name, func() {
+		c := invalid[name]
+		It("are rejected with the path of the invalid field: "+name, func() {
 			_, err := wasabisettings.Parse([]byte(c.text))
 			for _, want := range c.want {
 				Expect(err).To(MatchError(ContainSubstring(want)))
@@ -60,7 +60,7 @@
 		Expect(s.Limits.BodyBytes).To(Equal(int64(8 << 20)))
 	})
 
-	It("stand as examples for both deployments and for the users' platform", func() {
+	It("are valid in the examples for both deployments and for the users' platform", func() {
 		files, err := filepath.Glob("../../examples/settings/*.jsonc")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(files).To(HaveLen(3))
