--- a/internal/wasabiclient/client.go
+++ b/internal/wasabiclient/client.go
@@ -29,7 +29,7 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabioperator"
 )
 
-// Bounds of a call.
+// Limits of a call.
 const (
 	// DefaultTimeout limits a call. It allows for the outcome report of a quarter,
 	// which can take long.
