--- a/internal/wasabidaemon/components.go
+++ b/internal/wasabidaemon/components.go
@@ -54,7 +54,7 @@
 	timeline *wasabitimeline.Log
 	metrics  *wasabimetrics.Set
 	loop     *wasabiloop.Loop
-	// backendEvents holds the events that intake puts in and that wait for loop.
+	// backendEvents queues the events from intake for loop.
 	backendEvents *wasabibackend.Ring
 	intake        *wasabibackend.Intake
 	runner        *wasabibackend.Runner
