--- a/internal/wasabidaemon/components.go
+++ b/internal/wasabidaemon/components.go
@@ -30,8 +30,9 @@
 const (
 	// attemptBits is the number of low bits of an attempt identifier that count
 	// attempts; the bits above hold the incarnation, which is the start time in
-	// milliseconds. Identifiers of two incarnations do not collide as long as an
-	// incarnation makes fewer than 2^20 attempts per millisecond.
+	// milliseconds. A later incarnation starts at least 1 ms later, so that the
+	// identifiers of two incarnations do not collide as long as each makes fewer
+	// than 2^20 attempts per millisecond.
 	attemptBits = 20
 	// eventRingSize is the number of events about backend servers that can wait
 	// for the decision loop. A full ring drops its oldest event and counts it.
