--- a/cmd/wasabictl/main.go
+++ b/cmd/wasabictl/main.go
@@ -1,4 +1,4 @@
-// Command wasabictl drives the routers of wasabiridge.
+// Command wasabictl is the operators' command-line client for the routers of wasabiridge.
 //
 // # Usage
 //
--- a/cmd/wasabirouter/caller_test.go
+++ b/cmd/wasabirouter/caller_test.go
@@ -19,13 +19,15 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabigateway"
 )
 
-// Codes of answers that no router sent.
+// Codes of failures that are not error responses of a router.
 const (
-	codeNoAnswer = "no_answer"
-	codeCut      = "cut"
+	// codeNoResponse means that there was no response header.
+	codeNoResponse = "no_answer"
+	// codeIncomplete means that the response was incomplete.
+	codeIncomplete = "cut"
 )
 
-// reply is what a caller got for one call. An empty code means success.
+// reply is the outcome of a call. An empty code means success.
 type reply struct {
 	Code   string
 	NotRun bool
@@ -33,15 +35,15 @@
 	Cached int
 }
 
-// caller is a client program on its own connections.
+// caller is a client program with its own connections.
 type caller struct {
 	rig    *rig
 	turn   int
 	client *http.Client
 }
 
-// caller returns a client program. The number tells it which router it asks
-// first for addresses.
+// caller returns a client program. turn selects the router that it queries first for
+// addresses.
 func (r *rig) caller(turn int) *caller {
 	c := &caller{rig: r, turn: turn, client: &http.Client{Transport: &http.Transport{}}}
 	DeferCleanup(c.client.CloseIdleConnections)
@@ -60,7 +62,7 @@
 	return c.client.Do(req)
 }
 
-// locate asks a router for addresses.
+// locate queries a router for addresses. It reports false if there are none.
 func (c *caller) locate(url string) (wasabiaddress.Answer, bool) {
 	var answer wasabiaddress.Answer
 	resp, err := c.do(http.MethodGet, url+"/v1/addresses", "", "")
@@ -71,8 +73,8 @@
 	return answer, json.NewDecoder(resp.Body).Decode(&answer) == nil && len(answer.Addresses) > 0
 }
 
-// addresses returns the routers to try, in order: those of the first address
-// answer to be had, then all that the client program was set up with.
+// addresses returns the routers to try, in order: those in the first successful address
+// response, then all that the client program is configured with.
 func (c *caller) addresses() []string {
 	known := c.rig.urls()
 	known = slices.Concat(known[c.turn%len(known):], known[:c.turn%len(known)])
@@ -90,8 +92,8 @@
 	return known
 }
 
-// completion is the part of an answer, or of an event of a stream, that the
-// tests look at.
+// completion has the fields of a response, or of an event of a stream, that the tests
+// check.
 type completion struct {
 	Choices []struct {
 		Delta, Message struct {
@@ -105,27 +107,28 @@
 	} `json:"usage"`
 }
 
+// question returns the body of a chat completion request.
 func question(prompt string, tokens int, stream bool) string {
 	return fmt.Sprintf(`{"model":"stand-in","stream":%t,"stream_options":{"include_usage":true},"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, stream, tokens, prompt)
 }
 
-// stream asks one router and reads the whole stream.
+// stream sends a request to a router and reads the stream to its end.
 func (c *caller) stream(url, prompt string, tokens int) reply {
 	return c.streamFrom(url, prompt, tokens, func() {})
 }
 
-// streamFrom does the same, and tells when the answer has begun.
-func (c *caller) streamFrom(url, prompt string, tokens int, begun func()) reply {
+// streamFrom does the same as stream and calls started after the response header.
+func (c *caller) streamFrom(url, prompt string, tokens int, started func()) reply {
 	resp, err := c.do(http.MethodPost, url+"/v1/chat/completions", question(prompt, tokens, true), "")
 	if err != nil {
-		return reply{Code: codeNoAnswer}
+		return reply{Code: codeNoResponse}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		return failureOf(resp)
 	}
-	begun()
-	got := reply{Code: codeCut}
+	started()
+	got := reply{Code: codeIncomplete}
 	for event, err := range sse.Read(resp.Body, nil) {
 		if err != nil {
 			return got
@@ -146,11 +149,11 @@
 	return got
 }
 
-// book sends one booking to one router.
+// book sends a booking to a router.
 func (c *caller) book(url, idempotencyKey string) reply {
 	resp, err := c.do(http.MethodPost, url+"/bookings", `{"lift":7}`, idempotencyKey)
 	if err != nil {
-		return reply{Code: codeNoAnswer}
+		return reply{Code: codeNoResponse}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusCreated {
@@ -158,11 +161,12 @@
 	}
 	text, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return reply{Code: codeCut}
+		return reply{Code: codeIncomplete}
 	}
 	return reply{Text: string(text)}
 }
 
+// failureOf returns the error response of a router.
 func failureOf(resp *http.Response) reply {
 	var body struct {
 		Error struct {
@@ -170,18 +174,18 @@
 		} `json:"error"`
 	}
 	if err := json.NewDecoder(resp.Body).Decode(&body); err != nil || body.Error.Code == "" {
-		return reply{Code: codeCut}
+		return reply{Code: codeIncomplete}
 	}
 	return reply{Code: body.Error.Code, NotRun: resp.Header.Get(wasabigateway.DispositionHeader) == "not_run"}
 }
 
-// want returns the answer that every engine gives to a prompt.
+// want returns the answer that every engine must give to a prompt.
 func (r *rig) want(prompt string, tokens int) string {
 	GinkgoHelper()
 	return answerOf(r.oracle, prompt, tokens)
 }
 
-// answerOf asks an engine without a router.
+// answerOf returns the answer of an engine, queried without a router.
 func answerOf(e *wasabiengine.Engine, prompt string, tokens int) string {
 	GinkgoHelper()
 	resp, err := http.Post(e.URL()+"/v1/chat/completions", "application/json", strings.NewReader(question(prompt, tokens, false)))
@@ -193,33 +197,35 @@
 	return c.Choices[0].Message.Content
 }
 
-// load is a number of callers that ask and book again and again.
+// load is a set of callers that stream and book continuously.
 type load struct {
 	rig     *rig
 	stopped chan struct{}
 	callers sync.WaitGroup
 
-	mu       sync.Mutex
-	whole    int
+	mu sync.Mutex
+	// completed is the number of complete streams.
+	completed int
+	// answered is the number of bookings with a successful response.
 	answered int
-	// faults are answers that no caller may ever get.
+	// faults are violations of what routers guarantee to callers.
 	faults []string
-	// codes counts the answers that were not whole.
+	// codes is the number of unsuccessful calls by code.
 	codes    map[string]int
 	bookings map[string]*booking
 }
 
-// booking is what a caller heard of one booking.
+// booking is what a caller received for a booking.
 type booking struct {
 	answers map[string]bool
-	// refused says that every answer so far said that nothing ran.
+	// refused is set as long as every response said that the booking did not run.
 	refused bool
 }
 
 const (
 	streamTokens = 40
-	// rounds is how often a caller goes through its addresses, with a pause
-	// after each round, before it gives up.
+	// rounds is the number of times that a caller tries its addresses, with a pause after
+	// each round, before it gives up.
 	rounds = 400
 	pause  = 50 * time.Millisecond
 )
@@ -255,7 +261,7 @@
 	})
 }
 
-// stop lets every caller finish and waits for it.
+// stop waits until every caller has finished its current call and stopped.
 func (l *load) stop() {
 	l.mu.Lock()
 	select {
@@ -267,16 +273,17 @@
 	l.callers.Wait()
 }
 
+// fault records a violation. The caller must hold the mutex, or have stopped the load.
 func (l *load) fault(format string, args ...any) {
 	l.faults = append(l.faults, fmt.Sprintf(format, args...))
 }
 
-// ask follows the addresses until an answer is whole.
+// ask tries the addresses until it gets a complete stream.
 func (l *load) ask(c *caller, prompt, want string) {
 	for range rounds {
 		for _, url := range c.addresses() {
 			got := c.stream(url, prompt, streamTokens)
-			if l.asked(got, want) {
+			if l.recordStream(got, want) {
 				return
 			}
 		}
@@ -284,36 +291,36 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.fault("no router gave a whole answer")
+	l.fault("no router sent a complete stream")
 }
 
-func (l *load) asked(got reply, want string) bool {
+func (l *load) recordStream(got reply, want string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if got.Code != "" {
 		l.codes[got.Code]++
 		return false
 	}
-	l.whole++
+	l.completed++
 	if got.Text != want {
-		l.fault("whole, but %q instead of %q", got.Text, want)
+		l.fault("complete stream with %q instead of %q", got.Text, want)
 	}
 	return true
 }
 
-// book sends one booking with its key to every router in turn.
+// book sends a booking with its idempotency key to every router in turn.
 func (l *load) book(c *caller, idempotencyKey string) {
 	b := &booking{answers: map[string]bool{}, refused: true}
 	l.mu.Lock()
 	l.bookings[idempotencyKey] = b
 	l.mu.Unlock()
 	for _, url := range c.addresses() {
-		l.booked(b, c.book(url, idempotencyKey))
+		l.recordBooking(b, c.book(url, idempotencyKey))
 	}
 	time.Sleep(pause)
 }
 
-func (l *load) booked(b *booking, got reply) {
+func (l *load) recordBooking(b *booking, got reply) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if got.Code != "" {
@@ -328,37 +335,37 @@
 	b.answers[got.Text] = true
 }
 
-// progress waits until so many more streams and bookings were answered.
-func (l *load) progress(whole, answered int) {
+// progress waits until the given numbers of further streams and bookings are complete.
+func (l *load) progress(completed, answered int) {
 	GinkgoHelper()
 	count := func() (int, int) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return l.whole, l.answered
+		return l.completed, l.answered
 	}
 	w, a := count()
 	Eventually(func(g Gomega) {
-		nowWhole, nowAnswered := count()
-		g.Expect(nowWhole).To(BeNumerically(">=", w+whole), "whole streams")
+		nowCompleted, nowAnswered := count()
+		g.Expect(nowCompleted).To(BeNumerically(">=", w+completed), "complete streams")
 		g.Expect(nowAnswered).To(BeNumerically(">=", a+answered), "answered bookings")
-	}, soon).Should(Succeed())
+	}, waitTimeout).Should(Succeed())
 }
 
-// verify stops the callers and checks what each of them got against what the
-// service did.
+// verify stops the callers and compares the responses that they received with the
+// bookings that the service executed.
 func (l *load) verify() {
 	GinkgoHelper()
 	l.stop()
-	GinkgoWriter.Printf("whole %d, answered %d of %d bookings, others %v\n", l.whole, l.answered, len(l.bookings), l.codes)
+	GinkgoWriter.Printf("%d complete streams, %d of %d bookings answered, unsuccessful calls %v\n", l.completed, l.answered, len(l.bookings), l.codes)
 	for k, b := range l.bookings {
 		runs := l.rig.service.Executions(k)
 		switch {
 		case runs > 1:
 			l.fault("booking %s ran %d times", k, runs)
 		case len(b.answers) > 1:
-			l.fault("booking %s has %d answers", k, len(b.answers))
+			l.fault("booking %s has %d different answers", k, len(b.answers))
 		case len(b.answers) == 1 && runs != 1, b.refused && runs != 0:
-			l.fault("booking %s: answers %v, not run %t, but ran %d times", k, b.answers, b.refused, runs)
+			l.fault("booking %s: answers %v, reported as not run %t, but ran %d times", k, b.answers, b.refused, runs)
 		}
 	}
 	Expect(l.faults).To(BeEmpty())
--- a/cmd/wasabirouter/hosted.go
+++ b/cmd/wasabirouter/hosted.go
@@ -15,8 +15,8 @@
 	"github.com/wasabiridge/wasabiridge/platform"
 )
 
-// serveHosted serves on the users' platform. The first SIGTERM or SIGINT makes
-// the node leave; further ones change nothing.
+// serveHosted serves on the users' platform. The first SIGTERM or SIGINT starts the
+// drain; further ones have no effect. SIGHUP reloads the settings.
 func serveHosted(s wasabisettings.Settings, file string) error {
 	clock := wasabiclock.Boot()
 	log := wasabilog.NewRing(os.Stdout)
@@ -39,12 +39,13 @@
 	return node.Run()
 }
 
-// fileInterval is how often the settings file is looked at. It may change
+// fileInterval is the interval at which the settings file is polled, as it may change
 // without a signal.
 const fileInterval = 2 * time.Second
 
-// watch lets the node leave at the first signal to end, and hands it the
-// settings when they change. Settings that are wrong are logged and not taken.
+// watch drains the node at the first SIGTERM or SIGINT, and reloads the settings at
+// SIGHUP or when the modification time of the file changes. Settings that cannot be
+// loaded are reported on standard error, and those in force stay.
 func watch(node *wasabinode.Node, file string, signals <-chan os.Signal) {
 	ticker := time.NewTicker(fileInterval)
 	defer ticker.Stop()
@@ -71,8 +72,8 @@
 	}
 }
 
-// modified returns when the file was last changed, or zero when it is not
-// there.
+// modified returns the modification time of a file, or the zero time if it cannot be
+// read.
 func modified(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
--- a/cmd/wasabirouter/main.go
+++ b/cmd/wasabirouter/main.go
@@ -45,19 +45,21 @@
 	return code
 }
 
-// newCheckCommand reads the settings and says what is wrong with them.
+// newCheckCommand returns the command that validates a settings file.
 func newCheckCommand(code *int) *cobra.Command {
 	return settingsCommand("check", "Check a settings file", code, func(wasabisettings.Settings, string) error {
-		fmt.Println("The settings are right.")
+		fmt.Println("The settings are valid.")
 		return nil
 	})
 }
 
-// newRunCommand serves until a signal ends it.
+// newRunCommand returns the command that serves callers until the process is drained.
 func newRunCommand(code *int) *cobra.Command {
 	return settingsCommand("run", "Serve callers", code, serve)
 }
 
+// settingsCommand returns a command that loads the settings file and passes it to do. If
+// the file cannot be loaded, it sets the exit code to exitSettings.
 func settingsCommand(use, short string, code *int, do func(wasabisettings.Settings, string) error) *cobra.Command {
 	var file string
 	cmd := &cobra.Command{
@@ -81,8 +83,9 @@
 	return cmd
 }
 
-// serve runs the daemon. The first SIGTERM or SIGINT makes it leave; further
-// ones change nothing, so that an impatient supervisor cuts no stream.
+// serve runs the daemon. The first SIGTERM or SIGINT starts the drain; further ones
+// have no effect, so that a supervisor that repeats the signal does not break off
+// streams.
 func serve(s wasabisettings.Settings, file string) error {
 	if s.Hosted != nil {
 		return serveHosted(s, file)
--- a/cmd/wasabirouter/main_test.go
+++ b/cmd/wasabirouter/main_test.go
@@ -26,7 +26,7 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabifake"
 )
 
-// runAsRouter makes the test binary behave as the program itself.
+// runAsRouter is the environment variable that makes the test binary run as the router.
 const runAsRouter = "WASABIROUTER_TEST_RUN"
 
 func TestMain(m *testing.M) {
@@ -36,6 +36,7 @@
 	os.Exit(m.Run())
 }
 
+// command returns a command that runs the router in a process of its own.
 func command(t testing.TB, args ...string) *exec.Cmd {
 	t.Helper()
 	program, err := os.Executable()
@@ -57,19 +58,19 @@
 }
 
 func TestCommandLine(t *testing.T) {
-	wrong := writeFile(t, "wrong.jsonc", "{\n  // no zone\n  \"instance\": \"a\", \"calller\": {}}")
-	right := writeFile(t, "right.jsonc", `{"instance":"a","zone":"z","caller":{"listen":"127.0.0.1:1"}}`)
+	invalid := writeFile(t, "wrong.jsonc", "{\n  // no zone\n  \"instance\": \"a\", \"calller\": {}}")
+	valid := writeFile(t, "right.jsonc", `{"instance":"a","zone":"z","caller":{"listen":"127.0.0.1:1"}}`)
 	cases := map[string]struct {
 		args []string
 		code int
 		want string
 	}{
-		"check of right settings": {[]string{"check", "--settings", right}, 0, "right"},
-		"check of wrong settings": {[]string{"check", "--settings", wrong}, exitSettings, "3:31: /calller: unknown field"},
-		"run with wrong settings": {[]string{"run", "--settings", wrong}, exitSettings, "/calller"},
-		"run without settings":    {[]string{"run"}, exitFailed, "settings"},
-		"file that is not there":  {[]string{"check", "--settings", "/nowhere"}, exitSettings, "/nowhere"},
-		"version":                 {[]string{"--version"}, 0, "wasabirouter version dev"},
+		"check of valid settings":   {[]string{"check", "--settings", valid}, 0, "The settings are valid."},
+		"check of invalid settings": {[]string{"check", "--settings", invalid}, exitSettings, "3:31: /calller: unknown field"},
+		"run with invalid settings": {[]string{"run", "--settings", invalid}, exitSettings, "/calller"},
+		"run without settings":      {[]string{"run"}, exitFailed, "settings"},
+		"missing file":              {[]string{"check", "--settings", "/nowhere"}, exitSettings, "/nowhere"},
+		"version":                   {[]string{"--version"}, 0, "wasabirouter version dev"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -79,7 +80,7 @@
 				t.Errorf("exit code %d, want %d: %s", code, c.code, text)
 			}
 			if !strings.Contains(string(text), c.want) {
-				t.Errorf("output %q lacks %q", text, c.want)
+				t.Errorf("output %q does not contain %q", text, c.want)
 			}
 		})
 	}
@@ -87,8 +88,8 @@
 
 const key = "caller-key"
 
-// writeSettings writes the files of one router that starts from a
-// configuration file.
+// writeSettings writes the configuration and settings files of a router and returns the
+// name of the latter.
 func writeSettings(t testing.TB, address string, engine wasabiridge.BackendServer) string {
 	t.Helper()
 	sum := sha256.Sum256([]byte(key))
@@ -122,24 +123,23 @@
 	return engine
 }
 
-// Ports that freeAddress hands out lie below those that the system gives to outgoing
-// connections and to listeners on port 0.
+// freeAddress returns ports below the ephemeral ports, which the system assigns to
+// outgoing connections and to listeners on port 0.
 const (
 	lowestPort = 14000
 	portsCount = 16000
 )
 
-// portsGiven counts the ports that were handed out.
-var portsGiven atomic.Uint64
+// portsTried is the number of ports that freeAddress has tried in this process.
+var portsTried atomic.Uint64
 
-// freeAddress returns an address that was free a moment ago, and that nobody else is
-// given in this process. One that the system chooses may be given to another listener
-// between this call and the start of the router that is to have it: callers then reach
-// the peer listener of another router.
+// freeAddress returns an address without a listener, and a different one at each call in
+// this process. A port chosen by the system could be assigned to another listener before
+// the router starts: callers would then reach the peer listener of another router.
 func freeAddress(t testing.TB) string {
 	t.Helper()
 	for range portsCount {
-		port := lowestPort + (uint64(os.Getpid())*61+portsGiven.Add(1))%portsCount
+		port := lowestPort + (uint64(os.Getpid())*61+portsTried.Add(1))%portsCount
 		l, err := net.Listen("tcp", net.JoinHostPort("127.0.0.1", strconv.FormatUint(port, 10)))
 		if err != nil {
 			continue
@@ -153,7 +153,7 @@
 	return ""
 }
 
-// ask sends one completion until a router answers it, and returns the answer.
+// ask repeats a completion request until a router responds, and returns the body.
 func ask(t testing.TB, address string) string {
 	t.Helper()
 	deadline := time.Now().Add(20 * time.Second)
@@ -171,12 +171,12 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("no answer")
+	t.Fatal("no response within 20 s")
 	return ""
 }
 
-// A supervisor sends SIGTERM, loses patience and sends it again. The process
-// must still end by itself with exit code 0.
+// Guards against an unclean exit when a supervisor repeats SIGTERM during the drain: the
+// process must complete the drain and exit with code 0.
 func TestSecondSIGTERMChangesNothing(t *testing.T) {
 	address := freeAddress(t)
 	cmd := command(t, "run", "--settings", writeSettings(t, address, startEngine(t).Backend()))
@@ -186,7 +186,7 @@
 		t.Fatal(err)
 	}
 	if text := ask(t, address); !strings.HasSuffix(text, "data: [DONE]\n\n") {
-		t.Errorf("answer is not whole: %s", text)
+		t.Errorf("incomplete response: %s", text)
 	}
 	for range 2 {
 		if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
@@ -194,17 +194,17 @@
 		}
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("process ended with %v: %s", err, log.String())
+		t.Errorf("process exited with %v: %s", err, log.String())
 	}
 	for _, secret := range []string{key, "check", "seat"} {
 		if strings.Contains(log.String(), secret) {
-			t.Errorf("log holds %q: %s", secret, log.String())
+			t.Errorf("log contains %q: %s", secret, log.String())
 		}
 	}
 }
 
-// BenchmarkRestart starts nine routers at once and measures the time from the
-// start of each process to the end of its first answer.
+// BenchmarkRestart starts nine routers at once and measures the time from the start of
+// each process to the end of its first response.
 func BenchmarkRestart(b *testing.B) {
 	const routers = 9
 	engine := startEngine(b)
@@ -218,13 +218,13 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				begun := time.Now()
+				started := time.Now()
 				if err := cmd.Start(); err != nil {
 					b.Error(err)
 					return
 				}
 				ask(b, address)
-				took := time.Since(begun)
+				took := time.Since(started)
 				_ = cmd.Process.Signal(syscall.SIGTERM)
 				_ = cmd.Wait()
 				mu.Lock()
--- a/cmd/wasabirouter/member_test.go
+++ b/cmd/wasabirouter/member_test.go
@@ -15,13 +15,13 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabiaddress"
 )
 
-// member is one process of a group that knows its members by their settings.
+// member is a router process whose settings list all members of its group as seeds.
 type member struct {
 	cmd     *exec.Cmd
 	address string
 }
 
-// startGroup starts processes that share a secret and are each other's seeds.
+// startGroup starts router processes that share a secret and have each other as seeds.
 func startGroup(t *testing.T, count int) []member {
 	t.Helper()
 	engine := startEngine(t)
@@ -67,7 +67,8 @@
 	return out
 }
 
-// offered returns the instances that a router offers to callers, in order.
+// offered returns the sorted addresses that a router offers to callers, or nil if it
+// does not respond.
 func (r member) offered() []string {
 	req, err := http.NewRequest(http.MethodGet, "http://"+r.address+"/v1/addresses", nil)
 	if err != nil {
@@ -91,6 +92,7 @@
 	return out
 }
 
+// waitOffers waits until a router offers exactly the addresses of the given members.
 func (r member) waitOffers(t *testing.T, want ...member) {
 	t.Helper()
 	var addresses, got []string
@@ -108,36 +110,36 @@
 	t.Fatalf("%s offers %v, want %v", r.address, got, addresses)
 }
 
-// Callers ask a router which addresses to use. One router is killed and then
-// one hangs; callers that ask must be sent to the living only, and every
-// request to those is answered. The one that hung wakes up, still knows the
-// others, and is offered again.
+// Guards against offering failed routers to callers. One router is killed and another is
+// paused: the remaining one must stop offering both and still serve requests. After the
+// paused router resumes, it must be offered again, and must still have the other members
+// in its view.
 func TestKilledAndFrozenRoutersAreNotOffered(t *testing.T) {
 	group := startGroup(t, 3)
-	killed, frozen, living := group[0], group[1], group[2]
+	killed, paused, living := group[0], group[1], group[2]
 	for _, r := range group {
 		r.waitOffers(t, group...)
 	}
 	offers := func(event string, by member, want ...member) {
 		t.Helper()
-		begun := time.Now()
+		started := time.Now()
 		by.waitOffers(t, want...)
-		t.Logf("%s: seen after %v", event, time.Since(begun))
+		t.Logf("%s: reflected in the offers after %v", event, time.Since(started))
 		if text := ask(t, by.address); !strings.HasSuffix(text, "data: [DONE]\n\n") {
-			t.Errorf("answer is not whole: %s", text)
+			t.Errorf("incomplete response: %s", text)
 		}
 	}
 	if err := killed.cmd.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	offers("killed", living, frozen, living)
-	if err := frozen.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
+	offers("killed", living, paused, living)
+	if err := paused.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	offers("frozen", living, living)
-	if err := frozen.cmd.Process.Signal(syscall.SIGCONT); err != nil {
+	offers("paused", living, living)
+	if err := paused.cmd.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	offers("woken", living, frozen, living)
-	offers("woken, by itself", frozen, frozen, living)
+	offers("resumed", living, paused, living)
+	offers("resumed, by its own view", paused, paused, living)
 }
--- a/cmd/wasabirouter/operator_test.go
+++ b/cmd/wasabirouter/operator_test.go
@@ -20,10 +20,10 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabiweights"
 )
 
-// accepted is the exit code of an accepted configuration.
+// accepted is the exit code for an accepted configuration.
 const accepted = wasabicommand.ExitOK
 
-// put replaces the configuration through one router, as an operator does.
+// put replaces the configuration through a router with wasabictl, as an operator does.
 func (r *rig) put(p *router, base wasabiridge.ConfigVersion, author, text string) wasabicommand.Exit {
 	GinkgoHelper()
 	var output bytes.Buffer
@@ -35,8 +35,8 @@
 	return exit
 }
 
-// operator returns the client of operators. It is made once, because every
-// client keeps connections of its own.
+// operator returns the router's operator client. It is created once, because every client
+// has its own connections.
 func (p *router) operator() *wasabiclient.Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -46,25 +46,24 @@
 	return p.client
 }
 
-// version returns the configuration in force at a router. It reports false
-// when the router does not answer.
+// version returns the version of the configuration in force at a router, and false if
+// the router does not respond.
 func (p *router) version() (wasabiridge.ConfigVersion, bool) {
 	status, err := p.operator().Status(context.Background())
 	return status.Config, err == nil
 }
 
-// eventuallyLoses waits until the time line of a router tells of the loss of an
-// engine.
+// eventuallyLoses waits until the timeline of a router has the loss of an engine.
 func (p *router) eventuallyLoses(e *wasabiengine.Engine) {
 	GinkgoHelper()
 	Eventually(func(g Gomega) {
 		page, err := p.operator().Timeline(context.Background(), wasabiridge.TimelineQuery{Backend: e.Backend().ID}, "", "")
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(page.Events).To(ContainElement(HaveField("Kind", wasabiridge.EventBackendLost)))
-	}, soon).Should(Succeed())
+	}, waitTimeout).Should(Succeed())
 }
 
-// converge waits until all routers have the newest version of the history.
+// converge waits until all routers have the newest version in the history, and returns it.
 func (r *rig) converge() wasabiridge.ConfigVersion {
 	GinkgoHelper()
 	var newest wasabiridge.ConfigVersion
@@ -76,12 +75,12 @@
 			version, _ := p.version()
 			g.Expect(version).To(Equal(newest), string(p.id))
 		}
-	}, soon).Should(Succeed())
+	}, waitTimeout).Should(Succeed())
 	return newest
 }
 
-// history returns the authors of all accepted configurations, newest first, as
-// the platform has them.
+// history returns the authors of the configurations in the platform's history, newest
+// first.
 func (r *rig) history() []string {
 	GinkgoHelper()
 	history, err := r.routers[0].operator().History(context.Background(), 100)
@@ -94,13 +93,13 @@
 	return authors
 }
 
-// watchVersions reads the version of every router again and again. The
-// returned function ends it and names the versions that fell, also over
-// restarts. A router that knows no version yet does not count.
+// watchVersions polls the configuration version of every router. The returned function
+// stops it and returns the decreases seen, including those across restarts. A router
+// without a configuration is ignored.
 func (r *rig) watchVersions() (stop func() []string) {
 	var watchers sync.WaitGroup
 	stopped := make(chan struct{})
-	fallen := make(chan string, 100)
+	decreases := make(chan string, 100)
 	for _, p := range r.routers {
 		watchers.Go(func() {
 			var highest wasabiridge.ConfigVersion
@@ -112,7 +111,7 @@
 				}
 				version, ok := p.version()
 				if ok && version > 0 && version < highest {
-					fallen <- fmt.Sprintf("%s: %d after %d", p.id, version, highest)
+					decreases <- fmt.Sprintf("%s: %d after %d", p.id, version, highest)
 				}
 				highest = max(highest, version)
 			}
@@ -121,17 +120,17 @@
 	return func() []string {
 		close(stopped)
 		watchers.Wait()
-		close(fallen)
+		close(decreases)
 		var all []string
-		for f := range fallen {
+		for f := range decreases {
 			all = append(all, f)
 		}
 		return all
 	}
 }
 
-// rollOut publishes a version of the weights and starts to bring it to all
-// engines, as soon as the rollout before is ended.
+// rollOut publishes a version of the weights and starts its rollout to all engines. It
+// retries while the previous rollout is in progress.
 func (r *rig) rollOut(p *router, version wasabiridge.WeightsVersion) {
 	GinkgoHelper()
 	const model = "stand-in"
@@ -139,7 +138,7 @@
 	Eventually(func() error {
 		_, err := p.operator().StartRollout(context.Background(), wasabiridge.Rollout{Pool: "answer", Model: model, Weights: version})
 		return err
-	}, soon).Should(Succeed())
+	}, waitTimeout).Should(Succeed())
 }
 
 // driver returns the router that holds the lease of rollouts, or nil.
@@ -160,7 +159,7 @@
 	return nil
 }
 
-// weights counts the engines by the version that they serve.
+// weights returns the number of engines by the version of their weights.
 func weights(engines []*wasabiengine.Engine) map[wasabiridge.WeightsVersion]int {
 	count := map[wasabiridge.WeightsVersion]int{}
 	for _, e := range engines {
--- a/cmd/wasabirouter/overhead_test.go
+++ b/cmd/wasabirouter/overhead_test.go
@@ -20,20 +20,20 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// The measurements run the router as a process of its own. The callers and the
-// engine share the process of the test, so that both ways of an answer, direct
-// and through the router, meet the same callers and the same engine.
+// The benchmarks run the router as a separate process. Callers and engine share the test
+// process, so that direct and routed requests are measured with the same callers and the
+// same engine.
 
 const openStreams = 200
 
-// event is one token as an engine sends it.
+// event is the event with which an engine sends one token.
 const event = `data: {"id":"cmpl-1","object":"chat.completion.chunk","created":1,"model":"m","choices":[{"index":0,"delta":{"content":" check"},"finish_reason":null,"token_ids":[17]}]}` + "\n\n"
 
-// engineSlots is more than any benchmark opens at once.
+// engineSlots exceeds the number of concurrent streams of every benchmark.
 const engineSlots = 16384
 
-// newEngine starts a bare engine. It answers with the first token at once and
-// leaves the rest to the function.
+// newEngine starts a minimal engine. It sends the first token at once, and rest sends
+// the remainder of the response.
 func newEngine(b *testing.B, rest func(w http.ResponseWriter, r *http.Request)) wasabiridge.BackendServer {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/load" {
@@ -51,12 +51,12 @@
 		rest(w, r)
 	}))
 	b.Cleanup(server.Close)
-	// The engine reports no load, so nothing would raise a learned limit; with
-	// its slots stated the router does not queue.
+	// The engine reports no load, so the router could not raise an estimated limit.
+	// With its slots stated, the router does not queue.
 	return wasabiridge.BackendServer{ID: "e1", Kind: wasabiridge.BackendEngine, URL: server.URL, Slots: engineSlots}
 }
 
-// startRouter runs a router process and returns its base URL and its process.
+// startRouter starts a router process, waits until it serves, and returns its base URL.
 func startRouter(b *testing.B, engine wasabiridge.BackendServer) (string, *exec.Cmd) {
 	address := freeAddress(b)
 	cmd := command(b, "run", "--settings", writeSettings(b, address, engine))
@@ -71,32 +71,32 @@
 	return "http://" + address, cmd
 }
 
-// newClient returns a client that keeps a connection for each stream.
+// newClient returns a client with a pool of one idle connection for each stream.
 func newClient(b *testing.B, streams int) *http.Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: streams, DisableCompression: true}
 	b.Cleanup(transport.CloseIdleConnections)
 	return &http.Client{Transport: transport}
 }
 
-// promptOf returns a request with a prompt of about that many bytes.
+// promptOf returns a request body with a prompt of about size bytes.
 func promptOf(size int) []byte {
 	const sentence = "Check the rail sensor before the seat. "
 	return []byte(`{"model":"m","stream":true,"messages":[{"role":"system","content":"` +
 		strings.Repeat(sentence, size/len(sentence)) + `"},{"role":"user","content":"Code 17?"}]}`)
 }
 
-// manual is the size of a prompt of about 4,000 tokens.
+// manual is the size in bytes of a prompt of about 4,000 tokens.
 const manual = 16 << 10
 
-// open starts a stream and returns it behind its first token, with the time
-// that the token took.
+// open starts a stream and reads its first token. It returns the body, a reader
+// positioned behind that token, and the time to first token.
 func open(b *testing.B, client *http.Client, base string, prompt []byte) (io.ReadCloser, *bufio.Reader, time.Duration) {
 	req, err := http.NewRequest(http.MethodPost, base+"/v1/chat/completions", bytes.NewReader(prompt))
 	if err != nil {
 		b.Fatal(err)
 	}
 	req.Header.Set("Authorization", "Bearer "+key)
-	begun := time.Now()
+	started := time.Now()
 	resp, err := client.Do(req)
 	if err != nil {
 		b.Error(err)
@@ -106,15 +106,16 @@
 	if line, err := reader.ReadString('\n'); err != nil || !strings.HasPrefix(line, "data: {") {
 		b.Errorf("no first token: %q, %v", line, err)
 	}
-	return resp.Body, reader, time.Since(begun)
+	return resp.Body, reader, time.Since(started)
 }
 
+// percentile returns a quantile of sorted durations in milliseconds.
 func percentile(sorted []time.Duration, share float64) float64 {
 	return float64(sorted[int(share*float64(len(sorted)-1))].Microseconds()) / 1000
 }
 
-// BenchmarkFirstToken keeps 200 streams open, half of them direct and half
-// through the router, and compares the times to the first token.
+// BenchmarkFirstToken keeps 200 streams open, half of them direct and half through the
+// router, and compares the times to first token. The first two rounds are warm-up.
 func BenchmarkFirstToken(b *testing.B) {
 	const tokens, pause, rounds = 20, 10 * time.Millisecond, 20
 	engine := newEngine(b, func(w http.ResponseWriter, _ *http.Request) {
@@ -163,7 +164,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkRelay reads 200 streams as fast as they come.
+// BenchmarkRelay measures the throughput of 200 streams without pauses, and the processor
+// time that the router takes for each token.
 func BenchmarkRelay(b *testing.B) {
 	const tokens, perWrite = 10000, 50
 	batch := strings.Repeat(event, perWrite)
@@ -176,7 +178,7 @@
 	router, cmd := startRouter(b, engine)
 	client := newClient(b, openStreams)
 	before := cpuSeconds(b, cmd)
-	begun := time.Now()
+	started := time.Now()
 	var wg sync.WaitGroup
 	for range openStreams {
 		wg.Add(1)
@@ -192,13 +194,13 @@
 	}
 	wg.Wait()
 	total := float64(openStreams * tokens)
-	b.ReportMetric(total/time.Since(begun).Seconds(), "tokens/s")
+	b.ReportMetric(total/time.Since(started).Seconds(), "tokens/s")
 	b.ReportMetric((cpuSeconds(b, cmd)-before)*1e6/total, "router-cpu-us/token")
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkStreamMemory opens streams that stand still after their first
-// token and measures by how much the router's resident memory grows.
+// BenchmarkStreamMemory opens streams that stall after their first token and measures the
+// growth of the router's resident memory for each stream.
 func BenchmarkStreamMemory(b *testing.B) {
 	const small = 100
 	for _, c := range []struct{ streams, prompt int }{{500, small}, {1000, small}, {2000, small}, {2000, manual}} {
@@ -240,8 +242,8 @@
 	}
 }
 
-// BenchmarkLoad sends requests at a steady rate, each with an answer of 236
-// tokens, and measures the processor time that the router takes.
+// BenchmarkLoad sends requests at a constant rate, each with a response of 236 tokens,
+// and measures the processor time of the router, in cores.
 func BenchmarkLoad(b *testing.B) {
 	for _, rate := range []int{50, 100, 200} {
 		b.Run(fmt.Sprintf("requests=%d", rate), func(b *testing.B) { measureLoad(b, rate) })
@@ -263,7 +265,7 @@
 	client := newClient(b, 4*rate)
 	prompt := promptOf(manual)
 	before := cpuSeconds(b, cmd)
-	begun := time.Now()
+	started := time.Now()
 	ticker := time.NewTicker(time.Second / time.Duration(rate))
 	defer ticker.Stop()
 	var wg sync.WaitGroup
@@ -278,12 +280,13 @@
 		}()
 	}
 	wg.Wait()
-	share := (cpuSeconds(b, cmd) - before) / time.Since(begun).Seconds()
+	share := (cpuSeconds(b, cmd) - before) / time.Since(started).Seconds()
 	b.ReportMetric(share, "cores")
-	b.ReportMetric(float64(rate)*float64(span)/float64(time.Since(begun)), "requests/s")
+	b.ReportMetric(float64(rate)*float64(span)/float64(time.Since(started)), "requests/s")
 	b.ReportMetric(0, "ns/op")
 }
 
+// residentKB returns the resident memory of a process in KiB.
 func residentKB(b *testing.B, cmd *exec.Cmd) int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", cmd.Process.Pid))
 	if err != nil {
@@ -294,7 +297,7 @@
 	return kb
 }
 
-// cpuSeconds returns the processor time that a process took so far.
+// cpuSeconds returns the user and system time of a process so far.
 func cpuSeconds(b *testing.B, cmd *exec.Cmd) float64 {
 	const ticksPerSecond = 100
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", cmd.Process.Pid))
--- a/cmd/wasabirouter/rig_test.go
+++ b/cmd/wasabirouter/rig_test.go
@@ -31,14 +31,13 @@
 const (
 	loopback    = "127.0.0.1:0"
 	operatorKey = "operator-key"
-	// soon bounds every wait of the tests. Nothing is asserted about how
-	// much of it was needed.
-	soon = "20s"
+	// waitTimeout bounds every wait of the tests. The time that a wait takes is not asserted.
+	waitTimeout = "20s"
 )
 
 var zones = []wasabiridge.AvailabilityZone{"port-of-spain", "san-fernando", "chaguanas"}
 
-// program is the router, built once for all specs.
+// program is the path of the router program, built once for all specs.
 var program string
 
 var _ = BeforeSuite(func() {
@@ -47,25 +46,25 @@
 	Expect(err).NotTo(HaveOccurred(), string(text))
 })
 
-// rigOptions describe what stands around the routers.
+// rigOptions configure the routers of a rig and their environment.
 type rigOptions struct {
 	routers, engines int
 	spec             wasabifake.Spec
-	// loadTime is how long an engine takes to load weights.
+	// loadTime is the time that an engine takes to load weights.
 	loadTime wasabiridge.Millis
-	// headerTimeout bounds the time to read a header. Zero means the default.
+	// headerTimeout is the routers' time-out for reading a header. Zero means the default.
 	headerTimeout wasabiridge.Millis
-	// oneCore runs the routers on one core, as machines of the platform do.
+	// oneCore runs each router with GOMAXPROCS=1, as on the platform.
 	oneCore bool
-	// lifetime is how long an address answer may be kept.
+	// lifetime is the lifetime of address responses.
 	lifetime wasabiridge.Millis
-	// fromFile gives the routers a configuration file. Otherwise the first
-	// configuration is put by an operator.
+	// fromFile starts the routers with a configuration file. Otherwise an operator puts the
+	// first configuration.
 	fromFile bool
 }
 
-// rig is a set of router processes. Everything that they talk to lives in the
-// process of the test, so that it can fail when the test wants it to.
+// rig is a set of router processes. Engines, service and platform run within the test
+// process, so that a test can make them fail.
 type rig struct {
 	options  rigOptions
 	engines  []*wasabiengine.Engine
@@ -77,11 +76,11 @@
 	config   string
 }
 
-// router is one router process.
+// router is a router process.
 type router struct {
 	rig *rig
 	id  wasabiridge.InstanceID
-	// settings keep the addresses of the first start, as an instance does.
+	// settings include the addresses of the first start, which later starts reuse.
 	settings wasabisettings.Settings
 
 	mu      sync.Mutex
@@ -125,8 +124,8 @@
 	return e
 }
 
-// configText is a configuration. The mark tells one from another: it becomes
-// the text with which the path "/mark" is refused.
+// configText returns a configuration. The mark distinguishes it from others: it is part
+// of the text with which the path "/mark" is refused.
 func (r *rig) configText(mark string) string {
 	GinkgoHelper()
 	answer := wasabiridge.Pool{ID: "answer", BlockTokens: r.options.spec.BlockTokens}
@@ -146,7 +145,7 @@
 	return string(text)
 }
 
-// setPlan sets the faults of the table, the objects and the instance list.
+// setPlan sets the fault plan of the table, the objects and the instance list.
 func (r *rig) setPlan(p wasabifault.Plan) {
 	r.platform.Table.Faults().SetPlan(p)
 	r.platform.Objects.Faults().SetPlan(p)
@@ -171,7 +170,7 @@
 	return p
 }
 
-// startAll starts all routers at once.
+// startAll starts all routers at once and waits until they listen.
 func (r *rig) startAll() {
 	GinkgoHelper()
 	for _, p := range r.routers {
@@ -182,7 +181,7 @@
 	}
 }
 
-// launch starts the process and does not wait for it.
+// launch starts the process without waiting until it listens.
 func (p *router) launch() {
 	GinkgoHelper()
 	text, err := json.Marshal(p.settings)
@@ -198,12 +197,12 @@
 	p.session = session
 }
 
-// awaitListening waits until the process says where it listens. The addresses
-// of the first life are those of all later ones.
+// awaitListening waits until the process has logged its addresses. Those of the first
+// incarnation are reused by all later ones.
 func (p *router) awaitListening() {
 	GinkgoHelper()
 	session := p.process()
-	Eventually(session.Err, soon).Should(gbytes.Say("Serving callers"))
+	Eventually(session.Err, waitTimeout).Should(gbytes.Say("Serving callers"))
 	if p.settings.Caller.Listen != loopback {
 		return
 	}
@@ -237,7 +236,7 @@
 	Expect(p.process().Command.Process.Signal(s)).To(Succeed())
 }
 
-// kill ends the process without a word and waits for its end.
+// kill sends SIGKILL to the process and waits for its exit.
 func (p *router) kill() {
 	GinkgoHelper()
 	session := p.process()
@@ -245,10 +244,10 @@
 		return
 	}
 	session.Kill()
-	Eventually(session, soon).Should(gexec.Exit())
+	Eventually(session, waitTimeout).Should(gexec.Exit())
 }
 
-// restart ends the process without a word and starts the next one.
+// restart kills the process, starts it again and waits until it listens.
 func (p *router) restart() {
 	GinkgoHelper()
 	p.kill()
@@ -257,9 +256,9 @@
 	p.awaitListening()
 }
 
-// awaitFree waits until the addresses of the first start can be listened on.
-// While nobody listens there, the system may give one of their ports to an
-// outgoing connection of any process of the machine for a moment.
+// awaitFree waits until the addresses of the first start are free. Without a listener,
+// the system may briefly assign one of the ports to an outgoing connection of any
+// process.
 func (p *router) awaitFree() {
 	GinkgoHelper()
 	for _, address := range []string{p.settings.Caller.Listen, p.settings.Operator.Listen} {
@@ -269,7 +268,7 @@
 				return err
 			}
 			return socket.Close()
-		}, soon).Should(Succeed(), address)
+		}, waitTimeout).Should(Succeed(), address)
 	}
 }
 
@@ -281,25 +280,26 @@
 	return urls
 }
 
-// eventuallyUses waits until a router sends requests to each of the engines. A
-// router that lost an engine needs a moment to see that it is back.
+// eventuallyUses waits until a router sends requests to each of the engines. A router
+// needs some time to detect that a lost engine is back.
 func (r *rig) eventuallyUses(p *router, engines ...*wasabiengine.Engine) {
 	GinkgoHelper()
 	c := r.caller(0)
 	for _, e := range engines {
-		served, asked := e.Served(), 0
+		served, sent := e.Served(), 0
 		Eventually(func() int {
-			asked++
-			c.stream(p.url(), fmt.Sprintf("Question %d", asked), 2)
+			sent++
+			c.stream(p.url(), fmt.Sprintf("Question %d", sent), 2)
 			return e.Served()
-		}, soon).Should(BeNumerically(">", served))
+		}, waitTimeout).Should(BeNumerically(">", served))
 	}
 }
 
+// eventuallyServing waits until every router serves requests.
 func (r *rig) eventuallyServing() {
 	GinkgoHelper()
 	c := r.caller(0)
 	for _, p := range r.routers {
-		Eventually(func() string { return c.stream(p.url(), "Are you there?", 2).Code }, soon).Should(BeEmpty(), string(p.id))
+		Eventually(func() string { return c.stream(p.url(), "Are you there?", 2).Code }, waitTimeout).Should(BeEmpty(), string(p.id))
 	}
 }
--- a/cmd/wasabistandin/demo.go
+++ b/cmd/wasabistandin/demo.go
@@ -9,7 +9,8 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabidemo"
 )
 
-// newDemoCommand returns the command that shows the whole path in one process.
+// newDemoCommand returns the command that runs routers, backend servers and the platform
+// in one process, and sends requests through them.
 func newDemoCommand() *cobra.Command {
 	var stay bool
 	c := &cobra.Command{
--- a/cmd/wasabistandin/main.go
+++ b/cmd/wasabistandin/main.go
@@ -1,4 +1,5 @@
-// Command wasabistandin holds stand-ins for tests and measurements.
+// Command wasabistandin simulates backend servers and the platform for tests and
+// measurements.
 package main
 
 import (
@@ -10,7 +11,7 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "wasabistandin", Short: "Stand-ins for tests and measurements"}
+	root := &cobra.Command{Use: "wasabistandin", Short: "Simulated backend servers and platform for tests and measurements"}
 	root.AddCommand(newDemoCommand(), newEngineCommand(), newMeasureCommand(), newPlatformCommand(), newRegressCommand(), newServiceCommand())
 	if err := root.ExecuteContext(context.Background()); err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/cmd/wasabistandin/measure.go
+++ b/cmd/wasabistandin/measure.go
@@ -22,8 +22,8 @@
 	callers   string
 }
 
-// newMeasureCommand returns the command that measures decisions in virtual
-// time. It fails when a promise was broken during a run.
+// newMeasureCommand returns the command that measures routing decisions in virtual time.
+// It fails if a run violated a guarantee.
 func newMeasureCommand() *cobra.Command {
 	var f measureFlags
 	c := &cobra.Command{
@@ -36,11 +36,11 @@
 	}
 	c.Flags().StringVar(&f.workload, "workload", "liftwell", "liftwell, selam, or a file of JSON with comments")
 	c.Flags().StringVar(&f.policy, "policy", "all", fmt.Sprintf("all, or one of %v", wasabimeasure.Policies()))
-	c.Flags().IntVar(&f.instances, "instances", 9, "how many instances decide")
-	c.Flags().Float64Var(&f.load, "load", 0.7, "arrivals as a part of the workload's capacity")
-	c.Flags().Uint64Var(&f.seed, "seed", 1, "seed of everything random")
+	c.Flags().IntVar(&f.instances, "instances", 9, "number of instances")
+	c.Flags().Float64Var(&f.load, "load", 0.7, "arrival rate as a fraction of the workload's capacity")
+	c.Flags().Uint64Var(&f.seed, "seed", 1, "seed of the random generators")
 	c.Flags().StringArrayVar(&f.faults, "fault", nil, fmt.Sprintf("a fault, may be repeated: %v", wasabimeasure.Faults()))
-	c.Flags().StringVar(&f.callers, "callers", wasabimeasure.CallersRandom, "random, or steered to follow address answers")
+	c.Flags().StringVar(&f.callers, "callers", wasabimeasure.CallersRandom, "random, or steered to follow address responses")
 	c.Flags().StringVar(&f.out, "out", "table", "table or json")
 	c.Flags().StringVar(&f.plot, "plot", "", "write a plot of the time to first token into this file")
 	return c
@@ -87,11 +87,11 @@
 	if err = f.write(c, reports); err != nil {
 		return err
 	}
-	return breaches(reports)
+	return violationError(reports)
 }
 
-// write puts what repeats on standard output, and the cost of decisions,
-// which does not, on standard error.
+// write writes the reproducible results to standard output, and the cost of decisions,
+// which varies between runs, to standard error.
 func (f measureFlags) write(c *cobra.Command, reports []wasabimeasure.Report) error {
 	write := wasabimeasure.WriteTable
 	if f.out == "json" {
@@ -109,13 +109,14 @@
 	return wasabimeasure.WritePlot(f.plot, reports)
 }
 
-func breaches(reports []wasabimeasure.Report) error {
+// violationError returns an error if any report has violations of guarantees.
+func violationError(reports []wasabimeasure.Report) error {
 	count := 0
 	for _, r := range reports {
 		count += r.Breaches
 	}
 	if count > 0 {
-		return wasabiridge.ErrInvalid.New("measure: %d broken promises", count)
+		return wasabiridge.ErrInvalid.New("measure: %d violations of guarantees", count)
 	}
 	return nil
 }
--- a/cmd/wasabistandin/platform.go
+++ b/cmd/wasabistandin/platform.go
@@ -15,11 +15,11 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabiplatform"
 )
 
-// shutdownTime bounds the wait for calls that run when the command ends.
+// shutdownTime is the time-out for calls in flight when the command ends.
 const shutdownTime = 2 * time.Second
 
-// newPlatformCommand returns the command that stands in for the platform:
-// table, objects, weights and the list of instances behind one address.
+// newPlatformCommand returns the command that simulates the platform: table, objects,
+// weights and the list of instances at one address.
 func newPlatformCommand() *cobra.Command {
 	var (
 		listen string
@@ -27,14 +27,14 @@
 	)
 	c := &cobra.Command{
 		Use:   "platform",
-		Short: "Stand in for the platform's table, objects, weights and instance list",
+		Short: "Simulate the platform's table, objects, weights and instance list",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return servePlatform(c, listen, wasabiridge.Millis(lag))
 		},
 	}
 	c.Flags().StringVar(&listen, "listen", "127.0.0.1:0", "address to listen on")
-	c.Flags().Int64Var(&lag, "lag-ms", 0, "how long a change takes to show in the instance list")
+	c.Flags().Int64Var(&lag, "lag-ms", 0, "delay of changes in the instance list, in ms")
 	return c
 }
 
@@ -52,12 +52,12 @@
 	stop := context.AfterFunc(c.Context(), func() {
 		ctx, cancel := context.WithTimeout(context.Background(), shutdownTime)
 		defer cancel()
-		// Calls that outlast the wait are cut; this is a stand-in.
+		// Calls that take longer are aborted, which is acceptable for a simulation.
 		_ = server.Shutdown(ctx)
 	})
 	defer stop()
 	if err = server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-		return wasabiridge.ErrUnavailable.Wrap(err, "stand-in of the platform")
+		return wasabiridge.ErrUnavailable.Wrap(err, "serve the simulated platform")
 	}
 	return nil
 }
--- a/cmd/wasabistandin/regress.go
+++ b/cmd/wasabistandin/regress.go
@@ -22,29 +22,29 @@
 	jobs   int
 }
 
-// newRegressCommand returns the command that plays deployments on the bench of the
-// users and fails when one has fallen.
+// newRegressCommand returns the command that runs deployments on the users' bench and
+// fails if the score of one is below its floor.
 func newRegressCommand() *cobra.Command {
 	var f regressFlags
 	c := &cobra.Command{
 		Use:           "regress [SITE...]",
-		Short:         "Play deployments on the users' bench and compare their scores with floors",
-		Long:          "Plays the named deployments, or all that are not retired, prints a line for each, and fails when one is below its floor by more than the tolerance.",
+		Short:         "Run deployments on the users' bench and compare their scores with floors",
+		Long:          "Runs the named deployments, or all that are not retired, prints a line for each, and fails if one is below its floor by more than the tolerance.",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE:          func(c *cobra.Command, names []string) error { return f.run(c, names) },
 	}
-	c.Flags().StringVar(&f.bench, "bench", "", "the bench's program")
-	c.Flags().StringVar(&f.sites, "sites", "", "the folder of the descriptions of all deployments")
-	c.Flags().StringVar(&f.floors, "floors", "deploy/regression/floors.jsonc", "JSON with comments: deployments and their floors")
-	c.Flags().StringVar(&f.why, "why", "Regression run", "a line for the bench's journal")
-	c.Flags().IntVar(&f.jobs, "jobs", 3, "how many days are played side by side")
+	c.Flags().StringVar(&f.bench, "bench", "", "path of the bench's program")
+	c.Flags().StringVar(&f.sites, "sites", "", "directory with the descriptions of the deployments")
+	c.Flags().StringVar(&f.floors, "floors", "deploy/regression/floors.jsonc", "deployments and their floors, JSON with comments")
+	c.Flags().StringVar(&f.why, "why", "Regression run", "reason for the run, for the bench's journal")
+	c.Flags().IntVar(&f.jobs, "jobs", 3, "number of days to run in parallel")
 	return c
 }
 
 func (f regressFlags) run(c *cobra.Command, names []string) error {
 	if f.bench == "" || f.sites == "" {
-		return wasabiridge.ErrInvalid.New("regress: --bench and --sites are needed")
+		return wasabiridge.ErrInvalid.New("regress: --bench and --sites are required")
 	}
 	floors, err := wasabiregression.Load(f.floors)
 	if err != nil {
@@ -54,7 +54,7 @@
 	if sites, err = floors.Chosen(names); err != nil {
 		return err
 	}
-	fell := 0
+	below := 0
 	for _, site := range sites {
 		var score wasabiregression.Score
 		if score, err = f.play(c.Context(), site, c.ErrOrStderr()); err != nil {
@@ -63,17 +63,17 @@
 		v := floors.Judge(site, score)
 		fmt.Fprintln(c.OutOrStdout(), v)
 		if len(v.Fallen) > 0 {
-			fell++
+			below++
 		}
 	}
-	if fell > 0 {
-		return fmt.Errorf("regress: %d of %d deployments fell", fell, len(sites))
+	if below > 0 {
+		return fmt.Errorf("regress: %d of %d deployments are below their floors", below, len(sites))
 	}
 	return nil
 }
 
-// play scores one deployment. The bench fails when its gate does, so that its end
-// counts only when it printed no table.
+// play scores a deployment. The bench also exits with an error if the deployment misses
+// its gate, so the exit code matters only if no scores were printed.
 func (f regressFlags) play(ctx context.Context, site wasabiregression.Site, log io.Writer) (wasabiregression.Score, error) {
 	bench := exec.CommandContext(ctx, f.bench, "score", filepath.Join(f.sites, site.File), "--jobs", strconv.Itoa(f.jobs), "--why", f.why)
 	bench.Stderr = log
