--- a/examples/claims/main.go
+++ b/examples/claims/main.go
@@ -1,6 +1,6 @@
-// Command claims shows how a booking runs at most once: the first claim of a
-// ticket is granted, a repeat while it runs is told so, and a later repeat gets
-// the first answer. The platform's store is down all the time.
+// Command claims shows how a booking runs at most once. The first claim of a ticket is
+// granted, a repeat while it runs is reported as running, and a later repeat gets the
+// first answer. The platform's store is unavailable throughout.
 //
 //	go run ./examples/claims
 package main
@@ -19,11 +19,11 @@
 
 var states = map[wasabiridge.ClaimState]string{
 	wasabiridge.ClaimGranted:     "granted: run it",
-	wasabiridge.ClaimRunning:     "an earlier request still runs",
-	wasabiridge.ClaimAnswered:    "answered before",
-	wasabiridge.ClaimUnknown:     "may have run; the answer is not known",
+	wasabiridge.ClaimRunning:     "an earlier request is still running",
+	wasabiridge.ClaimAnswered:    "already answered",
+	wasabiridge.ClaimUnknown:     "may have run; the answer is unknown",
 	wasabiridge.ClaimMismatch:    "the key was used for another request",
-	wasabiridge.ClaimUnavailable: "not decided; nothing ran",
+	wasabiridge.ClaimUnavailable: "not decided; did not run",
 }
 
 func main() {
@@ -46,6 +46,7 @@
 	show(ctx, keeper, "another body  ", booking)
 }
 
+// show claims a booking and prints the state of the claim.
 func show(ctx context.Context, keeper *wasabiclaim.Keeper, what string, q wasabiridge.ClaimQuery) {
 	out, err := keeper.Claim(ctx, q)
 	if err != nil {
--- a/examples/config/main.go
+++ b/examples/config/main.go
@@ -1,5 +1,5 @@
-// Command config shows two operators who edit the same version of the
-// configuration: the second one is told what the first one changed.
+// Command config shows a conflict between two operators who edit the same version of
+// the configuration: the second put is rejected and reports the changes of the first.
 //
 //	go run ./examples/config
 package main
@@ -24,16 +24,16 @@
   "rules": [{"id": "manuals", "when": {"min_prompt_tokens": 1000}, "then": {"pool": "answers"}}],
 }`
 
-// alone is the membership of an instance without peers.
-type alone struct{}
+// noPeers is the membership of an instance without peers.
+type noPeers struct{}
 
-func (alone) Members() []wasabiridge.Member { return nil }
-func (alone) Announce(int)                  {}
+func (noPeers) Members() []wasabiridge.Member { return nil }
+func (noPeers) Announce(int)                  {}
 
 func main() {
 	clock := wasabiclock.System()
 	keeper := wasabiconfig.NewKeeper(wasabiconfig.Options{
-		Self: "pos-1", Incarnation: 1, Clock: clock, Membership: alone{},
+		Self: "pos-1", Incarnation: 1, Clock: clock, Membership: noPeers{},
 		Table:   wasabitable.NewMemory(wasabitable.MemoryOptions{Clock: clock}),
 		Adopted: func(cfg wasabiridge.Config) { fmt.Printf("in force: version %d\n", cfg.Version) },
 	})
@@ -45,14 +45,15 @@
 	put(ctx, keeper, 1, "ann", strings.Replace(text, "manuals", "long", 1))
 }
 
+// put sends an edit of version base and prints the outcome.
 func put(ctx context.Context, keeper *wasabiconfig.Keeper, base wasabiridge.ConfigVersion, author, text string) {
 	version, err := keeper.Put(ctx, base, []byte(text), author)
 	switch {
 	case errorx.IsOfType(err, wasabiridge.ErrConflict):
-		fmt.Printf("%s edited version %d and lost the race: %s\n", author, base, errorx.Cast(err).Message())
+		fmt.Printf("%s edited version %d and got a conflict: %s\n", author, base, errorx.Cast(err).Message())
 	case err != nil:
 		log.Fatal(err)
 	default:
-		fmt.Printf("%s edited version %d: version %d is accepted\n", author, base, version)
+		fmt.Printf("%s edited version %d: accepted as version %d\n", author, base, version)
 	}
 }
--- a/examples/demo/main.go
+++ b/examples/demo/main.go
@@ -1,6 +1,6 @@
 // Command demo runs two routers, engines, a plain service and a platform in one
 // process, sends prompts that share long prefixes and a booking, and prints
-// what came of them.
+// the results.
 //
 //	go run ./examples/demo
 package main
--- a/examples/outcomes/main.go
+++ b/examples/outcomes/main.go
@@ -1,5 +1,5 @@
-// Command outcomes counts requests of a quarter on three instances, one of
-// which dies without warning, and writes the report as a web page.
+// Command outcomes records the outcomes of requests on three instances, one of which
+// crashes, and writes the report of the quarter as a web page.
 //
 //	go run ./examples/outcomes > report.html
 package main
@@ -35,7 +35,7 @@
 	}
 	for clock.Now() < start+days*wasabiridge.Day {
 		if clock.Now() == start+20*wasabiridge.Day+7*wasabiridge.Hour {
-			ledgers = ledgers[:2] // The third instance dies.
+			ledgers = ledgers[:2] // The third instance crashes.
 		}
 		for _, l := range ledgers {
 			l.Add(sample(random, clock.Now()))
@@ -55,6 +55,7 @@
 	}
 }
 
+// sample returns a random outcome.
 func sample(random *rand.Rand, now wasabiridge.Millis) wasabiridge.Outcome {
 	o := wasabiridge.Outcome{Account: "liftwell", Rule: "manuals", Model: "stairlift", At: now, Disposition: wasabiridge.Ran}
 	if random.IntN(4) == 0 {
--- a/examples/quarantine/main.go
+++ b/examples/quarantine/main.go
@@ -1,5 +1,6 @@
-// Command quarantine shows how a request that ends every server that runs it is told from
-// one that only ran beside it, and how two instances share what they know.
+// Command quarantine shows how a request that crashes every server that runs it is
+// distinguished from one that only ran at the same time, and how two instances share
+// their evidence.
 //
 //	go run ./examples/quarantine
 package main
@@ -13,16 +14,16 @@
 
 var standings = map[wasabiridge.Standing]string{
 	wasabiridge.StandingFree:     "free",
-	wasabiridge.StandingSuspect:  "suspect: to one server, the same at all instances",
-	wasabiridge.StandingDeferred: "others try it: come back soon",
-	wasabiridge.StandingBarred:   "barred: reaches no server",
+	wasabiridge.StandingSuspect:  "suspect: sent to one server, the same for all instances",
+	wasabiridge.StandingDeferred: "deferred: trial in progress elsewhere, retry later",
+	wasabiridge.StandingBarred:   "blocked: sent to no server",
 }
 
 func main() {
 	first := wasabiquarantine.New(wasabiquarantine.Options{Self: "pos-1"})
 	second := wasabiquarantine.New(wasabiquarantine.Options{Self: "pos-2"})
 	fatal := wasabiridge.Request{Fingerprint: 1, Account: "liftwell", Model: "m"}
-	beside := wasabiridge.Request{Fingerprint: 2, Account: "liftwell", Model: "m"}
+	bystander := wasabiridge.Request{Fingerprint: 2, Account: "liftwell", Model: "m"}
 	now, attempt := wasabiridge.Millis(0), wasabiridge.AttemptID(0)
 	send := func(r wasabiridge.Request, server wasabiridge.BackendServerID, end wasabiridge.AttemptEnded) {
 		attempt++
@@ -30,15 +31,15 @@
 		now += 100
 		end.Attempt = attempt
 		first.Observe(now, end)
-		news := first.TakeNews(now)
-		second.Observe(now, wasabiridge.CrashesHeard{From: "pos-1", Crashes: append(news.Narrow, news.Wide...)})
-		fmt.Printf("after %s: request 1 is %s; request 2 is %s\n", server, standings[second.Judge(now, fatal)], standings[second.Judge(now, beside)])
+		update := first.TakeNews(now)
+		second.Observe(now, wasabiridge.CrashesHeard{From: "pos-1", Crashes: append(update.Narrow, update.Wide...)})
+		fmt.Printf("after %s: request 1 is %s; request 2 is %s\n", server, standings[second.Judge(now, fatal)], standings[second.Judge(now, bystander)])
 	}
 	ended := wasabiridge.AttemptEnded{Result: wasabiridge.AttemptBroken, ServerEnded: true}
 	for _, server := range []wasabiridge.BackendServerID{"e1", "e2"} {
 		send(fatal, server, ended)
 	}
-	send(beside, "e2", ended)
-	send(beside, "e3", wasabiridge.AttemptEnded{Result: wasabiridge.AttemptCompleted})
+	send(bystander, "e2", ended)
+	send(bystander, "e3", wasabiridge.AttemptEnded{Result: wasabiridge.AttemptCompleted})
 	send(fatal, "e4", ended)
 }
--- a/examples/quota/main.go
+++ b/examples/quota/main.go
@@ -1,5 +1,6 @@
-// Command quota shows how two instances keep a client account to one limit, and what each
-// of them may use while they do not hear each other.
+// Command quota shows how two instances enforce the rate limit of a client account
+// together, and what share of it each may use while they receive no updates from each
+// other.
 //
 //	go run ./examples/quota
 package main
@@ -13,7 +14,7 @@
 
 const step = 20 * wasabiridge.Millis(1)
 
-// instance is a table at which time passes.
+// instance is the quota table of one instance.
 type instance struct {
 	id    wasabiridge.InstanceID
 	table *wasabiquota.Table
@@ -27,13 +28,13 @@
 	return i
 }
 
-// fill asks until a request is refused.
-func (i *instance) fill(now wasabiridge.Millis) {
+// exhaust admits requests until one is refused.
+func (i *instance) exhaust(now wasabiridge.Millis) {
 	r := wasabiridge.Request{Account: "liftwell"}
 	for n := 0; ; n++ {
 		v := i.table.Judge(now, r)
 		if !v.Allowed {
-			fmt.Printf("%5d ms: %s lets %d requests in; the next may come back in %d ms\n", now, i.id, n, v.RetryAfter)
+			fmt.Printf("%5d ms: %s admits %d requests; the next one may be retried after %d ms\n", now, i.id, n, v.RetryAfter)
 			return
 		}
 		i.sent++
@@ -41,8 +42,8 @@
 	}
 }
 
-// tell hands what runs at one instance to another, if a message gets through.
-func tell(now wasabiridge.Millis, from, to *instance, connected bool) {
+// sendUpdate sends the usage of one instance to another, if they are connected.
+func sendUpdate(now wasabiridge.Millis, from, to *instance, connected bool) {
 	from.table.Observe(now, wasabiridge.Ticked{})
 	for _, id := range from.table.Strangers(now) {
 		if connected {
@@ -52,10 +53,10 @@
 	if !from.table.IsDue(now) {
 		return
 	}
-	news := from.table.TakeNews(now)
+	update := from.table.TakeNews(now)
 	from.table.Observe(now, wasabiridge.PeerTold{To: to.id})
 	if connected {
-		to.table.Observe(now, news.UsesHeard())
+		to.table.Observe(now, update.UsesHeard())
 		from.table.Observe(now, wasabiridge.PeerHeard{From: to.id})
 	}
 }
@@ -65,14 +66,14 @@
 	a, b := newInstance("pos-1", "ari-1", config), newInstance("ari-1", "pos-1", config)
 	for now := step; now <= 20*wasabiridge.Second; now += step {
 		connected := now < 8*wasabiridge.Second
-		tell(now, a, b, connected)
-		tell(now, b, a, connected)
+		sendUpdate(now, a, b, connected)
+		sendUpdate(now, b, a, connected)
 		switch now {
 		case 5 * wasabiridge.Second, 8 * wasabiridge.Second, 18 * wasabiridge.Second:
 			fmt.Printf("%5d ms: pos-1 may use %.2f of the limit, ari-1 %.2f\n", now, a.table.Part(now), b.table.Part(now))
-			a.fill(now)
+			a.exhaust(now)
 		case 6 * wasabiridge.Second, 19 * wasabiridge.Second:
-			b.fill(now)
+			b.exhaust(now)
 		}
 	}
 }
--- a/examples/rules/main.go
+++ b/examples/rules/main.go
@@ -1,5 +1,5 @@
-// Command rules checks a configuration, shows which rule a request matches and
-// why not the earlier ones, and shows what a mistake looks like.
+// Command rules validates a configuration, explains which rule a request matches and why
+// earlier rules do not match, and shows the error for an invalid configuration.
 //
 //	go run ./examples/rules
 package main
@@ -21,7 +21,7 @@
     {"id": "dispatch", "backends": [{"id": "dispatch-1", "kind": "engine", "zone": "pos", "url": "http://127.0.0.1:9002"}]},
   ],
   "rules": [
-    // Whole manuals go to the large replicas.
+    // Prompts with complete manuals go to the large replicas.
     {"id": "manuals", "when": {"min_prompt_tokens": 10000}, "then": {"pool": "answers", "retry": true}},
     {"id": "calls", "when": {"path": "/v1/*"}, "then": {"pool": "dispatch", "priority": 1}},
   ],
@@ -42,5 +42,5 @@
 		}
 	}
 	_, err = wasabirule.Parse([]byte(`{"rules": [{"id": "a", "then": {"pol": "answers"}}]}`))
-	fmt.Printf("\nA mistake is named with its place:\n%v\n", err)
+	fmt.Printf("\nThe error for an unknown field gives its position:\n%v\n", err)
 }
--- a/examples/timeline/main.go
+++ b/examples/timeline/main.go
@@ -1,6 +1,6 @@
-// Command timeline shows the story of one request whose engine crashes in the
-// middle of the answer: the router resumes the stream on another engine, and
-// the time line tells each step.
+// Command timeline shows the timeline of a request whose engine crashes within the
+// response: the router resumes the stream on another engine, and each step is an event
+// of the timeline.
 //
 //	go run ./examples/timeline
 package main
@@ -55,10 +55,10 @@
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- router.Run() }()
-	if err := askAndBreak(router.URL(), engines); err != nil {
+	if err := streamAndCrash(router.URL(), engines); err != nil {
 		return err
 	}
-	showStory(router.OperatorURL())
+	showTimeline(router.OperatorURL())
 	if err := router.Drain(context.Background()); err != nil {
 		return err
 	}
@@ -107,8 +107,8 @@
 	return wasabidaemon.New(wasabidaemon.Options{Settings: settings, Clock: wasabiclock.System()})
 }
 
-// askAndBreak streams an answer and crashes the engine that writes it.
-func askAndBreak(url string, engines []*wasabiengine.Engine) error {
+// streamAndCrash requests a stream and crashes the engine that generates it.
+func streamAndCrash(url string, engines []*wasabiengine.Engine) error {
 	body := `{"model":"stairlift","stream":true,"max_tokens":40,"messages":[{"role":"user","content":"What does fault E4 mean?"}]}`
 	request, err := http.NewRequest(http.MethodPost, url+"/v1/chat/completions", bytes.NewBufferString(body))
 	if err != nil {
@@ -133,11 +133,12 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("HTTP %s, whole: %t\n\n", response.Status, bytes.Contains(answer, []byte("[DONE]")))
+	fmt.Printf("HTTP %s, complete: %t\n\n", response.Status, bytes.Contains(answer, []byte("[DONE]")))
 	return nil
 }
 
-func showStory(operatorURL string) {
+// showTimeline prints the events of the account with wasabictl.
+func showTimeline(operatorURL string) {
 	args := []string{"--address", operatorURL, "--key", operatorKey, "timeline", "--account", "liftwell"}
 	wasabicommand.Run(context.Background(), args, wasabicommand.Streams{Out: os.Stdout, Err: os.Stderr, Env: os.Getenv})
 }
