--- a/internal/wasabitimeline/bench_test.go
+++ b/internal/wasabitimeline/bench_test.go
@@ -42,8 +42,8 @@
 	})
 }
 
-// BenchmarkPublishEach is what publishing on the path of a request would cost
-// for each event.
+// BenchmarkPublishEach measures publishing every event in a message of its own,
+// as it would be if requests published their events themselves.
 func BenchmarkPublishEach(b *testing.B) {
 	pubSub := wasabitimeline.NewPubSub()
 	defer pubSub.Close()
@@ -56,7 +56,7 @@
 	}
 }
 
-// BenchmarkPublishBatch is what the following goroutine spends on an event.
+// BenchmarkPublishBatch measures publishing in batches, as Log.Follow does.
 func BenchmarkPublishBatch(b *testing.B) {
 	pubSub := wasabitimeline.NewPubSub()
 	defer pubSub.Close()
@@ -71,7 +71,8 @@
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*len(events)), "ns/event")
 }
 
-// BenchmarkEncodeBatch is what it would spend if events were encoded.
+// BenchmarkEncodeBatch measures the JSON encoding that Log.Follow would need if
+// messages carried encoded events.
 func BenchmarkEncodeBatch(b *testing.B) {
 	events := slices.Repeat([]wasabiridge.TimelineEvent{sample}, 512)
 	b.ReportAllocs()
@@ -97,9 +98,9 @@
 	}
 }
 
-// BenchmarkSecond is one second of requests with six events each, recorded,
-// published and counted by the metrics. The heap that the time line holds is
-// reported with it.
+// BenchmarkSecond measures the events of one second of requests, six per
+// request: recording, publishing and counting them in the metrics. It also
+// reports the heap that the time line holds.
 func BenchmarkSecond(b *testing.B) {
 	for _, requests := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(requests), func(b *testing.B) {
--- a/internal/wasabitimeline/cost_test.go
+++ b/internal/wasabitimeline/cost_test.go
@@ -24,8 +24,8 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabitimeline"
 )
 
-// instantRunner answers every attempt at once with a short stream, so that
-// nothing but the router's own work is measured.
+// instantRunner completes every attempt immediately with a short stream, so that
+// only the work of the router is measured.
 type instantRunner struct{}
 
 func (instantRunner) Run(_ context.Context, a wasabiridge.Attempt, sink wasabiridge.AttemptSink) wasabiridge.AttemptEnded {
@@ -44,7 +44,7 @@
 	return end
 }
 
-// router is the whole path of a request without sockets.
+// router is the complete request path of a router, without sockets.
 type router struct {
 	gateway *wasabigateway.Gateway
 	loop    *wasabiloop.Loop
@@ -73,33 +73,35 @@
 
 var body = `{"model":"m","stream":true,"max_tokens":8,"messages":[{"role":"user","content":"` + strings.Repeat("Read the manual of the lift. ", 140) + `"}]}`
 
-func (r router) ask(t testing.TB) {
-	answer := httptest.NewRecorder()
-	r.askWith(t, answer, answer)
+// request sends a request and fails the test unless its response is complete.
+func (r router) request(t testing.TB) {
+	response := httptest.NewRecorder()
+	r.requestTo(t, response, response)
 }
 
-// askWith sends a request whose answer goes to w and ends up in answer.
-func (r router) askWith(t testing.TB, w http.ResponseWriter, answer *httptest.ResponseRecorder) {
+// requestTo sends a request. Its response is written to w, which must pass it on
+// to response.
+func (r router) requestTo(t testing.TB, w http.ResponseWriter, response *httptest.ResponseRecorder) {
 	request := httptest.NewRequest(http.MethodPost, "/v1/chat/completions", strings.NewReader(body))
 	request.Header.Set("Authorization", "Bearer k")
 	request.Header.Set("Content-Type", "application/json")
 	r.gateway.ServeHTTP(w, request)
-	if answer.Code != http.StatusOK || !strings.HasSuffix(answer.Body.String(), "[DONE]\n\n") {
-		t.Fatalf("HTTP %d: %s", answer.Code, answer.Body)
+	if response.Code != http.StatusOK || !strings.HasSuffix(response.Body.String(), "[DONE]\n\n") {
+		t.Fatalf("HTTP %d: %s", response.Code, response.Body)
 	}
 }
 
-// load sends requests from several callers and returns the processor time that
-// the process spent until their events were published too. Processor time
-// bounds the throughput, and unlike the time of day it does not depend on what
-// else runs on the machine.
+// load sends requests from several concurrent callers and returns the processor
+// time that the process used until their events were published as well.
+// Processor time limits the throughput, and unlike elapsed time it does not
+// depend on other processes of the machine.
 func (r router) load(b *testing.B, callers, each int) time.Duration {
 	start := processorTime(b)
 	var group sync.WaitGroup
 	for range callers {
 		group.Go(func() {
 			for range each {
-				r.ask(b)
+				r.request(b)
 			}
 		})
 	}
@@ -116,10 +118,11 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkRequest reports the processor time of a request without and with the
-// time line, its full ring, its publishing and a subscriber. Each has a process
-// of its own when run with -bench Request/without and -bench Request/with, so
-// that the ring's share of garbage collection counts too.
+// BenchmarkRequest reports the processor time of a request without and with a
+// time line whose ring is full and whose events are published to a subscriber.
+// Run the cases in separate processes, by -bench Request/without and -bench
+// Request/with, so that the garbage collection that the ring causes is counted
+// only where the ring exists.
 func BenchmarkRequest(b *testing.B) {
 	b.Run("without", func(b *testing.B) { measure(b, newRouter(nil, instantRunner{})) })
 	for _, capacity := range []int{1 << 12, 1 << 14, 1 << 16} {
@@ -135,7 +138,8 @@
 	}
 }
 
-// follow publishes a time line to a subscriber that counts its events.
+// follow publishes a time line to a subscriber that counts its events. The
+// returned function stops both.
 func follow(b *testing.B, l *wasabitimeline.Log) context.CancelFunc {
 	pubSub := wasabitimeline.NewPubSub()
 	messages, err := pubSub.Subscribe(context.Background(), wasabitimeline.Topic)
@@ -148,8 +152,8 @@
 	return stop
 }
 
-// measure reports the median and the lower quartile over rounds. Other work on
-// the machine makes rounds dearer, never cheaper.
+// measure reports the median, the lower quartile and the minimum over rounds.
+// Other load on the machine can only make a round more expensive.
 func measure(b *testing.B, r router) {
 	const rounds, callers, each = 40, 4, 400
 	defer r.loop.Close()
--- a/internal/wasabitimeline/story.go
+++ b/internal/wasabitimeline/format.go
@@ -8,30 +8,31 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// clockLayout shows the time of day of an event in UTC.
+// clockLayout formats the time of day of an event, in UTC.
 const clockLayout = "15:04:05.000"
 
-// sentence tells what an event of a kind says about its value.
-type sentence struct {
+// eventFormat describes how events of one kind are printed.
+type eventFormat struct {
 	text string
-	// unit follows the value; an empty unit hides the value.
+	// unit is printed after the value. If it is empty, the value is not
+	// printed.
 	unit string
-	// why stands before the cause.
-	why string
+	// causePrefix is printed before the cause.
+	causePrefix string
 }
 
-var sentences = map[wasabiridge.TimelineKind]sentence{
+var eventFormats = map[wasabiridge.TimelineKind]eventFormat{
 	wasabiridge.EventArrived:        {text: "arrived"},
 	wasabiridge.EventMatched:        {text: "matched", unit: "prompt tokens"},
 	wasabiridge.EventClaimed:        {text: "claim"},
 	wasabiridge.EventQueued:         {text: "queued", unit: "ms expected"},
-	wasabiridge.EventPlaced:         {text: "placed", unit: "tokens expected in cache", why: "chosen as "},
+	wasabiridge.EventPlaced:         {text: "placed", unit: "tokens expected in cache", causePrefix: "chosen as "},
 	wasabiridge.EventSent:           {text: "attempt sent"},
 	wasabiridge.EventFirstToken:     {text: "first token", unit: "ms after arrival"},
 	wasabiridge.EventBroken:         {text: "attempt broken", unit: "tokens delivered"},
-	wasabiridge.EventResumed:        {text: "resumed", unit: "tokens expected in cache", why: "chosen as "},
-	wasabiridge.EventRetried:        {text: "retried", unit: "tokens expected in cache", why: "chosen as "},
-	wasabiridge.EventHedged:         {text: "hedged", unit: "tokens expected in cache", why: "chosen as "},
+	wasabiridge.EventResumed:        {text: "resumed", unit: "tokens expected in cache", causePrefix: "chosen as "},
+	wasabiridge.EventRetried:        {text: "retried", unit: "tokens expected in cache", causePrefix: "chosen as "},
+	wasabiridge.EventHedged:         {text: "hedged", unit: "tokens expected in cache", causePrefix: "chosen as "},
 	wasabiridge.EventRefused:        {text: "refused", unit: "ms until a retry"},
 	wasabiridge.EventEnded:          {text: "ended", unit: "tokens out"},
 	wasabiridge.EventConfigAdopted:  {text: "configuration adopted", unit: "is its version"},
@@ -40,24 +41,27 @@
 	wasabiridge.EventBackendReborn:  {text: "backend server reborn", unit: "is its incarnation"},
 }
 
-// common holds what all events of a story share, so that lines leave it out.
-type common struct {
+// sharedFields holds the fields that all printed events have in common, which
+// are left out of their lines.
+type sharedFields struct {
 	request wasabiridge.RequestID
 	account wasabiridge.ClientAccountID
 	rule    wasabiridge.RuleID
-	// attempts numbers the attempts of the request from 1, because their
-	// identifiers are too long to be told apart at a glance.
+	// attempts numbers the attempts of the request from 1, because attempt IDs
+	// are too long to compare by eye.
 	attempts map[wasabiridge.AttemptID]int
 }
 
-func commonOf(events []wasabiridge.TimelineEvent) (common, bool) {
-	c := common{attempts: map[wasabiridge.AttemptID]int{}}
+// sharedFieldsOf returns the shared fields of events, and false when the events
+// do not all belong to one request.
+func sharedFieldsOf(events []wasabiridge.TimelineEvent) (sharedFields, bool) {
+	c := sharedFields{attempts: map[wasabiridge.AttemptID]int{}}
 	for _, e := range events {
 		if c.request == "" {
 			c.request = e.Request
 		}
 		if e.Request == "" || e.Request != c.request {
-			return common{}, false
+			return sharedFields{}, false
 		}
 		if e.Attempt != 0 && c.attempts[e.Attempt] == 0 {
 			c.attempts[e.Attempt] = len(c.attempts) + 1
@@ -72,10 +76,11 @@
 	return c, c.request != ""
 }
 
-// WriteStory prints events for people. When all belong to one request, a
-// heading names it, its client account and rule, and the lines leave them out.
+// WriteStory prints events in the form of WriteLines. If all events belong to
+// one request, it first prints a heading with the request, its client account
+// and its rule, and leaves these out of the lines.
 func WriteStory(w io.Writer, events []wasabiridge.TimelineEvent) {
-	c, single := commonOf(events)
+	c, single := sharedFieldsOf(events)
 	if single {
 		parts := appendField([]string{"request " + string(c.request)}, "account ", string(c.account))
 		fmt.Fprintln(w, strings.Join(appendField(parts, "rule ", string(c.rule)), ", "))
@@ -83,42 +88,43 @@
 	writeLines(w, events, c)
 }
 
-// WriteLines prints events for people, one on a line: time of day, time since
-// the line before, instance, and what happened. The columns are aligned.
+// WriteLines prints events as text, one per line, in aligned columns: time of
+// day in UTC, time since the previous line, instance, and a description.
 func WriteLines(w io.Writer, events []wasabiridge.TimelineEvent) {
-	writeLines(w, events, common{})
+	writeLines(w, events, sharedFields{})
 }
 
-func writeLines(w io.Writer, events []wasabiridge.TimelineEvent, c common) {
+func writeLines(w io.Writer, events []wasabiridge.TimelineEvent, c sharedFields) {
 	width := 0
 	for _, e := range events {
 		width = max(width, len(e.Instance))
 	}
-	var last wasabiridge.Millis
+	var previous wasabiridge.Millis
 	for i, e := range events {
-		step := ""
+		elapsed := ""
 		if i > 0 {
-			step = stepText(e.At - last)
+			elapsed = elapsedText(e.At - previous)
 		}
-		last = e.At
-		fmt.Fprintf(w, "%s %8s  %-*s  %s\n", e.At.Time().Format(clockLayout), step, width, e.Instance, describe(e, c))
+		previous = e.At
+		fmt.Fprintf(w, "%s %8s  %-*s  %s\n", e.At.Time().Format(clockLayout), elapsed, width, e.Instance, describe(e, c))
 	}
 }
 
-func stepText(d wasabiridge.Millis) string {
+func elapsedText(d wasabiridge.Millis) string {
 	if d >= 100*wasabiridge.Second {
 		return fmt.Sprintf("+%ds", d/wasabiridge.Second)
 	}
 	return fmt.Sprintf("+%dms", d)
 }
 
-// describe tells an event as one line of text without its time.
-func describe(e wasabiridge.TimelineEvent, c common) string {
-	s, known := sentences[e.Kind]
+// describe returns the description of an event: its kind, and the fields that
+// are set and not shared. A kind without a format is printed under its own name.
+func describe(e wasabiridge.TimelineEvent, c sharedFields) string {
+	f, known := eventFormats[e.Kind]
 	if !known {
-		s = sentence{text: strings.ReplaceAll(string(e.Kind), "_", " ")}
+		f = eventFormat{text: strings.ReplaceAll(string(e.Kind), "_", " ")}
 		if e.Value != 0 {
-			s.unit = "value"
+			f.unit = "value"
 		}
 	}
 	var parts []string
@@ -131,11 +137,11 @@
 	} else if e.Attempt != 0 {
 		parts = append(parts, fmt.Sprintf("attempt %d", e.Attempt))
 	}
-	if cause := strings.ReplaceAll(e.Cause, "_", " "); !strings.HasSuffix(s.text, cause) {
-		parts = append(parts, s.why+cause)
+	if cause := strings.ReplaceAll(e.Cause, "_", " "); !strings.HasSuffix(f.text, cause) {
+		parts = append(parts, f.causePrefix+cause)
 	}
-	if s.unit != "" && e.Value != 0 {
-		parts = append(parts, fmt.Sprintf("%d %s", e.Value, s.unit))
+	if f.unit != "" && e.Value != 0 {
+		parts = append(parts, fmt.Sprintf("%d %s", e.Value, f.unit))
 	}
 	if e.Account != c.account {
 		parts = appendField(parts, "account ", string(e.Account))
@@ -143,9 +149,10 @@
 	if e.Request != c.request {
 		parts = appendField(parts, "request ", string(e.Request))
 	}
-	return strings.TrimRight(fmt.Sprintf("%-22s %s", s.text, strings.Join(parts, ", ")), " ")
+	return strings.TrimRight(fmt.Sprintf("%-22s %s", f.text, strings.Join(parts, ", ")), " ")
 }
 
+// appendField appends a labelled value to parts, unless the value is empty.
 func appendField(parts []string, label, value string) []string {
 	if value == "" {
 		return parts
--- a/internal/wasabitimeline/merge.go
+++ b/internal/wasabitimeline/merge.go
@@ -10,30 +10,33 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Limits of a collection over many instances.
+// Limits of a query over many instances.
 const (
-	// parallelQueries is how many instances are asked at once.
+	// parallelQueries is how many instances are queried at the same time.
 	parallelQueries = 16
-	// queryTimeout bounds the wait for one instance.
+	// queryTimeout bounds the query of one instance.
 	queryTimeout = 2 * wasabiridge.Second
-	// DefaultLimit is how many events a collection returns when the query
-	// names no limit.
+	// DefaultLimit is how many events ReadTimeline returns at most when the
+	// query has no limit.
 	DefaultLimit = 10_000
 )
 
-// Collector reads the time lines of this instance and of its peers. It
-// implements wasabiridge.TimelineReader and is safe for concurrent use.
+// Collector reads and merges the time lines of this instance and of its peers.
+// It implements wasabiridge.TimelineReader and is safe for concurrent use.
 type Collector struct {
 	// Own is the time line of this instance.
 	Own *Log
-	// Peers calls other instances. Without it they are named as not reached.
+	// Peers calls other instances. If it is nil, the report lists all other
+	// instances as not reached.
 	Peers wasabiridge.PeerClient
-	// Members returns the other instances that are known.
+	// Members returns the instances in the membership view. This instance is
+	// ignored if it is among them. Nil means that only Own is read.
 	Members func() []wasabiridge.Member
 }
 
-// ReadTimeline asks every known instance and merges what came back. An
-// instance that does not answer is named in the report; it is no error.
+// ReadTimeline queries every instance in the membership view and merges the
+// events that they return. An instance that cannot be reached is listed in the
+// report with the cause, and is not an error.
 func (c *Collector) ReadTimeline(ctx context.Context, q wasabiridge.TimelineQuery) (wasabiridge.TimelineReport, error) {
 	if q.Limit <= 0 {
 		q.Limit = DefaultLimit
@@ -41,17 +44,17 @@
 	pages := []wasabiridge.TimelinePage{c.Own.Page(q)}
 	var unreached []wasabiridge.UnreachedInstance
 	if c.Members != nil {
-		var others []wasabiridge.TimelinePage
-		others, unreached = c.askAll(ctx, q, c.others())
-		pages = append(pages, others...)
+		var peerPages []wasabiridge.TimelinePage
+		peerPages, unreached = c.queryAll(ctx, q, c.otherMembers())
+		pages = append(pages, peerPages...)
 	}
 	report := Merge(pages, q.Limit)
 	report.Unreached = unreached
 	return report, nil
 }
 
-// others returns the known members without this instance, by name.
-func (c *Collector) others() []wasabiridge.Member {
+// otherMembers returns the members without this instance, sorted by ID.
+func (c *Collector) otherMembers() []wasabiridge.Member {
 	var others []wasabiridge.Member
 	for _, m := range c.Members() {
 		if m.ID != c.Own.options.Instance {
@@ -62,23 +65,25 @@
 	return others
 }
 
-// peerAnswer is what became of asking one member.
-type peerAnswer struct {
+// queryResult is the page of one member, or the error of querying it.
+type queryResult struct {
 	page wasabiridge.TimelinePage
 	err  error
 }
 
-func (c *Collector) askAll(ctx context.Context, q wasabiridge.TimelineQuery, members []wasabiridge.Member) ([]wasabiridge.TimelinePage, []wasabiridge.UnreachedInstance) {
-	answers := make([]peerAnswer, len(members))
-	// The ring of free places bounds the calls in flight; when it is full the
-	// next call waits.
-	places := make(chan struct{}, parallelQueries)
+// queryAll queries members, at most parallelQueries at the same time, and
+// returns the pages in the order of members.
+func (c *Collector) queryAll(ctx context.Context, q wasabiridge.TimelineQuery, members []wasabiridge.Member) ([]wasabiridge.TimelinePage, []wasabiridge.UnreachedInstance) {
+	results := make([]queryResult, len(members))
+	// The semaphore bounds the calls in flight. The next call waits while it is
+	// full.
+	semaphore := make(chan struct{}, parallelQueries)
 	var group sync.WaitGroup
 	for i := range members {
-		places <- struct{}{}
+		semaphore <- struct{}{}
 		group.Go(func() {
-			defer func() { <-places }()
-			answers[i] = c.ask(ctx, q, members[i])
+			defer func() { <-semaphore }()
+			results[i] = c.query(ctx, q, members[i])
 		})
 	}
 	group.Wait()
@@ -86,27 +91,28 @@
 		pages     []wasabiridge.TimelinePage
 		unreached []wasabiridge.UnreachedInstance
 	)
-	for i, a := range answers {
-		if a.err != nil {
-			unreached = append(unreached, wasabiridge.UnreachedInstance{Instance: members[i].ID, Cause: causeOf(a.err)})
+	for i, r := range results {
+		if r.err != nil {
+			unreached = append(unreached, wasabiridge.UnreachedInstance{Instance: members[i].ID, Cause: causeOf(r.err)})
 			continue
 		}
-		pages = append(pages, a.page)
+		pages = append(pages, r.page)
 	}
 	return pages, unreached
 }
 
-func (c *Collector) ask(ctx context.Context, q wasabiridge.TimelineQuery, m wasabiridge.Member) peerAnswer {
+func (c *Collector) query(ctx context.Context, q wasabiridge.TimelineQuery, m wasabiridge.Member) queryResult {
 	if c.Peers == nil {
-		return peerAnswer{err: wasabiridge.ErrUnavailable.New("this instance has no connection to its peers")}
+		return queryResult{err: wasabiridge.ErrUnavailable.New("this instance has no connection to its peers")}
 	}
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout.Duration())
 	defer cancel()
 	page, err := c.Peers.QueryTimeline(ctx, m.PeerAddress, q)
-	return peerAnswer{page: page, err: err}
+	return queryResult{page: page, err: err}
 }
 
-// causeOf leaves out the type's name, which an operator has no use for.
+// causeOf returns the text of an error without the name of its errorx type,
+// which is of no use to an operator.
 func causeOf(err error) string {
 	if typed := errorx.Cast(err); typed != nil && typed.Message() != "" && typed.Cause() == nil {
 		return typed.Message()
@@ -114,10 +120,10 @@
 	return err.Error()
 }
 
-// Merge puts the pages of several instances into one order: hybrid time, then
-// the logical count, then the name of the instance, then the order in which
-// the instance recorded. A positive limit keeps the newest events, and
-// Truncated counts the others.
+// Merge merges the pages of several instances into one report. Events are
+// sorted by hybrid time, then by logical counter, then by instance ID, then in
+// the order in which the instance recorded them. A positive limit keeps only
+// the newest events, and Truncated counts the events left out.
 func Merge(pages []wasabiridge.TimelinePage, limit int) wasabiridge.TimelineReport {
 	report := wasabiridge.TimelineReport{Events: []wasabiridge.TimelineEvent{}}
 	for _, p := range pages {
@@ -125,13 +131,13 @@
 		report.Events = append(report.Events, p.Events...)
 	}
 	sort.SliceStable(report.Events, func(i, j int) bool { return Before(report.Events[i], report.Events[j]) })
-	all := len(report.Events)
+	total := len(report.Events)
 	report.Events = newest(report.Events, limit)
-	report.Truncated = all - len(report.Events)
+	report.Truncated = total - len(report.Events)
 	return report
 }
 
-// Before reports whether a stands before b on the time line.
+// Before reports whether a precedes b on the merged time line.
 func Before(a, b wasabiridge.TimelineEvent) bool {
 	if a.At != b.At {
 		return a.At < b.At
--- a/internal/wasabitimeline/publish.go
+++ b/internal/wasabitimeline/publish.go
@@ -12,8 +12,8 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Topic is the watermill topic of time line events. Read its messages with
-// BatchOf.
+// Topic is the watermill topic of time line events. BatchOf returns the events
+// of a message.
 const Topic = "timeline"
 
 // Limits of publishing.
@@ -22,15 +22,15 @@
 	PublishInterval = 50 * wasabiridge.Millis(1)
 	// publishBatch is how many events one message holds at most.
 	publishBatch = 512
-	// subscriberBuffer is how many messages wait for a subscriber.
+	// subscriberBuffer is how many messages are buffered for a subscriber.
 	subscriberBuffer = 64
 )
 
 // NewPubSub returns the in-process pub/sub on which time lines are published.
-// Publish waits for slow subscribers: the only publisher is the goroutine that
-// follows the ring, and while it waits the ring drops its oldest events and
-// counts them. Without that wait, every publication behind a stuck subscriber
-// would hold a goroutine and a message for ever.
+// Publish blocks until slow subscribers acknowledge. The only publisher is the
+// goroutine of Log.Follow; while it is blocked, the ring of the Log drops its
+// oldest events and counts them. If Publish did not block, every message to a
+// subscriber that has stopped reading would hold a goroutine forever.
 func NewPubSub() *gochannel.GoChannel {
 	return gochannel.NewGoChannel(gochannel.Config{
 		OutputChannelBuffer:            subscriberBuffer,
@@ -39,15 +39,16 @@
 	}, watermill.NopLogger{})
 }
 
-// Follow publishes what is recorded from now on until ctx ends, and then closes
-// the publisher. It runs in a goroutine of its own and reads behind the
-// writers.
+// Follow publishes events recorded after its call in batches until ctx is done,
+// and then closes the publisher. It blocks, so it needs a goroutine of its own.
+// Its use of the lock is short, so that it does not delay Record.
 //
-// A subscriber that stopped taking messages holds Publish up, and with it the
-// shutdown of the process. Closing the publisher as soon as ctx ends releases
-// it, because a closed pub/sub waits for nobody.
+// A subscriber that has stopped reading blocks Publish, and would block the
+// shutdown of the process as well. Closing the publisher as soon as ctx is done
+// unblocks it, because a closed pub/sub does not wait for acknowledgements.
 func (l *Log) Follow(ctx context.Context, publisher message.Publisher) error {
-	// There is nobody left to tell of a failed close.
+	// An error of Close is ignored: the process is shutting down, and no caller
+	// could act on it.
 	release := context.AfterFunc(ctx, func() { _ = publisher.Close() })
 	defer release()
 	ticker := time.NewTicker(PublishInterval.Duration())
@@ -67,7 +68,8 @@
 	}
 }
 
-// publishFrom publishes all events after cursor and returns the next cursor.
+// publishFrom publishes all events from cursor on and returns the next cursor.
+// buf is reused between reads.
 func (l *Log) publishFrom(cursor uint64, buf []wasabiridge.TimelineEvent, publisher message.Publisher) (uint64, error) {
 	for {
 		var lost uint64
@@ -76,34 +78,35 @@
 		}
 		m := NewMessage(Batch{Events: slices.Clone(buf), Lost: lost})
 		if err := publisher.Publish(Topic, m); err != nil {
-			return cursor, wasabiridge.ErrUnavailable.Wrap(err, "timeline: publish")
+			return cursor, wasabiridge.ErrUnavailable.Wrap(err, "timeline: publish events")
 		}
 	}
 }
 
-// Batch is what one message on Topic holds.
+// Batch is the content of one message on Topic.
 type Batch struct {
-	// Events are in their order. Subscribers share the slice and must not
-	// write to it.
+	// Events are in the order in which they were recorded. Subscribers share
+	// the slice and must not modify it.
 	Events []wasabiridge.TimelineEvent
-	// Lost counts events that were overwritten before the first one.
+	// Lost counts events between the previous batch and this one that were
+	// overwritten before they could be published.
 	Lost uint64
 }
 
 type batchKey struct{}
 
-// NewMessage makes a message of a batch. The batch travels typed in the
-// message's context, which the pub/sub of NewPubSub preserves, and the payload
-// stays empty: encoding and decoding events as bytes within one process costs
-// more than everything else about them.
+// NewMessage returns a message that carries a batch. The batch is a value in the
+// context of the message, which the pub/sub of NewPubSub preserves, and the
+// payload is empty. Encoding and decoding events within one process would cost
+// more than recording and publishing them.
 func NewMessage(b Batch) *message.Message {
 	m := message.NewMessage(watermill.NewUUID(), nil)
 	m.SetContext(context.WithValue(context.Background(), batchKey{}, b))
 	return m
 }
 
-// BatchOf returns the batch of a message. It reports ErrInvalid for a message
-// that NewMessage did not make.
+// BatchOf returns the batch that a message carries. It reports ErrInvalid for a
+// message that was not made by NewMessage.
 func BatchOf(m *message.Message) (Batch, error) {
 	b, ok := m.Context().Value(batchKey{}).(Batch)
 	if !ok {
--- a/internal/wasabitimeline/timeline.go
+++ b/internal/wasabitimeline/timeline.go
@@ -1,20 +1,20 @@
-// Package wasabitimeline keeps the time line of one instance and merges the
-// time lines of several.
+// Package wasabitimeline records the time line of events of one instance and
+// merges the time lines of several instances.
 //
-// A Log is a bounded ring of events. Recording takes one short lock and never
-// blocks on anything else; when the ring is full the oldest event is dropped
-// and counted. Events are published in batches on watermill by a goroutine of
-// its own, which reads the ring behind the writers, so that no publishing
-// happens on the path of a request.
+// A Log is a bounded ring buffer of events. Recording takes one lock for a short
+// time and never blocks on anything else; when the ring is full, the oldest
+// event is dropped and counted. A separate goroutine reads the ring and
+// publishes the events in batches on watermill, so that publishing never delays
+// a request.
 //
 // # Order
 //
-// Events carry hybrid time: the physical clock, raised above every event that
-// is known to have come before. An instance that receives a message calls
-// Observe with the sender's hybrid time; whatever it records afterwards
-// stands after whatever the sender recorded before, however far apart their
-// clocks are. Events without a known cause between them are ordered by their
-// clocks.
+// Events carry a hybrid logical clock: the physical clock, or a later time if an
+// event that is known to precede has one. An instance that receives a message
+// calls Observe with the hybrid time of the sender. Events that it records
+// afterwards sort after the events that the sender recorded before sending,
+// however far apart the physical clocks are, within Options.MaxSkew. Events
+// without such a causal relation are ordered by the physical clocks.
 //
 // # Usage
 //
@@ -22,7 +22,7 @@
 //	log.Record(wasabiridge.TimelineEvent{Kind: wasabiridge.EventArrived, Request: id})
 //	page := log.Page(wasabiridge.TimelineQuery{Request: id})
 //
-// A heartbeat carries the order to another instance:
+// A heartbeat carries the hybrid time to another instance:
 //
 //	h.SentAt = log.Now()     // at the sender
 //	log.Observe(h.SentAt)    // at the receiver
@@ -38,13 +38,13 @@
 const (
 	// DefaultCapacity is how many events a Log keeps.
 	DefaultCapacity = 1 << 16
-	// DefaultMaxSkew is how far ahead of the own clock a remote time may be.
+	// DefaultMaxSkew is how far a remote time may be ahead of the local clock.
 	DefaultMaxSkew = 10 * wasabiridge.Minute
 )
 
-// copyChunk is how many events a reader copies under one hold of the lock, so
-// that a query never holds up writers for long.
-const copyChunk = 512
+// chunkSize is how many events a query copies each time it holds the lock. It
+// bounds how long a query can block Record.
+const chunkSize = 512
 
 // Options configure a Log.
 type Options struct {
@@ -54,7 +54,8 @@
 	Clock wasabiridge.Clock
 	// Capacity is how many events are kept. Zero means DefaultCapacity.
 	Capacity int
-	// MaxSkew bounds what Observe believes. Zero means DefaultMaxSkew.
+	// MaxSkew is how far ahead of Clock a remote time may be for Observe to
+	// accept it. Zero means DefaultMaxSkew.
 	MaxSkew wasabiridge.Millis
 }
 
@@ -65,15 +66,16 @@
 
 	mu   sync.Mutex
 	ring []wasabiridge.TimelineEvent
-	// next counts events that were ever recorded; event n stands at
-	// ring[n % len(ring)].
-	next    uint64
+	// next is the sequence number of the next event, and so the number of events
+	// recorded. Event n is stored at ring[n % len(ring)].
+	next uint64
+	// at and logical are the current hybrid time.
 	at      wasabiridge.Millis
 	logical uint32
 	// lastDropped is the time of the newest event that was overwritten.
 	lastDropped wasabiridge.Millis
-	// refused counts remote times beyond MaxSkew.
-	refused uint64
+	// refusedSkews counts remote times beyond MaxSkew.
+	refusedSkews uint64
 }
 
 // New returns an empty Log.
@@ -87,9 +89,9 @@
 	return &Log{options: o, ring: make([]wasabiridge.TimelineEvent, o.Capacity)}
 }
 
-// Record stamps an event with the instance and hybrid time and keeps it. What
-// the caller wrote into At, Logical and Instance is replaced. A full ring
-// drops its oldest event.
+// Record stores an event, with At, Logical and Instance set to the hybrid time
+// and the instance of the Log. When the ring is full, the oldest event is
+// dropped.
 func (l *Log) Record(e wasabiridge.TimelineEvent) {
 	e.Instance = l.options.Instance
 	physical := l.options.Clock.Now()
@@ -104,7 +106,7 @@
 	l.next++
 }
 
-// tick moves hybrid time forward and returns the stamp of the next event.
+// tick advances the hybrid time and returns it. The caller holds the lock.
 func (l *Log) tick(physical wasabiridge.Millis) (wasabiridge.Millis, uint32) {
 	if physical > l.at {
 		l.at, l.logical = physical, 0
@@ -114,8 +116,8 @@
 	return l.at, l.logical
 }
 
-// Now returns the hybrid time for a message that is about to be sent. No event
-// that was recorded before has a later time.
+// Now returns the hybrid time to put into a message to another instance. No
+// event recorded before has a later time.
 func (l *Log) Now() wasabiridge.Millis {
 	physical := l.options.Clock.Now()
 	l.mu.Lock()
@@ -123,19 +125,20 @@
 	return max(physical, l.at)
 }
 
-// Observe takes the hybrid time of a received message. Later events of this
-// Log stand strictly after it.
+// Observe advances the hybrid time past that of a received message, so that
+// later events of this Log sort strictly after it.
 //
-// A sender whose clock is wrong by more than MaxSkew is not followed, because
-// hybrid time would then run ahead of every clock for as long as the error is
-// large and queries such as "the last five minutes" would find nothing. Its
-// order to others is lost instead, and counted by RefusedSkews.
+// A remote time more than MaxSkew ahead of the local clock is ignored and
+// counted in RefusedSkews. Otherwise one wrong clock would push the hybrid time
+// of all instances ahead of their clocks, by as much as that clock is wrong, and
+// queries such as "the last five minutes" would find nothing. The price is that
+// events of that sender are not ordered causally.
 func (l *Log) Observe(remote wasabiridge.Millis) {
 	physical := l.options.Clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if remote > physical+l.options.MaxSkew {
-		l.refused++
+		l.refusedSkews++
 		return
 	}
 	if remote >= l.at {
@@ -143,21 +146,23 @@
 	}
 }
 
-// RefusedSkews counts remote times that Observe did not follow.
+// RefusedSkews returns how many remote times Observe has ignored.
 func (l *Log) RefusedSkews() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.refused
+	return l.refusedSkews
 }
 
-// Recorded counts the events that were ever recorded, and Dropped those that
-// were overwritten.
+// Recorded returns how many events have been recorded, and how many of them have
+// been overwritten since.
 func (l *Log) Recorded() (recorded, dropped uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.next, l.droppedLocked()
 }
 
+// droppedLocked returns how many events have been overwritten. The caller holds
+// the lock.
 func (l *Log) droppedLocked() uint64 {
 	if size := uint64(len(l.ring)); l.next > size {
 		return l.next - size
@@ -165,9 +170,9 @@
 	return 0
 }
 
-// read copies events that follow cursor into buf. It returns them, the next
-// cursor, and how many events between the cursor and the first returned one
-// were overwritten.
+// read copies events from cursor on into buf, up to its capacity. It returns
+// them, the next cursor, and how many events from the cursor on were
+// overwritten before they could be read.
 func (l *Log) read(cursor uint64, buf []wasabiridge.TimelineEvent) ([]wasabiridge.TimelineEvent, uint64, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -184,16 +189,18 @@
 	return buf, cursor, lost
 }
 
-// Page answers a query from this instance. Events are in order; a limit keeps
-// the newest. Dropped counts overwritten events that the query could have
-// asked for: it is zero when all of them are older than Since.
+// Page returns the events of this instance that a query selects, in the order
+// in which they were recorded. A positive limit keeps only the newest. Dropped
+// counts overwritten events that the query might have selected: it is zero when
+// all of them are older than Since.
 func (l *Log) Page(q wasabiridge.TimelineQuery) wasabiridge.TimelinePage {
 	page := wasabiridge.TimelinePage{Instance: l.options.Instance, Dropped: l.droppedFor(q)}
-	buf := make([]wasabiridge.TimelineEvent, 0, copyChunk)
+	buf := make([]wasabiridge.TimelineEvent, 0, chunkSize)
 	var cursor uint64
 	for {
-		// Events overwritten between two chunks belong to the oldest ones, so
-		// they count as dropped for this query.
+		// Events overwritten between two chunks have not been read yet, so they
+		// count as dropped for this query. Those overwritten before the first
+		// chunk are counted by droppedFor.
 		var lost uint64
 		first := cursor == 0
 		if buf, cursor, lost = l.read(cursor, buf); !first {
@@ -212,6 +219,7 @@
 	return page
 }
 
+// droppedFor returns how many overwritten events a query might have selected.
 func (l *Log) droppedFor(q wasabiridge.TimelineQuery) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -221,6 +229,8 @@
 	return l.droppedLocked()
 }
 
+// newest returns the last limit events, or all of them if limit is not
+// positive.
 func newest(events []wasabiridge.TimelineEvent, limit int) []wasabiridge.TimelineEvent {
 	if limit > 0 && len(events) > limit {
 		return events[len(events)-limit:]
@@ -228,8 +238,8 @@
 	return events
 }
 
-// Matches reports whether a query selects an event. Since and Until are both
-// inclusive.
+// Matches reports whether a query selects an event. Empty fields of the query
+// match every event; Since and Until are inclusive.
 func Matches(q wasabiridge.TimelineQuery, e wasabiridge.TimelineEvent) bool {
 	switch {
 	case q.Request != "" && e.Request != q.Request,
--- a/internal/wasabitimeline/timeline_test.go
+++ b/internal/wasabitimeline/timeline_test.go
@@ -31,7 +31,7 @@
 	l.Record(wasabiridge.TimelineEvent{Kind: kind, Request: request, Account: "liftwell", Backend: "engine-1"})
 }
 
-// fakePeers answers queries from logs in the same process.
+// fakePeers serves queries from logs in the same process.
 type fakePeers struct {
 	wasabiridge.PeerClient
 	logs map[string]*wasabitimeline.Log
@@ -46,10 +46,10 @@
 }
 
 var _ = Describe("Log", func() {
-	// A user asks why an answer was late and reads that the second router
-	// resumed the stream before the first one lost it. The two routers' clocks
-	// are apart, and the event that followed was stamped by the slower one.
-	It("keeps an effect after its cause when the clocks disagree", func() {
+	// The clocks of two routers differ. One loses a stream, the other resumes
+	// it, and the clock of the second is behind. Ordered by physical clocks, the
+	// time line would show the resumption before the loss that caused it.
+	It("orders an effect after its cause when the clocks differ", func() {
 		skews := []wasabiridge.Millis{-5 * wasabiridge.Minute, -1, 0, 1, 5 * wasabiridge.Minute}
 		for _, skew := range skews {
 			a, _ := newLog("a", noon, 8)
@@ -70,9 +70,10 @@
 		}
 	})
 
-	// One instance comes up with a clock in the year 2060. Without a bound all
-	// others would follow it, and "the last five minutes" would be empty.
-	It("does not follow a clock that is wrong by more than the bound", func() {
+	// One instance starts with a clock in the year 2060. Without a bound the
+	// hybrid time of all other instances would follow, and a query for the last
+	// five minutes would find nothing.
+	It("ignores a remote time that is ahead by more than MaxSkew", func() {
 		a, _ := newLog("a", noon, 8)
 		a.Observe(noon + wasabitimeline.DefaultMaxSkew + 1)
 		record(a, "r", wasabiridge.EventArrived)
@@ -80,9 +81,10 @@
 		Expect(a.RefusedSkews()).To(Equal(uint64(1)))
 	})
 
-	// Under load the ring laps. The reader must be told that the start of the
-	// story is gone, and not be alarmed when only older events are gone.
-	It("drops the oldest and says so to queries that reach back that far", func() {
+	// Under load the ring overwrites its oldest events. A page must report this
+	// when the query might have selected such events, and must not when all of
+	// them are older than the query.
+	It("reports overwritten events to queries that reach back that far", func() {
 		l, clock := newLog("a", noon, 4)
 		for i := range 6 {
 			record(l, wasabiridge.RequestID(fmt.Sprint(i)), wasabiridge.EventArrived)
@@ -96,7 +98,7 @@
 		Expect(l.Page(wasabiridge.TimelineQuery{Since: noon + wasabiridge.Second}).Dropped).To(Equal(uint64(2)))
 	})
 
-	It("selects what the query names", func() {
+	It("selects the events that match the query", func() {
 		l, clock := newLog("a", noon, 1000)
 		for i := range 900 {
 			record(l, wasabiridge.RequestID(fmt.Sprint(i%3)), wasabiridge.EventSent)
@@ -119,7 +121,7 @@
 		}
 	})
 
-	It("loses nothing among concurrent writers and readers but what it counts", func() {
+	It("counts every event that is lost between concurrent writers and readers", func() {
 		l, _ := newLog("a", noon, 1<<10)
 		var group sync.WaitGroup
 		for range 8 {
@@ -143,9 +145,10 @@
 })
 
 var _ = Describe("Collector", func() {
-	// An operator asks for a request while one of three instances is dead.
-	// The story of the other two must come, with the dead one named.
-	It("merges what answers and names what does not", func() {
+	// An operator queries a request while one of three instances is down. The
+	// report must have the events of the other two and list the one that is
+	// down as not reached.
+	It("merges the pages of reachable instances and lists the unreachable ones", func() {
 		a, _ := newLog("a", noon, 8)
 		b, _ := newLog("b", noon-1, 8)
 		record(a, "r", wasabiridge.EventArrived)
@@ -168,9 +171,9 @@
 		Expect(report.Unreached[0].Cause).To(ContainSubstring("does not answer"))
 	})
 
-	// A router without a peer listener knows of others and cannot ask them. A
-	// story that silently lacks their part would be taken for the whole.
-	It("names the others when it cannot ask anybody", func() {
+	// A router without a peer client has other members and cannot query them. A
+	// report without their events, and without a remark, would look complete.
+	It("lists all other members as not reached when there is no peer client", func() {
 		a, _ := newLog("a", noon, 8)
 		collector := wasabitimeline.Collector{Own: a, Members: func() []wasabiridge.Member {
 			return []wasabiridge.Member{{InstanceEntry: wasabiridge.InstanceEntry{ID: "b"}}}
@@ -182,9 +185,9 @@
 })
 
 var _ = Describe("Follow", func() {
-	// An instance is told to stop while a subscriber hangs: the last messages
-	// stay without an acknowledgement, and the process must end all the same.
-	It("publishes events in order and ends although a subscriber hangs", func(ctx SpecContext) {
+	// An instance is shut down while a subscriber has stopped reading. The last
+	// messages are never acknowledged, and Follow must return all the same.
+	It("publishes events in order and returns although a subscriber hangs", func(ctx SpecContext) {
 		l, _ := newLog("a", noon, 2048)
 		pubSub := wasabitimeline.NewPubSub()
 		defer pubSub.Close()
@@ -194,8 +197,8 @@
 		done := make(chan error, 1)
 		go func() { done <- l.Follow(running, pubSub) }()
 		var got []wasabiridge.TimelineEvent
-		// The follower starts at the end of the ring, so events are recorded
-		// until the first one comes through.
+		// Follow starts at the end of the ring, at a time that the test does not
+		// know, so events are recorded until enough of them are received.
 		Eventually(func() int {
 			record(l, "r", wasabiridge.EventSent)
 			select {
@@ -218,7 +221,7 @@
 })
 
 var _ = Describe("WriteStory", func() {
-	It("tells a whole request in aligned lines", func() {
+	It("prints the events of a request in aligned lines", func() {
 		l, clock := newLog("pos-1", noon, 64)
 		steps := []wasabiridge.TimelineEvent{
 			{Kind: wasabiridge.EventArrived},
--- a/internal/wasabitimeline/whole_test.go
+++ b/internal/wasabitimeline/whole_test.go
@@ -13,24 +13,25 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabitimeline"
 )
 
-// breakingRunner breaks the first attempt after three tokens, when the caller
-// has begun to read them, and completes the next one.
+// breakingRunner breaks the first attempt after three tokens, once the caller has
+// received the first byte, and completes the next attempt.
 type breakingRunner struct {
 	instantRunner
 	broken  bool
 	reading chan struct{}
 }
 
-// reader is a caller's connection that says when the first byte arrived.
-type reader struct {
+// callerWriter is the connection of a caller. It closes reading when the first
+// byte is written.
+type callerWriter struct {
 	*httptest.ResponseRecorder
-	begin   sync.Once
+	once    sync.Once
 	reading chan struct{}
 }
 
-func (r *reader) Write(data []byte) (int, error) {
-	r.begin.Do(func() { close(r.reading) })
-	return r.ResponseRecorder.Write(data)
+func (w *callerWriter) Write(data []byte) (int, error) {
+	w.once.Do(func() { close(w.reading) })
+	return w.ResponseRecorder.Write(data)
 }
 
 func (r *breakingRunner) Run(ctx context.Context, a wasabiridge.Attempt, sink wasabiridge.AttemptSink) wasabiridge.AttemptEnded {
@@ -53,17 +54,19 @@
 	return end
 }
 
-var _ = Describe("The story of a request", func() {
-	// A technician gets a whole answer although the first engine broke off
-	// after three tokens. Asked afterwards why it took long, an operator reads
-	// the break, the resumption elsewhere, and the end, in this order.
-	It("tells arrival, rule, place, attempt, first token, break, resume and end", func() {
+var _ = Describe("The time line of a request", func() {
+	// The first engine breaks off the stream after three tokens, and the caller
+	// still receives a complete response. The time line must show the break, the
+	// resumption at another engine and the end, in this order, so that an
+	// operator can see why the request took long.
+	It("has arrival, rule, placement, attempt, first token, break, resumption and end", func() {
 		l := systemLog(64)
-		caller := &reader{ResponseRecorder: httptest.NewRecorder(), reading: make(chan struct{})}
+		caller := &callerWriter{ResponseRecorder: httptest.NewRecorder(), reading: make(chan struct{})}
 		r := newRouter(l, &breakingRunner{reading: caller.reading})
-		r.askWith(GinkgoTB(), caller, caller.ResponseRecorder)
+		r.requestTo(GinkgoTB(), caller, caller.ResponseRecorder)
 		defer r.loop.Close()
-		// The caller may have its answer before the decisions are told.
+		// The caller may receive its response before the last events are
+		// recorded.
 		var events []wasabiridge.TimelineEvent
 		Eventually(func() wasabiridge.TimelineKind {
 			events = l.Page(wasabiridge.TimelineQuery{Account: "liftwell"}).Events
