--- a/internal/wasabimetrics/definition.go
+++ b/internal/wasabimetrics/definition.go
@@ -2,24 +2,26 @@
 
 import "github.com/wasabiridge/wasabiridge"
 
-// Name names a metric. Parts are separated by dots, and the last part of a
-// name carries no unit: Definition.Unit does.
+// Name is the name of a metric, with its parts separated by dots. It does not
+// contain the unit, which is in Definition.Unit.
 type Name string
 
-// Kind tells how a metric behaves.
+// Kind is the kind of a metric.
 type Kind string
 
 // Kinds of metrics.
 const (
-	// KindCounter only rises while the process lives.
+	// KindCounter only increases, and starts at zero with the process.
 	KindCounter Kind = "counter"
 	// KindGauge is a current value.
 	KindGauge Kind = "gauge"
-	// KindHistogram is a sample of values of the last minutes.
+	// KindHistogram is a sample of the values of the last minutes, with
+	// percentiles.
 	KindHistogram Kind = "histogram"
 )
 
-// Names of metrics that parts set by themselves.
+// Names of all metrics except the event counters, whose names are made by
+// eventCounter.
 const (
 	RequestsOpen    Name = "requests.open"
 	FirstToken      Name = "requests.first_token"
@@ -42,16 +44,18 @@
 	ProcessHeap     Name = "process.heap"
 )
 
-// Definition documents one metric.
+// Definition describes one metric.
 type Definition struct {
 	Name Name
 	Kind Kind
-	// Unit is what one step of the value means.
+	// Unit is the unit of the value, such as "ms" or "requests".
 	Unit string
+	// Help is the description in docs/METRICS.md.
 	Help string
 }
 
-// eventKinds are the time line kinds that are counted, with their meaning.
+// eventKinds lists the kinds of time line events that are counted, with the help
+// texts of their counters.
 var eventKinds = []struct {
 	kind wasabiridge.TimelineKind
 	help string
@@ -81,12 +85,14 @@
 	{wasabiridge.EventLifecycle, "Starts, drains and ends of this process."},
 }
 
+// eventCounter returns the name of the counter of a kind of events.
 func eventCounter(k wasabiridge.TimelineKind) Name { return Name("events." + string(k)) }
 
 // RequestsArrived counts requests that passed authentication.
 var RequestsArrived = eventCounter(wasabiridge.EventArrived)
 
-// Definitions returns all metrics in the order in which they are documented.
+// Definitions returns the definitions of all metrics, in the order of
+// docs/METRICS.md.
 func Definitions() []Definition {
 	defined := []Definition{
 		{RequestsOpen, KindGauge, "requests", "Requests that are being served now."},
--- a/internal/wasabimetrics/metrics.go
+++ b/internal/wasabimetrics/metrics.go
@@ -1,9 +1,8 @@
 // Package wasabimetrics holds the metrics of one instance.
 //
-// Every metric is defined in the table Definitions with its kind, unit and
-// meaning, and docs/METRICS.md lists the same table; a test compares both. A
-// name that is not defined cannot be used, so that no metric goes without
-// documentation.
+// Definitions lists every metric with its kind, unit and meaning. The page
+// docs/METRICS.md is generated from it, and a test compares both. Names that are
+// not defined cannot be registered, so that no metric is undocumented.
 //
 // # Usage
 //
@@ -28,22 +27,23 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabitimeline"
 )
 
-// Sample sizes of histograms: a reservoir of the last minutes.
+// Size and decay factor of the exponentially decaying reservoirs of histograms.
+// The factor weights the sample towards the last minutes.
 const (
 	reservoirSize  = 1028
 	reservoirAlpha = 0.015
-	// heapMetric is the runtime's name of the heap in use.
+	// heapMetric is the name of the heap in use in package runtime/metrics.
 	heapMetric = "/memory/classes/heap/objects:bytes"
 )
 
-// Set is the registry of one instance. It is safe for concurrent use.
+// Set is the metrics registry of one instance. It is safe for concurrent use.
 type Set struct {
 	registry metrics.Registry
 	counters map[Name]metrics.Counter
 	samples  map[Name]metrics.Histogram
 }
 
-// New returns a set in which counters and histograms stand at zero.
+// New returns a set with all counters and histograms at zero and without gauges.
 func New() *Set {
 	s := &Set{
 		registry: metrics.NewRegistry(),
@@ -65,13 +65,14 @@
 		sample := metrics.NewExpDecaySample(reservoirSize, reservoirAlpha)
 		s.samples[d.Name] = metrics.NewRegisteredHistogram(name, s.registry, sample)
 	case KindGauge:
-		// A gauge appears when GaugeFunc sets it. One that no part of this
-		// instance sets is left out, because a zero would be taken for a
-		// measured value.
+		// GaugeFunc registers a gauge. A gauge that no component of the
+		// instance registers is left out of the output, because a zero would
+		// be taken for a measured value.
 	}
 }
 
-// Counter returns a defined counter. A name that is not one counts nowhere.
+// Counter returns a counter. If n is not a defined counter, it returns one that
+// discards all updates.
 func (s *Set) Counter(n Name) metrics.Counter {
 	if c, found := s.counters[n]; found {
 		return c
@@ -79,7 +80,8 @@
 	return metrics.NilCounter{}
 }
 
-// Histogram returns a defined histogram. A name that is not one goes nowhere.
+// Histogram returns a histogram. If n is not a defined histogram, it returns one
+// that discards all updates.
 func (s *Set) Histogram(n Name) metrics.Histogram {
 	if h, found := s.samples[n]; found {
 		return h
@@ -87,12 +89,12 @@
 	return metrics.NilHistogram{}
 }
 
-// GaugeFunc sets the function that is asked for a defined gauge, once. It
-// reports ErrNotFound for a name that is no gauge and ErrConflict for one that
-// is set already.
+// GaugeFunc registers the function that returns the current value of a gauge. It
+// reports ErrNotFound if n is not a defined gauge, and ErrConflict if n is
+// registered already.
 func (s *Set) GaugeFunc(n Name, f func() int64) error {
 	if !isGauge(n) {
-		return wasabiridge.ErrNotFound.New("metrics: %s is no gauge", n)
+		return wasabiridge.ErrNotFound.New("metrics: %s is not a defined gauge", n)
 	}
 	if err := s.registry.Register(string(n), metrics.NewFunctionalGauge(f)); err != nil {
 		return wasabiridge.ErrConflict.Wrap(err, "metrics: register %s", n)
@@ -109,10 +111,11 @@
 	return false
 }
 
-// Gauges are functions that are asked for gauges.
+// Gauges maps gauges to the functions that return their current values.
 type Gauges map[Name]func() int64
 
-// Set gives each gauge its function. It reports the first failure.
+// Set registers gauges with GaugeFunc, in the order of Definitions, and returns
+// the first error. Names without a definition are ignored.
 func (s *Set) Set(gauges Gauges) error {
 	for _, d := range Definitions() {
 		f, found := gauges[d.Name]
@@ -126,7 +129,7 @@
 	return nil
 }
 
-// TimelineGauges returns the gauges of a time line.
+// TimelineGauges returns the gauges of a time line log.
 func TimelineGauges(l *wasabitimeline.Log) Gauges {
 	return Gauges{
 		TimelineEvents:  func() int64 { recorded, _ := l.Recorded(); return int64(recorded) },
@@ -135,7 +138,7 @@
 	}
 }
 
-// OutcomeGauges returns the gauges of a recorder of outcomes.
+// OutcomeGauges returns the gauges of an outcome recorder.
 func OutcomeGauges(r *wasabioutcome.Recorder) Gauges {
 	return Gauges{
 		OutcomeSeries:   func() int64 { return int64(r.Stats().Series) },
@@ -147,7 +150,7 @@
 	}
 }
 
-// ProcessGauges returns the gauges of the process itself.
+// ProcessGauges returns the gauges of the Go runtime of this process.
 func ProcessGauges() Gauges {
 	return Gauges{
 		ProcessRoutines: func() int64 { return int64(runtime.NumGoroutine()) },
@@ -159,7 +162,8 @@
 	}
 }
 
-// WriteMetrics writes all metrics as one JSON object, keyed by name.
+// WriteMetrics writes all registered metrics as one JSON object, keyed by name.
+// Write errors are not reported.
 func (s *Set) WriteMetrics(w io.Writer) error {
 	metrics.WriteJSONOnce(s.registry, w)
 	return nil
@@ -172,8 +176,9 @@
 	return names
 }
 
-// Watch counts the events of a time line that come over a subscription, until
-// the channel closes or ctx ends. It runs in a goroutine of its own.
+// Watch counts the time line events of the messages of a subscription and
+// acknowledges the messages, until the channel is closed or ctx is done. It
+// blocks, so it needs a goroutine of its own.
 func (s *Set) Watch(ctx context.Context, messages <-chan *message.Message) {
 	for {
 		select {
@@ -189,6 +194,8 @@
 	}
 }
 
+// countMessage counts the events of one message, and as unreadable a message that
+// carries no batch of events.
 func (s *Set) countMessage(m *message.Message) {
 	batch, err := wasabitimeline.BatchOf(m)
 	if err != nil {
--- a/internal/wasabimetrics/metrics_test.go
+++ b/internal/wasabimetrics/metrics_test.go
@@ -22,12 +22,15 @@
 func TestMetrics(t *testing.T) { wasabitest.Run(t, "metrics") }
 
 var _ = Describe("Set", func() {
-	It("registers what is defined, and docs/METRICS.md lists it", func() {
+	// Guards against a metric that is not documented or has no unit, and against a
+	// gauge that is exported before a component registers it, which would show a
+	// zero that nothing measured.
+	It("registers all defined metrics, and docs/METRICS.md lists them", func() {
 		var defined []wasabimetrics.Name
 		set := wasabimetrics.New()
 		for _, d := range wasabimetrics.Definitions() {
 			if d.Kind == wasabimetrics.KindGauge {
-				Expect(set.Names()).NotTo(ContainElement(d.Name), "a gauge that nobody set")
+				Expect(set.Names()).NotTo(ContainElement(d.Name), "a gauge that was not registered")
 				Expect(set.GaugeFunc(d.Name, func() int64 { return 1 })).To(Succeed())
 				Expect(set.GaugeFunc(d.Name, func() int64 { return 2 })).NotTo(Succeed())
 			}
@@ -38,10 +41,13 @@
 		Expect(set.Names()).To(ConsistOf(defined))
 		page, err := os.ReadFile("../../docs/METRICS.md")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(string(page)).To(Equal(wasabimetrics.Page()), "write wasabimetrics.Page() to docs/METRICS.md")
+		Expect(string(page)).To(Equal(wasabimetrics.Page()), "docs/METRICS.md is out of date; write wasabimetrics.Page() to it")
 	})
 
-	It("counts the events of the time line and what is missing", func() {
+	// A message without a batch and events that were overwritten before they were
+	// published must be counted, because the event counters lack them. A kind of
+	// event without a counter must be ignored.
+	It("counts time line events, lost events and unreadable messages", func() {
 		set := wasabimetrics.New()
 		events := []wasabiridge.TimelineEvent{{Kind: wasabiridge.EventArrived}, {Kind: wasabiridge.EventFirstToken, Value: 212}, {Kind: "unheard_of"}}
 		good := wasabitimeline.NewMessage(wasabitimeline.Batch{Events: events, Lost: 3})
@@ -56,7 +62,7 @@
 		Expect(set.Histogram(wasabimetrics.FirstToken).Max()).To(Equal(int64(212)))
 	})
 
-	It("asks functions for gauges and writes JSON", func() {
+	It("writes gauges as JSON and rejects names that are not defined gauges", func() {
 		set := wasabimetrics.New()
 		Expect(set.GaugeFunc(wasabimetrics.RequestsOpen, func() int64 { return 42 })).To(Succeed())
 		Expect(set.GaugeFunc("unheard.of", func() int64 { return 1 })).NotTo(Succeed())
@@ -66,10 +72,10 @@
 		var values map[string]map[string]any
 		Expect(json.Unmarshal(out.Bytes(), &values)).To(Succeed())
 		Expect(values["requests.open"]["value"]).To(BeNumerically("==", 42))
-		Expect(values).NotTo(HaveKey("members.known"), "nobody set it")
+		Expect(values).NotTo(HaveKey("members.known"), "gauge was not registered")
 	})
 
-	It("asks time line, outcomes and process for their gauges", func() {
+	It("registers the gauges of time line, outcomes and process once", func() {
 		clock := wasabiclock.NewVirtual(1)
 		log := wasabitimeline.New(wasabitimeline.Options{Clock: clock, Capacity: 2})
 		for range 3 {
--- a/internal/wasabimetrics/page.go
+++ b/internal/wasabimetrics/page.go
@@ -5,6 +5,7 @@
 	"strings"
 )
 
+// pageHead is the text above the table of docs/METRICS.md.
 const pageHead = `# Metrics
 
 ` + "`GET /metrics`" + ` on the operators' listener answers one JSON object keyed by the
@@ -18,7 +19,7 @@
 | --- | --- | --- | --- |
 `
 
-// Page returns docs/METRICS.md as it has to be.
+// Page returns the required content of docs/METRICS.md.
 func Page() string {
 	var b strings.Builder
 	b.WriteString(pageHead)
