--- a/internal/wasabicommand/capacity.go
+++ b/internal/wasabicommand/capacity.go
@@ -10,14 +10,14 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabicapacity"
 )
 
-// pageMode is the mode of a written page.
+// pageMode is the file mode of written pages and reports.
 const pageMode = 0o644
 
 func (a *app) capacityCommand() *cobra.Command {
 	var directory, out string
 	c := &cobra.Command{
 		Use:   "capacity",
-		Short: "Work out the cost at the target's size from measured slopes",
+		Short: "Compute the cost at the target size from measured slopes",
 		Example: `  wasabictl capacity --dir docs/capacity
   wasabictl capacity --dir docs/capacity --out docs/CAPACITY.md`,
 		Args: cobra.NoArgs,
@@ -35,7 +35,7 @@
 				return nil
 			}
 			if err := os.WriteFile(out, []byte(page), pageMode); err != nil {
-				return wasabiridge.ErrInvalid.Wrap(err, "page")
+				return wasabiridge.ErrInvalid.Wrap(err, "write the page")
 			}
 			return nil
 		},
--- a/internal/wasabicommand/command.go
+++ b/internal/wasabicommand/command.go
@@ -1,8 +1,9 @@
-// Package wasabicommand is the operators' command line.
+// Package wasabicommand implements wasabictl, the command line of operators.
 //
-// Every command prints a table for people, or JSON for programs with --json.
-// Answers go to the standard output and everything else to the standard error,
-// so that output can be piped. The exit code tells what happened; see Exit.
+// Every command prints text, or JSON with --json. Results go to the standard
+// output and everything else, such as warnings and errors, to the standard
+// error, so that the output can be piped. The exit code is one of the values of
+// Exit.
 //
 // # Usage
 //
@@ -31,37 +32,39 @@
 // Exit codes.
 const (
 	ExitOK Exit = 0
-	// ExitFailed is any failure without a code of its own.
+	// ExitFailed means any failure without a specific exit code.
 	ExitFailed Exit = 1
 	// ExitInvalid means that the command line, a file or a configuration is
-	// wrong. Nothing changed.
+	// invalid. Nothing was changed.
 	ExitInvalid Exit = 2
-	// ExitNoRouter means that no router answers. Nothing changed.
+	// ExitNoRouter means that no router responds. Nothing was changed.
 	ExitNoRouter Exit = 3
-	// ExitUnauthorized means that the key is missing or not known.
+	// ExitUnauthorized means that the key is missing or unknown.
 	ExitUnauthorized Exit = 4
-	// ExitConflict means that another operator was faster. Nothing changed.
+	// ExitConflict means that another operator has changed the configuration
+	// since the version that was edited. Nothing was changed.
 	ExitConflict Exit = 5
-	// ExitUnknown means that a change was sent and its answer is lost. Look
-	// before sending it again.
+	// ExitUnknown means that a change was sent and its response was lost. Check
+	// the current state before sending the change again.
 	ExitUnknown Exit = 6
-	// ExitNotFound means that the thing named does not exist.
+	// ExitNotFound means that a named object, such as a version or a rollout,
+	// does not exist.
 	ExitNotFound Exit = 7
 	// ExitUnavailable means that the router cannot reach what it needs, such
-	// as the platform's store. Nothing changed.
+	// as the platform's store. Nothing was changed.
 	ExitUnavailable Exit = 8
-	// ExitNotReached means that what was waited or checked for is not so: a
-	// configuration is not in force everywhere, or a target is not met.
+	// ExitNotReached means that a wait or check did not succeed: a configuration
+	// is not in force everywhere in time, or a target is not met.
 	ExitNotReached Exit = 9
 )
 
-// ErrNotReached says that what was waited or checked for is not so.
+// ErrNotReached is the error of a wait or check that did not succeed.
 var ErrNotReached = wasabiridge.Errors.NewType("not_reached")
 
-// exits ties error types to exit codes.
-var exits = []struct {
-	is   *errorx.Type
-	code Exit
+// exitCodes maps error types to exit codes. The first match applies.
+var exitCodes = []struct {
+	errorType *errorx.Type
+	code      Exit
 }{
 	{wasabiridge.ErrInvalid, ExitInvalid},
 	{wasabiclient.ErrNoRouter, ExitNoRouter},
@@ -73,24 +76,28 @@
 	{ErrNotReached, ExitNotReached},
 }
 
-// Streams connect a command to its surroundings.
+// Streams are the standard streams and the environment of a command. All fields
+// must be set.
 type Streams struct {
 	In  io.Reader
 	Out io.Writer
 	Err io.Writer
-	// Env reads a variable of the environment.
+	// Env returns the value of an environment variable, empty if it is not set.
 	Env func(name string) string
 }
 
-// app is what all commands share.
+// app holds the streams and the global flags that all commands share.
 type app struct {
 	Streams
 	flags settings
 	json  bool
-	wait  time.Duration
+	// timeout bounds one call to a router. Zero means the default of
+	// wasabiclient.
+	timeout time.Duration
 }
 
-// Run carries out a command line and returns the exit code.
+// Run executes a command line, without the name of the program, and returns the
+// exit code. It prints an error to s.Err.
 func Run(ctx context.Context, args []string, s Streams) Exit {
 	root := New(s)
 	root.SetArgs(args)
@@ -102,19 +109,22 @@
 	return exitOf(err)
 }
 
+// exitOf returns the exit code for an error.
 func exitOf(err error) Exit {
-	for _, e := range exits {
-		if errorx.IsOfType(err, e.is) {
+	for _, e := range exitCodes {
+		if errorx.IsOfType(err, e.errorType) {
 			return e.code
 		}
 	}
 	if errorx.Cast(err) == nil {
-		// The command line library reports wrong arguments as plain errors.
+		// cobra reports invalid arguments as plain errors.
 		return ExitInvalid
 	}
 	return ExitFailed
 }
 
+// messageOf returns the messages of an error and its causes, without the names
+// of their errorx types.
 func messageOf(err error) string {
 	typed := errorx.Cast(err)
 	if typed == nil || typed.Message() == "" {
@@ -128,13 +138,13 @@
 
 const rootHelp = `wasabictl drives the routers of wasabiridge.
 
-Where the routers are and which key to use comes from flags, then from the
+The addresses of the routers and the key are taken from flags, then from the
 environment (WASABICTL_ADDRESS, WASABICTL_KEY, WASABICTL_OPERATOR,
 WASABICTL_CA_FILE), then from a settings file (WASABICTL_SETTINGS, or
-wasabictl.json in the user's directory for settings):
+wasabictl.json in the user's configuration directory):
 
   {
-    // Any router will do; the first that answers is used.
+    // Any routers; the first one that responds is used.
     "addresses": ["127.0.0.1:9100", "127.0.0.2:9100"],
     "key_file": "/home/ann/.wasabi-key",
     "operator": "ann"
@@ -142,7 +152,8 @@
 
 Exit codes: 0 done, 1 failed, 2 wrong input, 3 no router answers, 4 key not
 known, 5 another operator was faster, 6 sent but the answer is lost, 7 not
-found, 8 the router cannot reach its platform, 9 waited or checked in vain.`
+found, 8 the router cannot reach its platform, 9 a wait or check did not
+succeed.`
 
 // New returns the root command.
 func New(s Streams) *cobra.Command {
@@ -163,13 +174,13 @@
 	root.SetOut(s.Out)
 	root.SetErr(s.Err)
 	flags := root.PersistentFlags()
-	flags.StringSliceVar(&a.flags.Addresses, "address", nil, "operators' address of a router; may be given more than once")
-	flags.StringVar(&a.flags.Key, "key", "", "operator's key (others on this machine may see it; prefer --key-file)")
-	flags.StringVar(&a.flags.KeyFile, "key-file", "", "file that holds the operator's key")
-	flags.StringVar(&a.flags.Operator, "operator", "", "your name, for the history of configurations")
+	flags.StringSliceVar(&a.flags.Addresses, "address", nil, "operators' address of a router; can be repeated")
+	flags.StringVar(&a.flags.Key, "key", "", "operator's key (other users of this machine can see it; prefer --key-file)")
+	flags.StringVar(&a.flags.KeyFile, "key-file", "", "file with the operator's key")
+	flags.StringVar(&a.flags.Operator, "operator", "", "your name, recorded in the configuration history")
 	flags.StringVar(&a.flags.CAFile, "ca-file", "", "certificates to trust for https addresses")
 	flags.StringVar(&a.flags.path, "settings", "", "settings file")
-	flags.DurationVar(&a.wait, "timeout", 0, "give up after this time (default 2m)")
+	flags.DurationVar(&a.timeout, "timeout", 0, "give up after this time (default 2m)")
 	flags.BoolVar(&a.json, "json", false, "print JSON")
 	root.AddCommand(
 		a.configCommand(), a.rulesCommand(), a.accountsCommand(), a.quotasCommand(), a.backendsCommand(), a.statusCommand(),
@@ -179,7 +190,8 @@
 	return root
 }
 
-// group returns a command that only holds others.
+// group returns a command that only contains other commands. Run without one of
+// them, it prints its help.
 func group(use, short string, commands ...*cobra.Command) *cobra.Command {
 	c := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 		return c.Help()
--- a/internal/wasabicommand/config.go
+++ b/internal/wasabicommand/config.go
@@ -20,16 +20,17 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabirule"
 )
 
-// Limits of the commands on configurations.
+// Limits of the configuration commands.
 const (
 	defaultWait  = 30 * time.Second
-	pollEvery    = 250 * time.Millisecond
+	pollInterval = 250 * time.Millisecond
+	// historyDepth is how many versions are searched for an earlier one.
 	historyDepth = 1000
 )
 
-// baseLine is the first line that "config get" writes, from which "config put"
-// learns what was edited.
-const baseLine = "// wasabictl: edited from version "
+// baseMarker starts the first line that "config get" prints. "config put" reads
+// the version that was edited from this line.
+const baseMarker = "// wasabictl: edited from version "
 
 var basePattern = regexp.MustCompile(`^// wasabictl: edited from version ([0-9]+)\s*$`)
 
@@ -53,15 +54,16 @@
 			if cfg, err = wasabirule.Parse(text); err != nil {
 				return err
 			}
-			fmt.Fprintf(a.Out, "%s is right: %d client accounts, %d pools, %d rules, %d targets.\n",
+			fmt.Fprintf(a.Out, "%s is valid: %d client accounts, %d pools, %d rules, %d targets.\n",
 				args[0], len(cfg.Accounts), len(cfg.Pools), len(cfg.Rules), len(cfg.Targets))
 			return nil
 		},
 	}
 }
 
-// readConfig reads a file, or the standard input for "-". It takes off the
-// line that names the base version.
+// readConfig reads a file, or the standard input for "-". If the first line has
+// the base version, it removes the line and returns the version, otherwise a
+// nil base.
 func (a *app) readConfig(path string) (text []byte, base *wasabiridge.ConfigVersion, err error) {
 	if path == "-" {
 		text, err = io.ReadAll(a.In)
@@ -69,7 +71,7 @@
 		text, err = os.ReadFile(path)
 	}
 	if err != nil {
-		return nil, nil, wasabiridge.ErrInvalid.Wrap(err, "configuration")
+		return nil, nil, wasabiridge.ErrInvalid.Wrap(err, "read configuration")
 	}
 	first, rest, _ := strings.Cut(string(text), "\n")
 	match := basePattern.FindStringSubmatch(first)
@@ -87,7 +89,7 @@
 func (a *app) configGet() *cobra.Command {
 	return &cobra.Command{
 		Use:     "get",
-		Short:   "Print the configuration in force, ready to be edited",
+		Short:   "Print the configuration in force, for editing",
 		Example: "  wasabictl config get > config.json",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -100,7 +102,7 @@
 				return err
 			}
 			return a.show(document, func() error {
-				fmt.Fprintf(a.Out, "%s%d\n%s", baseLine, document.Version, document.Text)
+				fmt.Fprintf(a.Out, "%s%d\n%s", baseMarker, document.Version, document.Text)
 				if !strings.HasSuffix(document.Text, "\n") {
 					fmt.Fprintln(a.Out)
 				}
@@ -112,19 +114,19 @@
 
 func (a *app) configPut() *cobra.Command {
 	var (
-		base int64
-		wait bool
-		most time.Duration
+		base    int64
+		wait    bool
+		maxWait time.Duration
 	)
 	c := &cobra.Command{
 		Use:   "put FILE",
 		Short: "Replace the configuration",
-		Long: `Replace the configuration by a file, which is checked as a whole first.
+		Long: `Replace the configuration by a file, which is checked completely first.
 
-The version that was edited must still be the newest one. It stands in the
-first line of what "config get" printed; --base names it otherwise (0 for the
-first configuration of all). When another operator was faster, nothing changes,
-the other's change is shown, and the exit code is 5.`,
+The version that was edited must still be the newest one. It is in the first
+line of the output of "config get"; otherwise give it with --base (0 for the
+very first configuration). When another operator was faster, nothing changes,
+the change of the other operator is shown, and the exit code is 5.`,
 		Example: `  wasabictl config get > config.json
   wasabictl config put config.json --wait`,
 		Args: cobra.ExactArgs(1),
@@ -138,21 +140,21 @@
 				edited = &version
 			}
 			if edited == nil || base < 0 {
-				return wasabiridge.ErrInvalid.New("which version was edited is not known: start from \"wasabictl config get\" or name it with --base")
+				return wasabiridge.ErrInvalid.New("the version that was edited is unknown: start from \"wasabictl config get\" or give the version with --base")
 			}
 			if _, err = wasabirule.Parse(text); err != nil {
 				return err
 			}
-			return a.put(c.Context(), *edited, text, wait, most)
+			return a.put(c.Context(), *edited, text, wait, maxWait)
 		},
 	}
 	c.Flags().Int64Var(&base, "base", 0, "version that was edited")
 	c.Flags().BoolVar(&wait, "wait", false, "wait until the configuration is in force everywhere")
-	c.Flags().DurationVar(&most, "wait-for", defaultWait, "how long to wait")
+	c.Flags().DurationVar(&maxWait, "wait-for", defaultWait, "how long to wait")
 	return c
 }
 
-func (a *app) put(ctx context.Context, base wasabiridge.ConfigVersion, text []byte, wait bool, most time.Duration) error {
+func (a *app) put(ctx context.Context, base wasabiridge.ConfigVersion, text []byte, wait bool, maxWait time.Duration) error {
 	client, err := a.client()
 	if err != nil {
 		return err
@@ -170,16 +172,17 @@
 	}); err != nil || !wait {
 		return err
 	}
-	return a.waitFor(ctx, client, version, most)
+	return a.waitFor(ctx, client, version, maxWait)
 }
 
-// showConflict tells an operator who lost a race whose change stands now.
-func (a *app) showConflict(ctx context.Context, client *wasabiclient.Client, base wasabiridge.ConfigVersion, lost error) {
-	document, known := wasabiclient.Theirs(lost)
+// showConflict prints the version that another operator has put since the base
+// version, and the differences to the base.
+func (a *app) showConflict(ctx context.Context, client *wasabiclient.Client, base wasabiridge.ConfigVersion, conflict error) {
+	document, known := wasabiclient.Theirs(conflict)
 	if !known {
 		return
 	}
-	a.warn("you edited version %d, and version %d by %s of %s is the newest now.", base, document.Version, document.Author, moment(document.At))
+	a.warn("you edited version %d, but version %d by %s of %s is the newest now.", base, document.Version, document.Author, formatTime(document.At))
 	history, err := client.History(ctx, historyDepth)
 	if err != nil {
 		a.warn("the history cannot be read: %s", messageOf(err))
@@ -188,12 +191,13 @@
 	for _, d := range history.Documents {
 		if d.Version == base {
 			fmt.Fprint(a.Err, difference(d, document))
-			a.warn("take this change over: \"wasabictl config get\" prints the newest version.")
+			a.warn("merge your edit with this change: \"wasabictl config get\" prints the newest version.")
 			return
 		}
 	}
 }
 
+// difference returns a unified diff of two versions.
 func difference(from, to wasabioperator.DocumentBody) string {
 	text, err := difflib.GetUnifiedDiffString(difflib.UnifiedDiff{
 		A: difflib.SplitLines(from.Text), FromFile: fmt.Sprintf("version %d", from.Version),
@@ -232,13 +236,13 @@
 			return a.show(history, func() error {
 				t := newTable("VERSION", "ACCEPTED", "BYTES", "AUTHOR")
 				for _, d := range history.Documents {
-					t.add(d.Version, moment(d.At), len(d.Text), d.Author)
+					t.add(d.Version, formatTime(d.At), len(d.Text), d.Author)
 				}
 				return a.print(t)
 			})
 		},
 	}
-	c.Flags().IntVar(&limit, "limit", 20, "how many to list")
+	c.Flags().IntVar(&limit, "limit", 20, "number of versions to list")
 	c.Flags().IntVar(&show, "show", 0, "print the text of this version")
 	return c
 }
@@ -258,12 +262,12 @@
 func (a *app) configStatus() *cobra.Command {
 	var (
 		wait    bool
-		most    time.Duration
+		maxWait time.Duration
 		version uint64
 	)
 	c := &cobra.Command{
 		Use:   "status",
-		Short: "Show where which configuration is in force",
+		Short: "Show which configuration is in force at each instance",
 		Example: `  wasabictl config status
   wasabictl config status --wait --version 8`,
 		Args: cobra.NoArgs,
@@ -273,7 +277,7 @@
 				return err
 			}
 			if wait {
-				return a.waitFor(c.Context(), client, wasabiridge.ConfigVersion(version), most)
+				return a.waitFor(c.Context(), client, wasabiridge.ConfigVersion(version), maxWait)
 			}
 			status, err := client.ConfigStatus(c.Context())
 			if err != nil {
@@ -283,8 +287,8 @@
 		},
 	}
 	c.Flags().BoolVar(&wait, "wait", false, "wait until a version is in force everywhere")
-	c.Flags().Uint64Var(&version, "version", 0, "version to wait for (default: the one that the router has)")
-	c.Flags().DurationVar(&most, "wait-for", defaultWait, "how long to wait")
+	c.Flags().Uint64Var(&version, "version", 0, "version to wait for (default: the version of the router)")
+	c.Flags().DurationVar(&maxWait, "wait-for", defaultWait, "how long to wait")
 	return c
 }
 
@@ -292,7 +296,7 @@
 	return a.show(status, func() error {
 		t := newTable("INSTANCE", "VERSION", "REACHED")
 		for _, i := range status.Instances {
-			t.add(i.Instance, versionText(i), yes(i.Reached))
+			t.add(i.Instance, versionText(i), yesNo(i.Reached))
 		}
 		return a.print(t)
 	})
@@ -305,21 +309,21 @@
 	return strconv.FormatUint(uint64(i.Version), 10)
 }
 
-// waitFor polls until all instances have the version or a later one. An
-// instance that cannot be reached counts as not having it. The wait ends
-// between polls, not within one: a poll that is cut by the end of a short wait
-// would leave an operator with an empty table.
-func (a *app) waitFor(ctx context.Context, client *wasabiclient.Client, version wasabiridge.ConfigVersion, most time.Duration) error {
-	over := time.NewTimer(most)
-	defer over.Stop()
-	ticker := time.NewTicker(pollEvery)
+// waitFor polls until the version or a later one is in force at all instances,
+// and reports ErrNotReached after maxWait. An instance that cannot be reached
+// counts as not having the version. The wait ends between polls only: if the end
+// of a short wait aborted a poll, the table of instances would be empty.
+func (a *app) waitFor(ctx context.Context, client *wasabiclient.Client, version wasabiridge.ConfigVersion, maxWait time.Duration) error {
+	deadline := time.NewTimer(maxWait)
+	defer deadline.Stop()
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	var last wasabioperator.ConfigStatusBody
 	for {
 		status, err := client.ConfigStatus(ctx)
 		if err == nil {
 			last = status
-			version = firstVersion(version, status.Version)
+			version = versionToAwait(version, status.Version)
 			if inForce(status, version) {
 				return a.showStatus(status)
 			}
@@ -327,23 +331,26 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-over.C:
+		case <-deadline.C:
 			if err := a.showStatus(last); err != nil {
 				return err
 			}
-			return ErrNotReached.New("version %d is not in force everywhere after %s", version, most)
+			return ErrNotReached.New("version %d is not in force everywhere after %s", version, maxWait)
 		case <-ticker.C:
 		}
 	}
 }
 
-func firstVersion(wanted, known wasabiridge.ConfigVersion) wasabiridge.ConfigVersion {
+// versionToAwait returns the wanted version, or the current one if none is wanted.
+func versionToAwait(wanted, current wasabiridge.ConfigVersion) wasabiridge.ConfigVersion {
 	if wanted == 0 {
-		return known
+		return current
 	}
 	return wanted
 }
 
+// inForce reports whether all instances were reached and have the version or a
+// later one.
 func inForce(status wasabioperator.ConfigStatusBody, version wasabiridge.ConfigVersion) bool {
 	for _, i := range status.Instances {
 		if !i.Reached || i.Version < version {
--- a/internal/wasabicommand/look.go
+++ b/internal/wasabicommand/inspect.go
@@ -48,9 +48,9 @@
 		Short: "Show the backend servers as one router sees them",
 		Long: `Show the backend servers as one router sees them.
 
-TRUST is how far the picture of the server's cache is believed, from 0 to 1.
-A dash stands for what the router does not tell.
-INCARNATION changes when an engine comes back with an empty cache.`,
+TRUST is the router's confidence in its estimate of the server's cache, from 0
+to 1. A dash means that the router does not report the value.
+INCARNATION changes when an engine is restarted with an empty cache.`,
 		Example: "  wasabictl backends\n  wasabictl backends --address 127.0.0.2:9100 --json",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -66,7 +66,7 @@
 				t := newTable("BACKEND", "POOL", "ZONE", "STATE", "RUNNING", "WAITING", "LIMIT", "TRUST", "INCARNATION", "WEIGHTS")
 				for _, b := range body.Backends {
 					t.add(b.Backend, b.Pool, b.Zone, backendState(b), b.Running, b.Waiting,
-						toldOr("%d", b.Limit, b.Limit > 0), toldOr("%.2f", b.Trust, b.Trust > 0), b.Incarnation, b.Weights)
+						valueOrDash("%d", b.Limit, b.Limit > 0), valueOrDash("%.2f", b.Trust, b.Trust > 0), b.Incarnation, b.Weights)
 				}
 				return a.print(t)
 			})
@@ -74,13 +74,14 @@
 	}
 }
 
-// toldOr formats a figure, or a dash for one that the router did not tell: a
-// zero would look like a server that may get nothing or is not believed.
-func toldOr(format string, figure any, told bool) string {
-	if !told {
+// valueOrDash formats a value, or returns a dash if the router did not report
+// it. A zero would look like a server that may get no requests, or whose cache
+// estimate is worthless.
+func valueOrDash(format string, value any, reported bool) string {
+	if !reported {
 		return "-"
 	}
-	return fmt.Sprintf(format, figure)
+	return fmt.Sprintf(format, value)
 }
 
 func backendState(b wasabiridge.BackendStatus) string {
@@ -97,7 +98,7 @@
 func (a *app) statusCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "status",
-		Short:   "Show a router and the instances that it knows",
+		Short:   "Show a router and its membership view",
 		Example: "  wasabictl status",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -115,7 +116,7 @@
 }
 
 func (a *app) showInstance(s wasabiridge.InstanceStatus) error {
-	store := dash(s.Store)
+	store := orDash(s.Store)
 	if s.Store == wasabiridge.StoreUnreachable {
 		store += "; requests are served without it"
 	}
@@ -124,7 +125,7 @@
 	t.add("configuration", s.Config)
 	t.add("running for", age(s.Started, wasabiclock.System().Now()))
 	t.add("open requests", s.OpenRequests)
-	t.add("leaving", yes(s.Leaving))
+	t.add("leaving", yesNo(s.Leaving))
 	t.add("platform's store", store)
 	if err := a.print(t); err != nil || len(s.Members) == 0 {
 		return err
@@ -132,7 +133,7 @@
 	fmt.Fprintln(a.Out)
 	members := newTable("KNOWN INSTANCE", "ZONE", "STATE", "CONFIGURATION")
 	for _, m := range s.Members {
-		members.add(m.Instance, dash(string(m.Zone)), memberState(m), m.Config)
+		members.add(m.Instance, orDash(string(m.Zone)), memberState(m), m.Config)
 	}
 	return a.print(members)
 }
@@ -151,15 +152,16 @@
 func (a *app) drainCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "drain",
-		Short: "Make one router finish what it has and leave",
-		Long: `Make one router finish what it has and leave.
+		Short: "Drain one router: it completes its requests and leaves",
+		Long: `Drain one router: it completes its requests and leaves.
 
-Name exactly one router with --address: the first one that answers is drained.`,
+Give exactly one router with --address. Of several, the first one that responds
+would be drained.`,
 		Example: "  wasabictl drain --address 127.0.0.2:9100",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if len(a.flags.Addresses) != 1 {
-				return wasabiridge.ErrInvalid.New("name exactly one router with --address, so that no other one is drained by mistake")
+				return wasabiridge.ErrInvalid.New("give exactly one router with --address, so that no other one is drained by mistake; got %d", len(a.flags.Addresses))
 			}
 			client, err := a.client()
 			if err != nil {
@@ -191,7 +193,7 @@
 			}
 			var pretty bytes.Buffer
 			if err := json.Indent(&pretty, data, "", "  "); err != nil {
-				return wasabiridge.ErrInvalid.Wrap(err, "metrics")
+				return wasabiridge.ErrInvalid.Wrap(err, "metrics of the router are not valid JSON")
 			}
 			fmt.Fprintln(a.Out, strings.TrimSpace(pretty.String()))
 			return nil
--- a/internal/wasabicommand/key.go
+++ b/internal/wasabicommand/key.go
@@ -13,28 +13,28 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabioperator"
 )
 
-// keyBytes is how much randomness a new key holds.
+// keyBytes is the number of random bytes in a new key.
 const keyBytes = 32
 
 func (a *app) keyCommand() *cobra.Command {
-	return group("key", "Make keys and their hashes", a.keyNew(), a.keyHash())
+	return group("key", "Generate keys and hash them", a.keyNew(), a.keyHash())
 }
 
 func (a *app) keyNew() *cobra.Command {
 	return &cobra.Command{
 		Use:   "new",
-		Short: "Make a key: the key on the standard output, its hash on the standard error",
-		Long: `Make a key for a client account or an operator.
+		Short: "Generate a key: the key on the standard output, its hash on the standard error",
+		Long: `Generate a key for a client account or an operator.
 
 The key goes to the standard output, its hash to the standard error. Put the
 hash into "key_hashes" or "operator_key_hashes" of the configuration and give
-the key to its user; nothing of the system keeps it.`,
+the key to its user; no part of the system stores it.`,
 		Example: "  wasabictl key new > ~/.wasabi-key",
 		Args:    cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			raw := make([]byte, keyBytes)
 			if _, err := rand.Read(raw); err != nil {
-				return wasabiridge.ErrUnavailable.Wrap(err, "key")
+				return wasabiridge.ErrUnavailable.Wrap(err, "generate key")
 			}
 			key := base64.RawURLEncoding.EncodeToString(raw)
 			fmt.Fprintln(a.Out, key)
@@ -53,7 +53,7 @@
 		RunE: func(*cobra.Command, []string) error {
 			data, err := io.ReadAll(a.In)
 			if err != nil {
-				return wasabiridge.ErrInvalid.Wrap(err, "key")
+				return wasabiridge.ErrInvalid.Wrap(err, "read key from the standard input")
 			}
 			key := strings.TrimSpace(string(data))
 			if key == "" {
--- a/internal/wasabicommand/outcomes.go
+++ b/internal/wasabicommand/outcomes.go
@@ -23,8 +23,9 @@
 		Short: "Show a quarter's outcomes against its targets",
 		Long: `Show a quarter's outcomes against its targets.
 
-The figures come from what all instances wrote into the platform's object store
-and are up to five minutes old. Coverage says what is missing.`,
+The figures are computed from the outcomes that all instances have written to
+the platform's object store, and are up to five minutes old. Coverage lists what
+is missing.`,
 		Example: `  wasabictl outcomes
   wasabictl outcomes --quarter 2026Q4 --account liftwell --json
   wasabictl outcomes --quarter 2026Q4 --html report.html
@@ -47,13 +48,13 @@
 			if err != nil || !check {
 				return err
 			}
-			return notMet(report)
+			return checkTargets(report)
 		},
 	}
 	c.Flags().StringVar(&quarter, "quarter", "", "quarter such as 2026Q4 (default: the current one)")
 	c.Flags().StringVar(&account, "account", "", "only this client account")
-	c.Flags().StringVar(&html, "html", "", "write a report with plots into this file")
-	c.Flags().BoolVar(&check, "check", false, "end with exit code 9 when a target is not met or has no data")
+	c.Flags().StringVar(&html, "html", "", "write a report with plots to this file")
+	c.Flags().BoolVar(&check, "check", false, "exit with code 9 when a target is not met or has no data")
 	return c
 }
 
@@ -63,13 +64,14 @@
 		return err
 	}
 	if err := os.WriteFile(path, page.Bytes(), pageMode); err != nil {
-		return wasabiridge.ErrInvalid.Wrap(err, "report")
+		return wasabiridge.ErrInvalid.Wrap(err, "write the report")
 	}
 	a.warn("wrote %s", path)
 	return nil
 }
 
-func notMet(report wasabiridge.OutcomeReport) error {
+// checkTargets reports ErrNotReached if a target is not met or has no data.
+func checkTargets(report wasabiridge.OutcomeReport) error {
 	var missed []string
 	for _, t := range report.Targets {
 		if t.Verdict != wasabioutcome.VerdictMet {
@@ -83,10 +85,10 @@
 }
 
 func (a *app) showOutcomes(r wasabiridge.OutcomeReport) error {
-	fmt.Fprintf(a.Out, "Quarter %s, made %s\n\n", r.Quarter, moment(r.Made))
+	fmt.Fprintf(a.Out, "Quarter %s, made %s\n\n", r.Quarter, formatTime(r.Made))
 	targets := newTable("TARGET", "ACCOUNT", "BOUND", "FIGURE", "VERDICT")
 	for _, t := range r.Targets {
-		targets.add(t.Target.Measure, dash(string(t.Target.Account)), wasabireport.BoundText(t.Target), wasabireport.FigureText(t), strings.ReplaceAll(t.Verdict, "_", " "))
+		targets.add(t.Target.Measure, orDash(string(t.Target.Account)), wasabireport.BoundText(t.Target), wasabireport.FigureText(t), strings.ReplaceAll(t.Verdict, "_", " "))
 	}
 	if len(r.Targets) == 0 {
 		targets.add("(the configuration has no targets)")
@@ -111,21 +113,23 @@
 }
 
 func addFigures(t *table, account, rule, model string, f wasabiridge.OutcomeFigures) {
-	t.add(dash(account), dash(rule), dash(model), f.Requests,
-		millisOr(f.TTFTP50Millis, f.TTFTMeasured), millisOr(f.TTFTP95Millis, f.TTFTMeasured), millisOr(f.TTFTP99Millis, f.TTFTMeasured),
-		percentOr(f.HitRate, f.PromptTokens), percentOr(f.Recomputed, f.PromptTokens), percentOr(f.RefusedShare, f.Requests), f.Cut, f.Doubled)
+	t.add(orDash(account), orDash(rule), orDash(model), f.Requests,
+		millisOrDash(f.TTFTP50Millis, f.TTFTMeasured), millisOrDash(f.TTFTP95Millis, f.TTFTMeasured), millisOrDash(f.TTFTP99Millis, f.TTFTMeasured),
+		percentOrDash(f.HitRate, f.PromptTokens), percentOrDash(f.Recomputed, f.PromptTokens), percentOrDash(f.RefusedShare, f.Requests), f.Cut, f.Doubled)
 }
 
-// millisOr and percentOr print a dash for what was not measured.
-func millisOr(value int64, measured uint64) string {
+// millisOrDash formats a duration, or returns a dash if nothing was measured.
+func millisOrDash(value int64, measured uint64) string {
 	if measured == 0 {
 		return "-"
 	}
 	return fmt.Sprintf("%d ms", value)
 }
 
-func percentOr(share float64, of uint64) string {
-	if of == 0 {
+// percentOrDash formats a share as a percentage, or returns a dash if the total
+// that it refers to is zero.
+func percentOrDash(share float64, total uint64) string {
+	if total == 0 {
 		return "-"
 	}
 	return percent(share)
--- a/internal/wasabicommand/print.go
+++ b/internal/wasabicommand/print.go
@@ -10,7 +10,7 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// table prints rows with aligned columns. The first row is the heading.
+// table is printed with aligned columns. The first row is the heading.
 type table struct{ rows [][]string }
 
 func newTable(heading ...string) *table {
@@ -25,15 +25,15 @@
 	t.rows = append(t.rows, row)
 }
 
-// show prints a value as JSON, or else calls people.
-func (a *app) show(value any, people func() error) error {
+// show prints a value as JSON if --json is set, and calls printText otherwise.
+func (a *app) show(value any, printText func() error) error {
 	if !a.json {
-		return people()
+		return printText()
 	}
 	encoder := json.NewEncoder(a.Out)
 	encoder.SetIndent("", "  ")
 	if err := encoder.Encode(value); err != nil {
-		return wasabiridge.ErrUnavailable.Wrap(err, "print")
+		return wasabiridge.ErrUnavailable.Wrap(err, "print JSON")
 	}
 	return nil
 }
@@ -44,23 +44,26 @@
 		fmt.Fprintln(w, strings.Join(row, "\t"))
 	}
 	if err := w.Flush(); err != nil {
-		return wasabiridge.ErrUnavailable.Wrap(err, "print")
+		return wasabiridge.ErrUnavailable.Wrap(err, "print table")
 	}
 	return nil
 }
 
-// warn prints a line for people that is no part of the answer.
+// warn prints a line to the standard error.
 func (a *app) warn(format string, args ...any) {
 	fmt.Fprintf(a.Err, "wasabictl: "+format+"\n", args...)
 }
 
-func moment(at wasabiridge.Millis) string {
+// formatTime formats a point in time in UTC, zero as a dash.
+func formatTime(at wasabiridge.Millis) string {
 	if at == 0 {
 		return "-"
 	}
 	return at.Time().Format("2006-01-02 15:04:05Z")
 }
 
+// age formats the time from from to now. It returns a dash if from is zero or
+// later than now.
 func age(from, now wasabiridge.Millis) string {
 	if from == 0 || now < from {
 		return "-"
@@ -70,14 +73,14 @@
 
 func percent(share float64) string { return fmt.Sprintf("%.2f%%", 100*share) }
 
-func yes(b bool) string {
+func yesNo(b bool) string {
 	if b {
 		return "yes"
 	}
 	return "no"
 }
 
-func dash(text string) string {
+func orDash(text string) string {
 	if text == "" {
 		return "-"
 	}
@@ -89,5 +92,5 @@
 	for i, p := range pools {
 		texts[i] = string(p)
 	}
-	return dash(strings.Join(texts, ","))
+	return orDash(strings.Join(texts, ","))
 }
--- a/internal/wasabicommand/quotas.go
+++ b/internal/wasabicommand/quotas.go
@@ -11,12 +11,13 @@
 func (a *app) quotasCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "quotas",
-		Short: "Show how client accounts stand beside their limits",
-		Long: `Show how client accounts stand beside their limits, as one router sees them.
+		Short: "Show the use of client accounts against their limits",
+		Long: `Show the use of client accounts against their limits, as one router sees them.
 
-LEFT is what may run at once now, below zero for a debt. USED is what each
-instance has let run since its start; a question mark stands behind one that
-does not answer. REFUSED counts the requests that this router refused.
+LEFT is what an account can use at once now; below zero, the account is in debt.
+USED is what each instance has admitted since its start; a question mark marks
+an instance that does not respond. REFUSED counts the requests that this router
+refused.
 Limits are set by the configuration.`,
 		Example: "  wasabictl quotas\n  wasabictl quotas --json",
 		Args:    cobra.NoArgs,
--- a/internal/wasabicommand/rollout.go
+++ b/internal/wasabicommand/rollout.go
@@ -11,11 +11,11 @@
 )
 
 func (a *app) rolloutCommand() *cobra.Command {
-	return group("rollout", "Bring new weights to a pool",
+	return group("rollout", "Roll out new weights to a pool",
 		a.rolloutList(), a.rolloutStart(),
-		a.rolloutSteer("pause", "Stop after the loads that are under way"),
-		a.rolloutSteer("resume", "Go on with a paused rollout"),
-		a.rolloutSteer("rollback", "Go back to the earlier weights, as a new version"))
+		a.rolloutAction("pause", "Pause after the loads that are in flight"),
+		a.rolloutAction("resume", "Resume a paused rollout"),
+		a.rolloutAction("rollback", "Roll back to the earlier weights, as a new version"))
 }
 
 func (a *app) rolloutList() *cobra.Command {
@@ -44,7 +44,7 @@
 		Use: "start", Short: "Start a rollout", Args: cobra.NoArgs,
 		Example: "  wasabictl rollout start --pool answers --model lift-8b --weights 12",
 		RunE: func(c *cobra.Command, _ []string) error {
-			return a.rollout(c.Context(), func(ctx context.Context, s steerer) (wasabiridge.Rollout, error) {
+			return a.rollout(c.Context(), func(ctx context.Context, s rolloutClient) (wasabiridge.Rollout, error) {
 				return s.StartRollout(ctx, wasabiridge.Rollout{
 					Pool: wasabiridge.PoolID(pool), Model: wasabiridge.ModelID(model),
 					Adapter: wasabiridge.AdapterID(adapter), Weights: wasabiridge.WeightsVersion(weights),
@@ -64,25 +64,26 @@
 	return c
 }
 
-func (a *app) rolloutSteer(action, short string) *cobra.Command {
+// rolloutAction returns a command that applies an action to one rollout.
+func (a *app) rolloutAction(action, short string) *cobra.Command {
 	return &cobra.Command{
 		Use: action + " ID", Short: short, Args: cobra.ExactArgs(1),
 		Example: "  wasabictl rollout " + action + " answers-12",
 		RunE: func(c *cobra.Command, args []string) error {
-			return a.rollout(c.Context(), func(ctx context.Context, s steerer) (wasabiridge.Rollout, error) {
+			return a.rollout(c.Context(), func(ctx context.Context, s rolloutClient) (wasabiridge.Rollout, error) {
 				return s.SteerRollout(ctx, args[0], action)
 			})
 		},
 	}
 }
 
-// steerer is what the commands on rollouts need of a client.
-type steerer interface {
+// rolloutClient is the part of the client that the rollout commands use.
+type rolloutClient interface {
 	StartRollout(ctx context.Context, r wasabiridge.Rollout) (wasabiridge.Rollout, error)
 	SteerRollout(ctx context.Context, id, action string) (wasabiridge.Rollout, error)
 }
 
-func (a *app) rollout(ctx context.Context, do func(context.Context, steerer) (wasabiridge.Rollout, error)) error {
+func (a *app) rollout(ctx context.Context, do func(context.Context, rolloutClient) (wasabiridge.Rollout, error)) error {
 	client, err := a.client()
 	if err != nil {
 		return err
@@ -102,7 +103,7 @@
 	return a.show(value, func() error {
 		t := newTable("ID", "POOL", "MODEL", "ADAPTER", "WEIGHTS", "STATE", "REPLICAS", "BLOCKED")
 		for _, r := range rollouts {
-			t.add(r.ID, r.Pool, r.Model, dash(string(r.Adapter)), r.Weights, r.State, fmt.Sprintf("%d/%d", r.Done, r.Total), dash(r.Blocked))
+			t.add(r.ID, r.Pool, r.Model, orDash(string(r.Adapter)), r.Weights, r.State, fmt.Sprintf("%d/%d", r.Done, r.Total), orDash(r.Blocked))
 		}
 		return a.print(t)
 	})
--- a/internal/wasabicommand/rules.go
+++ b/internal/wasabicommand/rules.go
@@ -12,7 +12,7 @@
 )
 
 func (a *app) rulesCommand() *cobra.Command {
-	return group("rules", "Ask about rules", a.rulesExplain())
+	return group("rules", "Explain rules", a.rulesExplain())
 }
 
 func (a *app) rulesExplain() *cobra.Command {
@@ -35,7 +35,7 @@
 			for _, h := range headers {
 				name, value, found := strings.Cut(h, "=")
 				if !found {
-					return wasabiridge.ErrInvalid.New("header %q: write it as NAME=VALUE", h)
+					return wasabiridge.ErrInvalid.New("invalid header %q: expected NAME=VALUE", h)
 				}
 				query.Headers[name] = value
 			}
@@ -51,9 +51,9 @@
 	flags.StringVar(&query.Method, "method", "POST", "HTTP method")
 	flags.StringVar(&query.Path, "path", "/v1/chat/completions", "path")
 	flags.StringVar(&model, "model", "", "model named in the request")
-	flags.StringSliceVar(&headers, "header", nil, "request header as NAME=VALUE; may be given more than once")
+	flags.StringSliceVar(&headers, "header", nil, "request header as NAME=VALUE; can be repeated")
 	flags.IntVar(&query.PromptTokens, "prompt-tokens", 0, "estimated length of the prompt")
-	flags.StringVar(&file, "file", "", "explain with this file instead of the configuration in force")
+	flags.StringVar(&file, "file", "", "use this configuration file instead of the configuration in force")
 	return c
 }
 
@@ -79,7 +79,7 @@
 func (a *app) showExplanation(e wasabioperator.ExplanationBody) error {
 	t := newTable("RULE", "MATCHES", "WHY NOT")
 	for _, line := range e.Lines {
-		t.add(line.Rule, yes(line.Matches), dash(line.Why))
+		t.add(line.Rule, yesNo(line.Matches), orDash(line.Why))
 	}
 	if err := a.print(t); err != nil {
 		return err
--- a/internal/wasabicommand/settings.go
+++ b/internal/wasabicommand/settings.go
@@ -12,11 +12,12 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabidocument"
 )
 
-// settingsFile is looked for in the user's directory for settings.
+// settingsFile is the name of the settings file in the user's configuration
+// directory.
 const settingsFile = "wasabictl.json"
 
-// settings say where routers are and who asks. The fields of the file are
-// those with a tag.
+// settings are the addresses of routers and the identity of the operator. The
+// settings file has the fields with a tag.
 type settings struct {
 	Addresses []string `json:"addresses,omitempty"`
 	Key       string   `json:"key,omitempty"`
@@ -26,8 +27,9 @@
 	path      string
 }
 
-// or fills what is empty from other settings.
-func (s settings) or(other settings) settings {
+// withDefaults returns s with empty fields set from other. Key and KeyFile count
+// as one field, so that a key never overrides a key file of higher precedence.
+func (s settings) withDefaults(other settings) settings {
 	if len(s.Addresses) == 0 {
 		s.Addresses = other.Addresses
 	}
@@ -43,6 +45,7 @@
 	return s
 }
 
+// environment returns the settings from environment variables.
 func (a *app) environment() settings {
 	var s settings
 	if text := a.Env("WASABICTL_ADDRESS"); text != "" {
@@ -56,11 +59,12 @@
 	return s
 }
 
-// load reads the settings file. One that was not named may be missing.
-func (a *app) load(path string) (settings, error) {
+// loadSettings reads the settings file. If path is empty, it reads the default
+// file, which may be missing.
+func (a *app) loadSettings(path string) (settings, error) {
 	var s settings
-	named := path != ""
-	if !named {
+	explicit := path != ""
+	if !explicit {
 		directory, err := os.UserConfigDir()
 		if err != nil {
 			return s, nil
@@ -68,11 +72,11 @@
 		path = filepath.Join(directory, settingsFile)
 	}
 	data, err := os.ReadFile(path)
-	if os.IsNotExist(err) && !named {
+	if os.IsNotExist(err) && !explicit {
 		return s, nil
 	}
 	if err != nil {
-		return s, wasabiridge.ErrInvalid.Wrap(err, "settings")
+		return s, wasabiridge.ErrInvalid.Wrap(err, "read settings")
 	}
 	if err := wasabidocument.Decode(data, &s); err != nil {
 		return s, wasabiridge.ErrInvalid.Wrap(err, "settings file %s", path)
@@ -80,9 +84,10 @@
 	return s, nil
 }
 
-// client makes a client from flags, environment and settings file.
+// client returns a client with the settings from flags, environment and settings
+// file, in this order of precedence.
 func (a *app) client() (*wasabiclient.Client, error) {
-	merged := a.flags.or(a.environment())
+	merged := a.flags.withDefaults(a.environment())
 	path := a.flags.path
 	if path == "" {
 		path = a.environment().path
@@ -91,23 +96,24 @@
 		file settings
 		err  error
 	)
-	if file, err = a.load(path); err != nil {
+	if file, err = a.loadSettings(path); err != nil {
 		return nil, err
 	}
-	merged = merged.or(file)
+	merged = merged.withDefaults(file)
 	if len(merged.Addresses) == 0 {
-		return nil, wasabiridge.ErrInvalid.New("no router is named: use --address, WASABICTL_ADDRESS or \"addresses\" in the settings file")
+		return nil, wasabiridge.ErrInvalid.New("no router address is set: use --address, WASABICTL_ADDRESS or \"addresses\" in the settings file")
 	}
 	if merged.Key, err = merged.key(); err != nil {
 		return nil, err
 	}
-	options := wasabiclient.Options{Addresses: merged.Addresses, Key: merged.Key, Operator: merged.Operator, Timeout: a.wait}
-	if options.TLS, err = merged.trust(); err != nil {
+	options := wasabiclient.Options{Addresses: merged.Addresses, Key: merged.Key, Operator: merged.Operator, Timeout: a.timeout}
+	if options.TLS, err = merged.tlsConfig(); err != nil {
 		return nil, err
 	}
 	return wasabiclient.New(options), nil
 }
 
+// key returns the key, read from KeyFile if Key is empty.
 func (s settings) key() (string, error) {
 	if s.Key != "" {
 		return s.Key, nil
@@ -117,22 +123,24 @@
 	}
 	data, err := os.ReadFile(s.KeyFile)
 	if err != nil {
-		return "", wasabiridge.ErrInvalid.Wrap(err, "key file")
+		return "", wasabiridge.ErrInvalid.Wrap(err, "read key file")
 	}
 	return strings.TrimSpace(string(data)), nil
 }
 
-func (s settings) trust() (*tls.Config, error) {
+// tlsConfig returns a configuration that trusts the certificates in CAFile, or
+// nil if CAFile is empty.
+func (s settings) tlsConfig() (*tls.Config, error) {
 	if s.CAFile == "" {
 		return nil, nil
 	}
 	data, err := os.ReadFile(s.CAFile)
 	if err != nil {
-		return nil, wasabiridge.ErrInvalid.Wrap(err, "certificates")
+		return nil, wasabiridge.ErrInvalid.Wrap(err, "read certificates")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(data) {
-		return nil, wasabiridge.ErrInvalid.New("certificates: %s holds none", s.CAFile)
+		return nil, wasabiridge.ErrInvalid.New("certificates: %s contains no PEM certificate", s.CAFile)
 	}
 	return &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}, nil
 }
--- a/internal/wasabicommand/timeline.go
+++ b/internal/wasabicommand/timeline.go
@@ -15,16 +15,16 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabitimeline"
 )
 
-// Times of following.
+// Times of the --follow flag.
 const (
-	followEvery = time.Second
-	// followOverlap is read again with every poll, because events of other
-	// instances with slower clocks sort before those that were shown.
+	followInterval = time.Second
+	// followOverlap is how far every poll reaches back before the newest printed
+	// event, because new events of instances with slower clocks sort before it.
 	followOverlap = 10 * wasabiridge.Second
 	defaultSince  = "5m"
 )
 
-// timelineFlags select events.
+// timelineFlags are the flags of the timeline command.
 type timelineFlags struct {
 	request, account, backend string
 	since, until              string
@@ -43,12 +43,12 @@
 	var f timelineFlags
 	c := &cobra.Command{
 		Use:   "timeline",
-		Short: "Show what happened, over all instances",
-		Long: `Show what happened, over all instances, in one order.
+		Short: "Show the events of all instances",
+		Long: `Show the events of all instances, merged in one order.
 
-Each line has the time of day in UTC, the time since the line before, the
-instance, and what happened. Instances that could not be reached, and events
-that an instance no longer has, are named after the lines.`,
+Each line has the time of day in UTC, the time since the previous line, the
+instance, and the event. Instances that could not be reached, and events that an
+instance no longer has, are listed after the events.`,
 		Example: `  wasabictl timeline --request 01JDXK4T7Q2M
   wasabictl timeline --account liftwell --since 10m
   wasabictl timeline --backend answer-3 --follow`,
@@ -75,37 +75,38 @@
 	flags.StringVar(&f.request, "request", "", "only this request")
 	flags.StringVar(&f.account, "account", "", "only this client account")
 	flags.StringVar(&f.backend, "backend", "", "only this backend server")
-	flags.StringVar(&f.since, "since", "", "from: 5m ago, or 2026-12-02T15:04:05Z (default 5m unless a request is named)")
-	flags.StringVar(&f.until, "until", "", "up to, written alike")
+	flags.StringVar(&f.since, "since", "", "start: 5m for five minutes ago, or 2026-12-02T15:04:05Z (default 5m, unless --request is set)")
+	flags.StringVar(&f.until, "until", "", "end, in the same form as --since")
 	flags.IntVar(&f.limit, "limit", 0, "show the newest events only (default 10000)")
-	flags.BoolVar(&f.follow, "follow", false, "go on with new events until interrupted; with --json one event a line")
+	flags.BoolVar(&f.follow, "follow", false, "keep printing new events until interrupted; with --json one event per line")
 	return c
 }
 
 func (a *app) showTimeline(r wasabiridge.TimelineReport) error {
 	wasabitimeline.WriteStory(a.Out, r.Events)
 	if len(r.Events) == 0 {
-		a.warn("no such events at the %d instances that answered.", len(r.Reached))
+		a.warn("no such events at the %d instances that were reached.", len(r.Reached))
 	}
 	a.warnMissing(r)
 	return nil
 }
 
-// warnMissing says what the events cannot show.
+// warnMissing warns about events that a report lacks.
 func (a *app) warnMissing(r wasabiridge.TimelineReport) {
-	for _, line := range missing(r) {
+	for _, line := range missingText(r) {
 		a.warn("%s", line)
 	}
 }
 
-func missing(r wasabiridge.TimelineReport) []string {
+// missingText lists unreached instances and overwritten or truncated events.
+func missingText(r wasabiridge.TimelineReport) []string {
 	var lines []string
 	for _, u := range r.Unreached {
 		lines = append(lines, fmt.Sprintf("instance %s could not be reached: %s", u.Instance, u.Cause))
 	}
 	for _, i := range r.Reached {
 		if i.Dropped > 0 {
-			lines = append(lines, fmt.Sprintf("instance %s no longer has %d older events that may belong here", i.Instance, i.Dropped))
+			lines = append(lines, fmt.Sprintf("instance %s no longer has %d older events that may match", i.Instance, i.Dropped))
 		}
 	}
 	if r.Truncated > 0 {
@@ -114,18 +115,19 @@
 	return lines
 }
 
-// eventID names an event over all instances.
+// eventID identifies an event among those of all instances.
 type eventID struct {
 	instance wasabiridge.InstanceID
 	at       wasabiridge.Millis
 	logical  uint32
 }
 
-// follow polls and prints what is new until the context ends.
+// follow polls and prints new events until ctx is done. An error of the first
+// poll ends it; later errors are printed as warnings.
 func (a *app) follow(ctx context.Context, client *wasabiclient.Client, f timelineFlags) error {
 	shown := map[eventID]bool{}
 	since, warned := f.since, ""
-	ticker := time.NewTicker(followEvery)
+	ticker := time.NewTicker(followInterval)
 	defer ticker.Stop()
 	for first := true; ; first = false {
 		report, err := client.Timeline(ctx, f.query(), since, f.until)
@@ -137,7 +139,7 @@
 		case err != nil:
 			a.warn("%s", messageOf(err))
 		default:
-			since = a.showNew(report, shown, since)
+			since = a.printNew(report, shown, since)
 			warned = a.warnChanged(report, warned)
 		}
 		select {
@@ -148,42 +150,45 @@
 	}
 }
 
-func (a *app) warnChanged(r wasabiridge.TimelineReport, warned string) string {
-	now := ""
+// warnChanged warns about unreached instances when they differ from those of the
+// previous poll, and returns them.
+func (a *app) warnChanged(r wasabiridge.TimelineReport, previous string) string {
+	unreached := ""
 	for _, u := range r.Unreached {
-		now += string(u.Instance) + " "
+		unreached += string(u.Instance) + " "
 	}
-	if now != warned && now != "" {
-		a.warn("not reached now: %s", strings.TrimSpace(now))
+	if unreached != previous && unreached != "" {
+		a.warn("not reached now: %s", strings.TrimSpace(unreached))
 	}
-	return now
+	return unreached
 }
 
-// showNew prints events that were not shown yet, forgets those that will not
-// be read again, and returns from where to read next.
-func (a *app) showNew(r wasabiridge.TimelineReport, shown map[eventID]bool, since string) string {
+// printNew prints the events that are not in shown and adds them to it. It
+// removes events older than the overlap from shown and returns the start of the
+// next poll.
+func (a *app) printNew(r wasabiridge.TimelineReport, shown map[eventID]bool, since string) string {
 	var (
-		fresh []wasabiridge.TimelineEvent
-		last  wasabiridge.Millis
+		unshown []wasabiridge.TimelineEvent
+		newest  wasabiridge.Millis
 	)
 	for _, e := range r.Events {
 		id := eventID{e.Instance, e.At, e.Logical}
-		last = max(last, e.At)
+		newest = max(newest, e.At)
 		if !shown[id] {
 			shown[id] = true
-			fresh = append(fresh, e)
+			unshown = append(unshown, e)
 		}
 	}
-	a.printEvents(fresh)
-	if last == 0 {
+	a.printEvents(unshown)
+	if newest == 0 {
 		return since
 	}
 	for id := range shown {
-		if id.at < last-followOverlap {
+		if id.at < newest-followOverlap {
 			delete(shown, id)
 		}
 	}
-	return strconv.FormatInt(int64(last-followOverlap), 10)
+	return strconv.FormatInt(int64(newest-followOverlap), 10)
 }
 
 func (a *app) printEvents(events []wasabiridge.TimelineEvent) {
@@ -193,7 +198,8 @@
 	}
 	encoder := json.NewEncoder(a.Out)
 	for _, e := range events {
-		// A reader that closed the pipe ends the program by itself.
+		// The error is ignored: when the output is a closed pipe, the operating
+		// system ends the process by a signal.
 		_ = encoder.Encode(e)
 	}
 }
