--- a/internal/wasabireport/html.go
+++ b/internal/wasabireport/html.go
@@ -1,7 +1,7 @@
 package wasabireport
 
 import (
-	_ "embed" // The template is compiled into the program.
+	_ "embed" // Embeds the page template.
 	"fmt"
 	"html/template"
 	"io"
@@ -20,28 +20,29 @@
 	"percent":  func(share float64) string { return fmt.Sprintf("%.2f%%", 100*share) },
 	"verdict":  func(text string) string { return strings.ReplaceAll(text, "_", " ") },
 	"moment":   func(at wasabiridge.Millis) string { return at.Time().Format("2006-01-02 15:04 UTC") },
-	"figures": func(label, rule, model string, f wasabiridge.OutcomeFigures) row {
-		return row{label, rule, model, f}
+	"figures": func(label, rule, model string, f wasabiridge.OutcomeFigures) figuresRow {
+		return figuresRow{label, rule, model, f}
 	},
 }).Parse(page))
 
-// row is one line of the table of figures.
-type row struct {
+// figuresRow is one row of the table of figures.
+type figuresRow struct {
 	Account, Rule, Model string
 	Figures              wasabiridge.OutcomeFigures
 }
 
-// content is what the page shows.
-type content struct {
+// pageData is the data of the page template.
+type pageData struct {
 	wasabiridge.OutcomeReport
 	Charts []chart
-	Met    int
+	// Met is the number of targets that are met.
+	Met int
 }
 
-// WriteHTML writes the report as one HTML file. It loads nothing from
-// elsewhere.
+// WriteHTML writes the report as one self-contained HTML file, which loads no
+// scripts, styles or images.
 func WriteHTML(w io.Writer, r wasabiridge.OutcomeReport) error {
-	c := content{OutcomeReport: r}
+	c := pageData{OutcomeReport: r}
 	for _, t := range r.Targets {
 		if t.Verdict == "met" {
 			c.Met++
@@ -57,7 +58,7 @@
 		}
 	}
 	if err := pageTemplate.Execute(w, c); err != nil {
-		return wasabiridge.ErrUnavailable.Wrap(err, "report: write")
+		return wasabiridge.ErrUnavailable.Wrap(err, "report: write page")
 	}
 	return nil
 }
--- a/internal/wasabireport/plot.go
+++ b/internal/wasabireport/plot.go
@@ -17,7 +17,7 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Sizes of a plot.
+// Sizes of a plot. lineWidth and dotRadius are in points.
 const (
 	plotWidth  = 10 * vg.Inch
 	plotHeight = 2.6 * vg.Inch
@@ -26,7 +26,7 @@
 	dayLayout  = "2006-01-02"
 )
 
-// curve is one line of a plot, a value for each day.
+// curve is one line of a chart, with a value for each day.
 type curve struct {
 	Name  string
 	color color.RGBA
@@ -40,7 +40,7 @@
 	green  = color.RGBA{R: 0x2a, G: 0x7a, B: 0x3f, A: 0xff}
 )
 
-// chart is one plot of the report.
+// chart is one plot of the report with its legend.
 type chart struct {
 	Title  string
 	unit   string
@@ -48,6 +48,7 @@
 	SVG    template.HTML
 }
 
+// charts returns the charts of a report, not yet drawn.
 func charts() []chart {
 	return []chart{
 		{Title: "Time to first token by day", unit: "ms", Curves: []curve{
@@ -70,13 +71,14 @@
 	}
 }
 
-// CSS returns the color of a curve for the legend beside the plot. A legend
-// inside the plot would cover lines that run below it.
+// CSS returns the color of a curve for the legend, which is outside the plot. A
+// legend inside the plot would cover parts of the curves.
 func (c curve) CSS() template.CSS {
 	return template.CSS(fmt.Sprintf("#%02x%02x%02x", c.color.R, c.color.G, c.color.B))
 }
 
-// draw makes an SVG of a chart. Days without data leave no point.
+// draw returns a chart as an SVG element. Only the given days have points, so a
+// day without data has none.
 func (c chart) draw(days []wasabiridge.OutcomeDay) (template.HTML, error) {
 	p := plot.New()
 	p.Y.Label.Text = c.unit
@@ -99,20 +101,21 @@
 	return render(p)
 }
 
+// pointsOf returns the points of a curve, with the time in seconds on the X axis.
 func pointsOf(days []wasabiridge.OutcomeDay, line curve) (plotter.XYs, error) {
 	points := make(plotter.XYs, 0, len(days))
 	for _, d := range days {
 		at, err := time.Parse(dayLayout, d.Day)
 		if err != nil {
-			return nil, wasabiridge.ErrInvalid.Wrap(err, "report: day")
+			return nil, wasabiridge.ErrInvalid.Wrap(err, "report: invalid day %q", d.Day)
 		}
 		points = append(points, plotter.XY{X: float64(at.Unix()), Y: line.value(d.Figures)})
 	}
 	return points, nil
 }
 
-// render returns the plot as an element that can stand inside HTML, without
-// the XML declaration that only a file of its own may have.
+// render returns the plot as an SVG element for use inside HTML. It removes the
+// XML declaration, which is allowed at the start of a file only.
 func render(p *plot.Plot) (template.HTML, error) {
 	canvas := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(canvas))
--- a/internal/wasabireport/report.go
+++ b/internal/wasabireport/report.go
@@ -1,8 +1,8 @@
-// Package wasabireport writes the outcomes of a quarter for people: as one HTML
-// file that holds everything it needs, plots included, and as the texts that
-// the command line shares with it.
+// Package wasabireport formats the outcomes of a quarter for display: as one
+// self-contained HTML file with plots, and as texts that the command line uses
+// as well.
 //
-// It is apart from wasabioutcome so that the daemon does not carry a plotting
+// It is separate from wasabioutcome so that the router does not link a plotting
 // library.
 //
 // # Usage
@@ -22,17 +22,17 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabioutcome"
 )
 
-// shares are measures that are printed as percentages.
-var shares = map[string]bool{
+// percentageMeasures are the measures that are printed as percentages.
+var percentageMeasures = map[string]bool{
 	wasabioutcome.MeasureHitRate:    true,
 	wasabioutcome.MeasureRecomputed: true,
 	wasabioutcome.MeasureRefused:    true,
 }
 
-// formatMeasure prints a figure with the unit of its measure.
+// formatMeasure formats a figure with the unit of its measure.
 func formatMeasure(measure string, figure float64) string {
 	switch {
-	case shares[measure]:
+	case percentageMeasures[measure]:
 		return fmt.Sprintf("%.2f%%", 100*figure)
 	case strings.HasPrefix(measure, "ttft_"):
 		return fmt.Sprintf("%.0f ms", figure)
@@ -41,7 +41,7 @@
 	}
 }
 
-// BoundText tells the bounds of a target.
+// BoundText formats the bounds of a target, or returns a dash if it has none.
 func BoundText(t wasabiridge.Target) string {
 	var parts []string
 	if t.AtLeast != nil {
@@ -56,7 +56,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// FigureText tells the figure of a target.
+// FigureText formats the figure of a target, or returns a dash if nothing was
+// measured.
 func FigureText(t wasabiridge.TargetResult) string {
 	if t.Figure == nil {
 		return "-"
@@ -64,10 +65,10 @@
 	return formatMeasure(t.Target.Measure, *t.Figure)
 }
 
-// CoverageLines tells what of a quarter is known and what is missing, one
-// matter on a line.
+// CoverageLines returns lines of text on the covered share of a quarter and on
+// each kind of missing data.
 func CoverageLines(c wasabiridge.OutcomeCoverage) []string {
-	// Rounded down, so that 100% is only said when nothing is missing.
+	// Rounded down, so that 100% is printed only if nothing is missing.
 	covered := math.Floor(10_000*c.Share) / 100
 	lines := []string{fmt.Sprintf("Coverage: %.2f%% of the time of known instances, from %d objects.", covered, c.Objects)}
 	add := func(n int, format string, args ...any) {
@@ -80,11 +81,12 @@
 	add(len(c.MissingInstances), "Missing: instances that others saw and that left nothing: %d (%s).", len(c.MissingInstances), instancesText(c.MissingInstances))
 	add(c.UnreadableObjects, "Missing: objects that could not be read: %d (%s).", c.UnreadableObjects, strings.Join(c.Unreadable, ", "))
 	add(int(c.DroppedDays), "Missing: days that instances gave up while the store was away: %d.", c.DroppedDays)
-	add(int(c.LostOutcomes), "Missing: requests that instances had no time to count: %d.", c.LostOutcomes)
-	add(int(c.Folded), "Not told apart: requests counted under the account %[2]s: %[1]d.", c.Folded, wasabioutcome.OtherAccount)
+	add(int(c.LostOutcomes), "Missing: requests that instances dropped without counting them: %d.", c.LostOutcomes)
+	add(int(c.Folded), "Not separated: requests counted under the account %[2]s: %[1]d.", c.Folded, wasabioutcome.OtherAccount)
 	return lines
 }
 
+// gapText formats the first gap.
 func gapText(gaps []wasabiridge.OutcomeGap) string {
 	if len(gaps) == 0 {
 		return "-"
@@ -93,6 +95,7 @@
 	return fmt.Sprintf("%s from %s for %s", g.Instance, g.From.Time().Format("2006-01-02 15:04:05Z"), (g.To - g.From).Duration())
 }
 
+// daysText lists up to three days, or the first and the last day of more.
 func daysText(days []string) string {
 	if len(days) <= 3 {
 		return strings.Join(days, ", ")
--- a/internal/wasabireport/report_test.go
+++ b/internal/wasabireport/report_test.go
@@ -28,7 +28,7 @@
 }
 
 var _ = Describe("WriteHTML", func() {
-	It("writes one file that loads nothing and holds its plots", func() {
+	It("writes one self-contained file with plots, and escapes names", func() {
 		var out bytes.Buffer
 		Expect(wasabireport.WriteHTML(&out, sample())).To(Succeed())
 		page := out.String()
@@ -40,7 +40,9 @@
 		Expect(page).To(ContainSubstring("ghost"))
 	})
 
-	It("never says that all is covered while something is missing", func() {
+	// A share just below 1 must not be rounded up to 100%, which would say that
+	// nothing is missing.
+	It("never prints full coverage while data is missing", func() {
 		lines := wasabireport.CoverageLines(wasabiridge.OutcomeCoverage{Share: 0.99999, Objects: 1})
 		Expect(lines[0]).To(HavePrefix("Coverage: 99.99%"))
 	})
