--- a/internal/wasabibaseline/baseline.go
+++ b/internal/wasabibaseline/baseline.go
@@ -1,10 +1,10 @@
-// Package wasabibaseline holds simple Placers to measure others against:
-// round robin, least loaded, rendezvous hashing on the whole prompt,
-// rendezvous hashing on the first level of the prompt with bounded load, and
-// an oracle that knows every cache and queue exactly.
+// Package wasabibaseline implements simple Placers as baselines for measuring
+// other Placers: round robin, least loaded, rendezvous hashing of the complete
+// prompt, rendezvous hashing of the first block of the prompt with bounded load,
+// and an oracle that knows the exact state of every cache and queue.
 //
-// All but the oracle know only what a Decider is told. None of them claims
-// cached tokens, again but for the oracle.
+// All of them except the oracle use only the events that a Decider receives, and
+// leave Placement.ClaimedTokens at zero.
 //
 // # Usage
 //
@@ -18,8 +18,9 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// boundedLoad is how far above the mean load a server may be before the
-// rendezvous with bounded load passes it over.
+// boundedLoad is the highest load of a server, as a multiple of the mean load with
+// the new request included, at which rendezvous hashing with bounded load still
+// chooses it.
 const boundedLoad = 1.25
 
 type roundRobin struct {
@@ -27,8 +28,8 @@
 	cursor int
 }
 
-// NewRoundRobin returns a Placer that takes the servers of a pool in turn. It
-// starts at a place drawn from the seed.
+// NewRoundRobin returns a Placer that chooses the servers of a pool in rotation,
+// starting at a random position.
 func NewRoundRobin(seed uint64) wasabiridge.Placer {
 	v := newView(seed)
 	return &roundRobin{view: v, cursor: v.random.IntN(1 << 16)}
@@ -46,9 +47,9 @@
 
 type leastLoaded struct{ *view }
 
-// NewLeastLoaded returns a Placer that takes the server with the fewest
-// requests, by the last report and what was sent and ended since. Ties are
-// broken at random.
+// NewLeastLoaded returns a Placer that chooses the server with the fewest
+// requests: those in its last load report, plus attempts sent and minus attempts
+// ended since. Ties are broken at random.
 func NewLeastLoaded(seed uint64) wasabiridge.Placer {
 	return &leastLoaded{view: newView(seed)}
 }
@@ -75,19 +76,21 @@
 	bounded bool
 }
 
-// NewRendezvousPrompt returns a Placer that hashes the whole prompt.
+// NewRendezvousPrompt returns a Placer that chooses a server by rendezvous hashing
+// of the complete prompt.
 func NewRendezvousPrompt(seed uint64) wasabiridge.Placer {
 	return &rendezvous{view: newView(seed), key: lastKey}
 }
 
-// NewRendezvousFirst returns a Placer that hashes the first level of the
-// prompt and passes over servers loaded well above the mean.
+// NewRendezvousFirst returns a Placer that chooses a server by rendezvous hashing
+// of the first block of the prompt, and skips servers whose load is more than
+// 1.25 times the mean.
 func NewRendezvousFirst(seed uint64) wasabiridge.Placer {
 	return &rendezvous{view: newView(seed), key: firstKey, bounded: true}
 }
 
-// Place chooses the server with the highest weight for the key that is not
-// above the bound.
+// Place chooses the server with the highest rendezvous weight among those within
+// the load bound, or among all servers if the load is not bounded.
 func (p *rendezvous) Place(_ wasabiridge.Millis, q wasabiridge.PlaceQuery) (wasabiridge.Placement, bool) {
 	servers := p.eligible(q)
 	if len(servers) == 0 {
@@ -95,7 +98,7 @@
 	}
 	key := p.key(q.Request)
 	sort.SliceStable(servers, func(a, b int) bool {
-		return weigh(key, servers[a].ID) > weigh(key, servers[b].ID)
+		return rendezvousWeight(key, servers[a].ID) > rendezvousWeight(key, servers[b].ID)
 	})
 	sum := 0
 	for _, b := range servers {
--- a/internal/wasabibaseline/baseline_test.go
+++ b/internal/wasabibaseline/baseline_test.go
@@ -18,10 +18,10 @@
 	wasabitest.Run(t, "baseline")
 }
 
-// world knows servers by name.
-type world map[wasabiridge.BackendServerID]wasabibaseline.Forecast
+// fixedForecasts has one forecast for each server, whatever the prompt.
+type fixedForecasts map[wasabiridge.BackendServerID]wasabibaseline.Forecast
 
-func (w world) Forecast(_ wasabiridge.Millis, b wasabiridge.BackendServerID, _ wasabiridge.Chain) wasabibaseline.Forecast {
+func (w fixedForecasts) Forecast(_ wasabiridge.Millis, b wasabiridge.BackendServerID, _ wasabiridge.Chain) wasabibaseline.Forecast {
 	return w[b]
 }
 
@@ -40,15 +40,17 @@
 		"least loaded":        func() wasabiridge.Placer { return wasabibaseline.NewLeastLoaded(1) },
 		"rendezvous, prompt":  func() wasabiridge.Placer { return wasabibaseline.NewRendezvousPrompt(1) },
 		"rendezvous, level 1": func() wasabiridge.Placer { return wasabibaseline.NewRendezvousFirst(1) },
-		"oracle":              func() wasabiridge.Placer { return wasabibaseline.NewOracle(1, world{}) },
+		"oracle":              func() wasabiridge.Placer { return wasabibaseline.NewOracle(1, fixedForecasts{}) },
 	}
 	for _, name := range slices.Sorted(maps.Keys(placers)) {
-		It("of "+name+" leave out servers that are excluded, lost or leaving", func() {
+		// A load report of a lost incarnation that arrives late must not make the
+		// server eligible again. A report of a newer incarnation must.
+		It("of "+name+" do not choose servers that are excluded, lost or leaving", func() {
 			p := placers[name]()
 			p.Observe(0, wasabiridge.LoadReported{Report: wasabiridge.LoadReport{Backend: "b1", Incarnation: 1}})
 			p.Observe(0, wasabiridge.BackendLost{Backend: "b1"})
 			p.Observe(0, wasabiridge.BackendLeaving{Backend: "b2"})
-			// A report that was on its way when the server died is old news.
+			// This report was in flight when the server was lost.
 			p.Observe(0, wasabiridge.LoadReported{Report: wasabiridge.LoadReport{Backend: "b1", Incarnation: 1}})
 			seen := map[wasabiridge.BackendServerID]bool{}
 			for i := range 200 {
@@ -66,18 +68,18 @@
 		})
 	}
 
-	It("of rendezvous agree between instances, and keep to a bound on load", func() {
+	It("of rendezvous agree between instances, and avoid a server above the load bound", func() {
 		a, b := wasabibaseline.NewRendezvousFirst(1), wasabibaseline.NewRendezvousFirst(2)
-		home, _ := a.Place(0, query(7))
+		first, _ := a.Place(0, query(7))
 		other, _ := b.Place(0, query(7))
-		Expect(other.Backend).To(Equal(home.Backend))
-		a.Observe(0, wasabiridge.LoadReported{Report: wasabiridge.LoadReport{Backend: home.Backend.ID, Running: 10}})
+		Expect(other.Backend).To(Equal(first.Backend))
+		a.Observe(0, wasabiridge.LoadReported{Report: wasabiridge.LoadReport{Backend: first.Backend.ID, Running: 10}})
 		next, _ := a.Place(0, query(7))
-		Expect(next.Backend).NotTo(Equal(home.Backend))
+		Expect(next.Backend).NotTo(Equal(first.Backend))
 	})
 
-	It("of the oracle weigh the wait against what is cached", func() {
-		w := world{}
+	It("of the oracle weigh the queueing time against cached tokens", func() {
+		w := fixedForecasts{}
 		for _, s := range query(1).Pool.Backends {
 			w[s.ID] = wasabibaseline.Forecast{Compute: 300}
 		}
--- a/internal/wasabibaseline/oracle.go
+++ b/internal/wasabibaseline/oracle.go
@@ -4,44 +4,47 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Forecast is the exact state of a backend server for one prompt.
+// Forecast describes how a backend server would process one prompt.
 type Forecast struct {
 	Incarnation wasabiridge.Incarnation
-	// Down says that the server takes no work.
+	// Down means that the server accepts no requests.
 	Down bool
-	// Wait is how long the prompt would wait for others.
+	// Wait is how long the prompt would be queued behind other requests.
 	Wait wasabiridge.Millis
-	// Cached counts tokens that will be cached when its turn comes.
+	// Cached is the number of prompt tokens that will be in the cache when
+	// processing of the prompt starts.
 	Cached int
-	// Compute is how long the rest of the prompt takes.
+	// Compute is how long the tokens that are not cached take to compute.
 	Compute wasabiridge.Millis
 }
 
-// World knows every cache and queue exactly.
+// World gives exact forecasts, which only a simulation can do.
 type World interface {
-	// Forecast tells what a prompt would meet at a server.
+	// Forecast returns the forecast for a prompt at server b if it is sent at
+	// now.
 	Forecast(now wasabiridge.Millis, b wasabiridge.BackendServerID, c wasabiridge.Chain) Forecast
 }
 
-// oracleCaution is how many times the oracle counts the time to compute a
-// prompt. Above 1 it minds that the time is taken from other requests, and
-// that what is computed evicts other blocks.
-const oracleCaution = 2
+// computeCostFactor is the weight of the compute time of a prompt in the cost that
+// the oracle minimizes. It is above 1 because computing also delays other requests
+// and evicts other blocks from the cache.
+const computeCostFactor = 2
 
 type oracle struct {
 	*view
 	world World
 }
 
-// NewOracle returns a Placer that reads the state of all servers from the
-// world. It takes the server with the earliest first token, counting the time
-// to compute the prompt more than once, and the rule's weight for recomputed
-// blocks on top.
+// NewOracle returns a Placer that uses the exact forecasts of w. It chooses the
+// server with the lowest cost: the wait, plus the compute time times a factor,
+// plus the number of blocks to compute times the RecomputeWeight of the rule. Ties
+// are broken at random.
 func NewOracle(seed uint64, w World) wasabiridge.Placer {
 	return &oracle{view: newView(seed), world: w}
 }
 
-// Place chooses the best server.
+// Place chooses the server with the lowest cost. It returns false if every server
+// is down.
 func (p *oracle) Place(now wasabiridge.Millis, q wasabiridge.PlaceQuery) (wasabiridge.Placement, bool) {
 	var best wasabiridge.Placement
 	bestCost, found := 0.0, false
@@ -57,7 +60,7 @@
 			continue
 		}
 		blocks := float64(q.Request.Chain.Tokens-f.Cached) / float64(max(1, q.Request.Chain.BlockTokens))
-		cost := float64(f.Wait) + oracleCaution*float64(f.Compute) + q.Request.Action.RecomputeWeight*blocks
+		cost := float64(f.Wait) + computeCostFactor*float64(f.Compute) + q.Request.Action.RecomputeWeight*blocks
 		if found && cost >= bestCost {
 			continue
 		}
