--- a/internal/wasabimeasure/apply.go
+++ b/internal/wasabimeasure/apply.go
@@ -5,145 +5,148 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabifake"
 )
 
-// apply carries out an effect, as a relay would.
-func (w *world) apply(instance int, e wasabiridge.Effect) {
+// apply executes an effect of a Decider, as the relay does in a router.
+func (sim *simulation) apply(instance int, e wasabiridge.Effect) {
 	switch e := e.(type) {
 	case wasabiridge.Dispatch:
-		w.dispatch(instance, e)
+		sim.dispatch(instance, e)
 	case wasabiridge.Cancel:
-		w.cancel(e.Attempt)
+		sim.cancel(e.Attempt)
 	case wasabiridge.Refuse:
-		w.refuse(e)
+		sim.refuse(e)
 	}
 }
 
-func (w *world) dispatch(instance int, d wasabiridge.Dispatch) {
-	l, s := w.byRequest[d.Request], w.byID[d.Backend.ID]
-	a := &attempt{dispatch: d, instance: instance, life: l, server: s}
-	w.checker.dispatched(w.now, a)
-	w.attempts[d.Attempt] = a
-	w.countDispatch(a)
+func (sim *simulation) dispatch(instance int, d wasabiridge.Dispatch) {
+	state, s := sim.byRequest[d.Request], sim.byID[d.Backend.ID]
+	a := &attempt{dispatch: d, instance: instance, state: state, server: s}
+	sim.checker.dispatched(sim.now, a)
+	sim.attempts[d.Attempt] = a
+	sim.countDispatch(a)
 	if s.Down() {
-		w.tell(instance, wasabiridge.BackendLost{Backend: d.Backend.ID})
-		w.finish(a, wasabiridge.AttemptEnded{Result: wasabiridge.AttemptNotRun})
+		sim.notify(instance, wasabiridge.BackendLost{Backend: d.Backend.ID})
+		sim.finish(a, wasabiridge.AttemptEnded{Result: wasabiridge.AttemptNotRun})
 		return
 	}
-	w.tell(instance, wasabiridge.AttemptSent{Request: d.Request, Attempt: d.Attempt})
-	accepted := s.Submit(w.now, wasabifake.Job{
-		Attempt: d.Attempt, Request: d.Request, Priority: l.request.Action.Priority,
-		Chain: l.request.Chain, OutputTokens: l.stream.OutputTokens, ResumeFrom: d.ResumeFrom,
+	sim.notify(instance, wasabiridge.AttemptSent{Request: d.Request, Attempt: d.Attempt})
+	accepted := s.Submit(sim.now, wasabifake.Job{
+		Attempt: d.Attempt, Request: d.Request, Priority: state.request.Action.Priority,
+		Chain: state.request.Chain, OutputTokens: state.stream.OutputTokens, ResumeFrom: d.ResumeFrom,
 	})
 	if !accepted {
-		w.finish(a, wasabiridge.AttemptEnded{
+		sim.finish(a, wasabiridge.AttemptEnded{
 			Result: wasabiridge.AttemptNotRun, Overloaded: true, RetryAfter: overloadRetry,
 		})
 		return
 	}
-	w.checker.accepted(a)
+	sim.checker.accepted(a)
 }
 
-// finish ends an attempt and tells the instance that made it.
-func (w *world) finish(a *attempt, e wasabiridge.AttemptEnded) {
+// finish ends an attempt and notifies the instance that made it.
+func (sim *simulation) finish(a *attempt, e wasabiridge.AttemptEnded) {
 	e.Request, e.Attempt, e.Backend = a.dispatch.Request, a.dispatch.Attempt, a.dispatch.Backend.ID
-	if a.life.winner == a.dispatch.Attempt {
-		e.Delivered = a.life.delivered
+	if a.state.winner == a.dispatch.Attempt {
+		e.Delivered = a.state.delivered
 		e.Usage.Weights = a.server.Spec().Weights
 	}
-	delete(w.attempts, a.dispatch.Attempt)
-	w.tell(a.instance, e)
+	delete(sim.attempts, a.dispatch.Attempt)
+	sim.notify(a.instance, e)
 }
 
-func (w *world) cancel(id wasabiridge.AttemptID) {
-	a, ok := w.attempts[id]
+func (sim *simulation) cancel(id wasabiridge.AttemptID) {
+	a, ok := sim.attempts[id]
 	if !ok {
 		return
 	}
-	a.server.Cancel(w.now, id)
-	w.countLoser(a)
-	if a.life.winner == id {
-		a.life.winner = 0
+	a.server.Cancel(sim.now, id)
+	sim.countLoser(a)
+	if a.state.winner == id {
+		a.state.winner = 0
 	}
-	w.finish(a, wasabiridge.AttemptEnded{Result: wasabiridge.AttemptCancelled})
+	sim.finish(a, wasabiridge.AttemptEnded{Result: wasabiridge.AttemptCancelled})
 }
 
-func (w *world) refuse(r wasabiridge.Refuse) {
-	l := w.byRequest[r.Request]
-	w.checker.refused(l, r)
-	if l.ended {
+func (sim *simulation) refuse(r wasabiridge.Refuse) {
+	state := sim.byRequest[r.Request]
+	sim.checker.refused(state, r)
+	if state.ended {
 		return
 	}
-	w.endOf(l)
-	w.countRefusal(l, r)
+	sim.markEnded(state)
+	sim.countRefusal(state, r)
 }
 
-func (w *world) endOf(l *life) {
-	l.ended = true
-	w.open--
+func (sim *simulation) markEnded(state *requestState) {
+	state.ended = true
+	sim.open--
 }
 
-// outputs takes what an engine did to the callers.
-func (w *world) outputs(s *server) {
-	for _, out := range s.Advance(w.now) {
-		a, ok := w.attempts[out.Job.Attempt]
+// processOutputs advances an engine to the current time and handles the starts,
+// first tokens and completions that it reports.
+func (sim *simulation) processOutputs(s *server) {
+	for _, out := range s.Advance(sim.now) {
+		a, ok := sim.attempts[out.Job.Attempt]
 		if !ok {
 			continue
 		}
 		switch out.Kind {
 		case wasabifake.Started:
-			w.checker.started(a)
-			w.countStart(a, out)
+			sim.checker.started(a)
+			sim.countStart(a, out)
 		case wasabifake.FirstToken:
-			w.firstToken(a, out)
+			sim.firstToken(a, out)
 		case wasabifake.Completed:
-			w.complete(a, out)
+			sim.complete(a, out)
 		}
 	}
 }
 
-// firstToken ties the caller to the first attempt that answers.
-func (w *world) firstToken(a *attempt, out wasabifake.Output) {
-	l := a.life
-	if l.winner == 0 {
-		l.winner = a.dispatch.Attempt
-		w.checker.resumed(l, out)
+// firstToken makes the first attempt that produces a token the winner, whose
+// answer the caller receives.
+func (sim *simulation) firstToken(a *attempt, out wasabifake.Output) {
+	state := a.state
+	if state.winner == 0 {
+		state.winner = a.dispatch.Attempt
+		sim.checker.resumed(state, out)
 	}
-	if l.winner == a.dispatch.Attempt && l.firstToken == 0 {
-		l.firstToken = out.At
+	if state.winner == a.dispatch.Attempt && state.firstToken == 0 {
+		state.firstToken = out.At
 	}
-	w.tell(a.instance, wasabiridge.AttemptFirstToken{Request: a.dispatch.Request, Attempt: a.dispatch.Attempt})
+	sim.notify(a.instance, wasabiridge.AttemptFirstToken{Request: a.dispatch.Request, Attempt: a.dispatch.Attempt})
 }
 
-func (w *world) complete(a *attempt, out wasabifake.Output) {
-	if l := a.life; l.winner == a.dispatch.Attempt {
-		l.delivered = out.Job.OutputTokens
-		w.checker.answered(l, out)
-		if !l.ended {
-			w.endOf(l)
-			w.countAnswer(l)
+func (sim *simulation) complete(a *attempt, out wasabifake.Output) {
+	if state := a.state; state.winner == a.dispatch.Attempt {
+		state.delivered = out.Job.OutputTokens
+		sim.checker.answered(state, out)
+		if !state.ended {
+			sim.markEnded(state)
+			sim.countAnswer(state)
 		}
 	}
-	w.finish(a, wasabiridge.AttemptEnded{Result: wasabiridge.AttemptCompleted, Usage: out.Usage})
+	sim.finish(a, wasabiridge.AttemptEnded{Result: wasabiridge.AttemptCompleted, Usage: out.Usage})
 }
 
-// crash kills an engine and breaks the attempts inside. The others learn of
-// it when they next connect, or at the next health check.
-func (w *world) crash(s *server) {
-	for _, lost := range s.Crash(w.now) {
-		a, ok := w.attempts[lost.Job.Attempt]
+// crash stops an engine and breaks the attempts that run on it. Instances
+// without such an attempt are notified when they next dispatch to the engine,
+// or by the health check.
+func (sim *simulation) crash(s *server) {
+	for _, lost := range s.Crash(sim.now) {
+		a, ok := sim.attempts[lost.Job.Attempt]
 		if !ok {
 			continue
 		}
-		if a.life.winner == lost.Job.Attempt {
-			a.life.delivered = lost.Produced
+		if a.state.winner == lost.Job.Attempt {
+			a.state.delivered = lost.Produced
 		}
-		w.finish(a, wasabiridge.AttemptEnded{Result: wasabiridge.AttemptBroken})
-		if a.life.winner == lost.Job.Attempt {
-			a.life.winner = 0
+		sim.finish(a, wasabiridge.AttemptEnded{Result: wasabiridge.AttemptBroken})
+		if a.state.winner == lost.Job.Attempt {
+			a.state.winner = 0
 		}
 	}
-	w.at(w.now+healthCheck, func() {
+	sim.schedule(sim.now+healthCheck, func() {
 		if s.Down() {
-			w.tellAll(wasabiridge.BackendLost{Backend: s.backend.ID})
+			sim.notifyAll(wasabiridge.BackendLost{Backend: s.backend.ID})
 		}
 	})
 }
--- a/internal/wasabimeasure/check.go
+++ b/internal/wasabimeasure/check.go
@@ -8,33 +8,35 @@
 )
 
 const (
-	// leavingGrace is how long work may still be placed on a server that is
-	// leaving.
+	// leavingGrace is how long requests may still be placed on a server that is
+	// leaving. Instances are notified within leavingSpread.
 	leavingGrace = 3 * wasabiridge.Second
-	// maxViolations bounds how many breaches a report spells out.
+	// maxViolations is how many violations a report describes. Further ones are
+	// only counted.
 	maxViolations = 20
 )
 
-// incarnated names one life of one engine.
-type incarnated struct {
+// engineIncarnation identifies one incarnation of one engine.
+type engineIncarnation struct {
 	backend     wasabiridge.BackendServerID
 	incarnation wasabiridge.Incarnation
 }
 
-type heard struct {
+type instanceBackend struct {
 	instance int
 	backend  wasabiridge.BackendServerID
 }
 
-// checker watches the promises that hold whatever fails.
+// checker verifies the invariants that must hold under every fault.
 type checker struct {
 	violations []string
 	count      int
-	// given holds the blocks that each life of an engine was ever given, with
-	// the root under which they were computed.
-	given map[incarnated]map[wasabiridge.BlockHash]wasabiridge.CacheRoot
-	// newest is the latest life of an engine that an instance was told of.
-	newest   map[heard]wasabiridge.Incarnation
+	// submitted holds the blocks of all prompts that each incarnation of an
+	// engine accepted, with the cache root under which they were computed.
+	submitted map[engineIncarnation]map[wasabiridge.BlockHash]wasabiridge.CacheRoot
+	// newest is the latest incarnation of an engine that was reported to an
+	// instance.
+	newest   map[instanceBackend]wasabiridge.Incarnation
 	leaving  map[wasabiridge.BackendServerID]wasabiridge.Millis
 	used     map[wasabiridge.AttemptID]bool
 	reached  map[wasabiridge.RequestID]map[wasabiridge.AttemptID]bool
@@ -45,14 +47,14 @@
 
 func newChecker() *checker {
 	return &checker{
-		given:    make(map[incarnated]map[wasabiridge.BlockHash]wasabiridge.CacheRoot),
-		newest:   make(map[heard]wasabiridge.Incarnation),
-		leaving:  make(map[wasabiridge.BackendServerID]wasabiridge.Millis),
-		used:     make(map[wasabiridge.AttemptID]bool),
-		reached:  make(map[wasabiridge.RequestID]map[wasabiridge.AttemptID]bool),
-		runs:     make(map[wasabiridge.RequestID]int),
-		answers:  make(map[wasabiridge.RequestID]int),
-		refusals: make(map[wasabiridge.RequestID]int),
+		submitted: make(map[engineIncarnation]map[wasabiridge.BlockHash]wasabiridge.CacheRoot),
+		newest:    make(map[instanceBackend]wasabiridge.Incarnation),
+		leaving:   make(map[wasabiridge.BackendServerID]wasabiridge.Millis),
+		used:      make(map[wasabiridge.AttemptID]bool),
+		reached:   make(map[wasabiridge.RequestID]map[wasabiridge.AttemptID]bool),
+		runs:      make(map[wasabiridge.RequestID]int),
+		answers:   make(map[wasabiridge.RequestID]int),
+		refusals:  make(map[wasabiridge.RequestID]int),
 	}
 }
 
@@ -63,129 +65,134 @@
 	}
 }
 
-// told notes which lives of engines an instance knows of.
-func (c *checker) told(d delivery) {
+// delivered records the engine incarnations that an event reports to an
+// instance.
+func (c *checker) delivered(d delivery) {
 	switch e := d.event.(type) {
 	case wasabiridge.LoadReported:
-		c.learn(d.instance, e.Report.Backend, e.Report.Incarnation)
+		c.recordIncarnation(d.instance, e.Report.Backend, e.Report.Incarnation)
 	case wasabiridge.CacheChanged:
 		for _, x := range e.Events {
-			c.learn(d.instance, x.Backend, x.Incarnation)
+			c.recordIncarnation(d.instance, x.Backend, x.Incarnation)
 		}
 	case wasabiridge.AttemptEnded:
-		c.learn(d.instance, e.Backend, e.Usage.Incarnation)
+		c.recordIncarnation(d.instance, e.Backend, e.Usage.Incarnation)
 	}
 }
 
-func (c *checker) learn(instance int, b wasabiridge.BackendServerID, i wasabiridge.Incarnation) {
-	k := heard{instance, b}
+func (c *checker) recordIncarnation(instance int, b wasabiridge.BackendServerID, i wasabiridge.Incarnation) {
+	k := instanceBackend{instance, b}
 	c.newest[k] = max(c.newest[k], i)
 }
 
-// restarted forgets what instances were told.
+// restarted clears the reported incarnations, as a restart of all instances
+// does.
 func (c *checker) restarted() { clear(c.newest) }
 
 func (c *checker) dispatched(now wasabiridge.Millis, a *attempt) {
-	d, r := a.dispatch, a.life.request
+	d, r := a.dispatch, a.state.request
 	if c.used[d.Attempt] {
-		c.breach("attempt %d of %s has an identifier that was used before", d.Attempt, d.Request)
+		c.breach("attempt ID %d of %s was used before", d.Attempt, d.Request)
 	}
 	c.used[d.Attempt] = true
-	if a.life.ended {
-		c.breach("%s was sent to %s after its end", d.Request, d.Backend.ID)
+	if a.state.ended {
+		c.breach("%s was dispatched to %s after the request had ended", d.Request, d.Backend.ID)
 	}
 	if since, ok := c.leaving[d.Backend.ID]; ok && now > since+leavingGrace {
-		c.breach("%s was placed on %s, %d ms after that began to leave", d.Request, d.Backend.ID, now-since)
+		c.breach("%s was placed on %s %d ms after that server began to leave", d.Request, d.Backend.ID, now-since)
 	}
 	if d.ClaimedTokens > 0 {
 		c.claimed(a, r.Chain)
 	}
 }
 
-// claimed checks that every claimed block was given to that life of the
-// engine, for the same account and weights.
+// claimed checks that every block that a Dispatch assumes to be cached was part
+// of a prompt that this incarnation of the engine accepted, for the same account
+// and weights.
 func (c *checker) claimed(a *attempt, chain wasabiridge.Chain) {
 	d := a.dispatch
-	if known := c.newest[heard{a.instance, d.Backend.ID}]; d.Incarnation < known {
-		c.breach("%s claims entries of life %d of %s, though life %d was known", d.Request, d.Incarnation, d.Backend.ID, known)
+	if known := c.newest[instanceBackend{a.instance, d.Backend.ID}]; d.Incarnation < known {
+		c.breach("%s assumes cache entries of incarnation %d of %s, but incarnation %d had been reported", d.Request, d.Incarnation, d.Backend.ID, known)
 	}
 	if chain.BlockTokens == 0 || d.ClaimedTokens > len(chain.Blocks)*chain.BlockTokens {
-		c.breach("%s claims %d tokens, more than its prompt has in blocks", d.Request, d.ClaimedTokens)
+		c.breach("%s assumes %d cached tokens, more than the complete blocks of its prompt hold", d.Request, d.ClaimedTokens)
 		return
 	}
-	given := c.given[incarnated{d.Backend.ID, d.Incarnation}]
+	submitted := c.submitted[engineIncarnation{d.Backend.ID, d.Incarnation}]
 	for _, b := range chain.Blocks[:d.ClaimedTokens/chain.BlockTokens] {
-		root, ok := given[b]
+		root, ok := submitted[b]
 		if !ok {
-			c.breach("%s claims a block that life %d of %s never was given", d.Request, d.Incarnation, d.Backend.ID)
+			c.breach("%s assumes a cached block that incarnation %d of %s never computed", d.Request, d.Incarnation, d.Backend.ID)
 			return
 		}
 		if root != chain.Root {
-			c.breach("%s claims a block of %+v at %s", d.Request, root, d.Backend.ID)
+			c.breach("%s assumes a cached block of another cache root, %+v, at %s", d.Request, root, d.Backend.ID)
 			return
 		}
 	}
 }
 
-// accepted notes that an engine took an attempt.
+// accepted records that an engine accepted an attempt, with the blocks of its
+// prompt.
 func (c *checker) accepted(a *attempt) {
-	r := a.life.request
+	r := a.state.request
 	if c.reached[r.ID] == nil {
 		c.reached[r.ID] = make(map[wasabiridge.AttemptID]bool)
 	}
 	c.reached[r.ID][a.dispatch.Attempt] = true
-	k := incarnated{a.server.backend.ID, a.server.Incarnation()}
-	if c.given[k] == nil {
-		c.given[k] = make(map[wasabiridge.BlockHash]wasabiridge.CacheRoot)
+	k := engineIncarnation{a.server.backend.ID, a.server.Incarnation()}
+	if c.submitted[k] == nil {
+		c.submitted[k] = make(map[wasabiridge.BlockHash]wasabiridge.CacheRoot)
 	}
 	for _, b := range r.Chain.Blocks {
-		if root, ok := c.given[k][b]; ok && root != r.Chain.Root {
+		if root, ok := c.submitted[k][b]; ok && root != r.Chain.Root {
 			continue
 		}
-		c.given[k][b] = r.Chain.Root
+		c.submitted[k][b] = r.Chain.Root
 	}
 }
 
 func (c *checker) started(a *attempt) {
-	r := a.life.request
+	r := a.state.request
 	c.runs[r.ID]++
 	if r.Action.NonIdempotent && c.runs[r.ID] > 1 {
 		c.breach("%s must run at most once, but ran %d times", r.ID, c.runs[r.ID])
 	}
 }
 
-// resumed checks that an answer goes on exactly where the last one broke.
-func (c *checker) resumed(l *life, out wasabifake.Output) {
-	if out.Job.ResumeFrom != l.delivered {
-		c.breach("%s goes on at token %d, but its caller has %d", l.request.ID, out.Job.ResumeFrom, l.delivered)
+// resumed checks that a resumed answer continues at the first token that the
+// caller has not received.
+func (c *checker) resumed(state *requestState, out wasabifake.Output) {
+	if out.Job.ResumeFrom != state.delivered {
+		c.breach("%s resumes at token %d, but its caller received %d tokens", state.request.ID, out.Job.ResumeFrom, state.delivered)
 	}
 }
 
-func (c *checker) answered(l *life, out wasabifake.Output) {
-	c.answers[l.request.ID]++
-	if out.Job.Request != l.request.ID {
-		c.breach("%s got the answer of %s", l.request.ID, out.Job.Request)
+func (c *checker) answered(state *requestState, out wasabifake.Output) {
+	c.answers[state.request.ID]++
+	if out.Job.Request != state.request.ID {
+		c.breach("%s received the answer to %s", state.request.ID, out.Job.Request)
 	}
-	if l.ended {
-		c.breach("%s was answered after its end", l.request.ID)
+	if state.ended {
+		c.breach("%s was answered after it had ended", state.request.ID)
 	}
 }
 
-func (c *checker) refused(l *life, r wasabiridge.Refuse) {
+func (c *checker) refused(state *requestState, r wasabiridge.Refuse) {
 	c.refusals[r.Request]++
-	if l.ended {
-		c.breach("%s was refused after its end", r.Request)
+	if state.ended {
+		c.breach("%s was refused after it had ended", r.Request)
 	}
 	if r.Disposition == wasabiridge.NotRun && len(c.reached[r.Request]) > 0 {
-		c.breach("%s was refused as not run, but reached an engine", r.Request)
+		c.breach("%s was refused as not run, but an engine accepted it", r.Request)
 	}
 }
 
-func (c *checker) finished(l *life) {
-	if !l.ended {
-		c.breach("%s was lost", l.request.ID)
+func (c *checker) finished(state *requestState) {
+	if !state.ended {
+		c.breach("%s was neither answered nor refused", state.request.ID)
 	}
-	if c.answers[l.request.ID] > 1 {
-		c.breach("%s was answered %d times", l.request.ID, c.answers[l.request.ID])
+	if c.answers[state.request.ID] > 1 {
+		c.breach("%s was answered %d times", state.request.ID, c.answers[state.request.ID])
 	}
 }
--- a/internal/wasabimeasure/fault.go
+++ b/internal/wasabimeasure/fault.go
@@ -7,32 +7,35 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Fault names something that goes wrong during a run.
+// Fault names a failure that is injected into a run.
 type Fault string
 
-// Faults that a run may have. Each begins when three tenths of the measured
-// time are over.
+// Faults that a run can inject. Each starts after 30 % of the measured time.
 const (
-	// EngineCrash kills one engine; it is back cold after 5 s.
+	// EngineCrash stops one engine, which restarts with an empty cache after 5 s.
 	EngineCrash Fault = "engine_crash"
-	// EventsLost drops three in ten cache events.
+	// EventsLost drops 30 % of the cache events.
 	EventsLost Fault = "events_lost"
-	// EventsStopped ends all cache events.
+	// EventsStopped drops all cache events.
 	EventsStopped Fault = "events_stopped"
-	// LoadLagX10 makes load reports ten times as late.
+	// LoadLagX10 multiplies the delay of load reports by ten.
 	LoadLagX10 Fault = "load_lag_x10"
 	// RoutersRestarted restarts all instances at once.
 	RoutersRestarted Fault = "routers_restarted"
-	// HotShift makes the coldest prefixes the hottest.
+	// HotShift reverses the popularity of prefixes: the least requested become
+	// the most requested.
 	HotShift Fault = "hot_shift"
-	// ThirdOfPoolGone kills a third of the first pool; it is back cold after
-	// 30 s.
+	// ThirdOfPoolGone stops a third of the first pool. The engines restart with
+	// empty caches after 30 s.
 	ThirdOfPoolGone Fault = "third_of_pool_gone"
-	// BackendLeaving makes one engine leave. Instances learn of it within 2 s.
+	// BackendLeaving makes one engine leave. Instances are notified one after
+	// another within 2 s.
 	BackendLeaving Fault = "backend_leaving"
-	// HalfOfPoolGone kills half of the first pool for 30 s.
+	// HalfOfPoolGone stops half of the first pool for 30 s. The engines restart
+	// with empty caches.
 	HalfOfPoolGone Fault = "half_of_pool_gone"
-	// EngineFlapping kills one engine again and again, 1 s after each return.
+	// EngineFlapping crashes one engine repeatedly: it restarts 1 s after each
+	// crash and crashes 1 s after each restart.
 	EngineFlapping Fault = "engine_flapping"
 )
 
@@ -54,137 +57,140 @@
 }
 
 const (
-	faultStart    = 0.3
-	crashTime     = 5 * wasabiridge.Second
-	goneTime      = 30 * wasabiridge.Second
-	flapTime      = wasabiridge.Second
-	leavingSpread = 2 * wasabiridge.Second
-	askAgain      = 100 * wasabiridge.Millis(1)
-	lostShare     = 0.3
-	lagFactor     = 10
+	faultStart       = 0.3
+	engineDowntime   = 5 * wasabiridge.Second
+	poolDowntime     = 30 * wasabiridge.Second
+	flapInterval     = wasabiridge.Second
+	leavingSpread    = 2 * wasabiridge.Second
+	callerRetryDelay = 100 * wasabiridge.Millis(1)
+	eventLossRate    = 0.3
+	lagFactor        = 10
 )
 
-// faultState holds the faults that last.
+// faultState holds the faults that stay active for the rest of the run.
 type faultState struct {
-	lost    bool
-	stopped bool
-	lagging bool
+	losingEvents  bool
+	eventsStopped bool
+	reportsLate   bool
 }
 
 func (f faultState) lag(normal wasabiridge.Millis) wasabiridge.Millis {
-	if f.lagging {
+	if f.reportsLate {
 		return lagFactor * normal
 	}
 	return normal
 }
 
-// thin drops cache events that do not come through.
-func (f faultState) thin(w *world, events []wasabiridge.CacheEvent) []wasabiridge.CacheEvent {
-	if f.stopped {
+// dropEvents returns the cache events that are delivered under the active
+// faults.
+func (f faultState) dropEvents(sim *simulation, events []wasabiridge.CacheEvent) []wasabiridge.CacheEvent {
+	if f.eventsStopped {
 		return nil
 	}
-	if !f.lost {
+	if !f.losingEvents {
 		return events
 	}
 	var kept []wasabiridge.CacheEvent
 	for _, e := range events {
-		if w.random.Float64() >= lostShare {
+		if sim.random.Float64() >= eventLossRate {
 			kept = append(kept, e)
 		}
 	}
 	return kept
 }
 
-func (w *world) planFaults() {
-	measured := float64(w.o.Workload.Duration - w.o.Workload.WarmUp)
-	start := w.o.Workload.WarmUp + wasabiridge.Millis(faultStart*measured)
-	for _, f := range w.o.Faults {
-		w.at(start, func() { w.begin(f) })
+func (sim *simulation) scheduleFaults() {
+	measured := float64(sim.o.Workload.Duration - sim.o.Workload.WarmUp)
+	start := sim.o.Workload.WarmUp + wasabiridge.Millis(faultStart*measured)
+	for _, f := range sim.o.Faults {
+		sim.schedule(start, func() { sim.startFault(f) })
 	}
 }
 
-func (w *world) begin(f Fault) {
-	pool := w.o.Workload.Pools[0]
+func (sim *simulation) startFault(f Fault) {
+	pool := sim.o.Workload.Pools[0]
 	switch f {
 	case EngineCrash:
-		w.kill(pool, 1, crashTime)
+		sim.kill(pool, 1, engineDowntime)
 	case EventsLost:
-		w.faults.lost = true
+		sim.faults.losingEvents = true
 	case EventsStopped:
-		w.faults.stopped = true
+		sim.faults.eventsStopped = true
 	case LoadLagX10:
-		w.faults.lagging = true
+		sim.faults.reportsLate = true
 	case RoutersRestarted:
-		w.restartRouters()
+		sim.restartRouters()
 	case HotShift:
-		w.traffic.shifted = true
+		sim.traffic.shifted = true
 	case ThirdOfPoolGone:
-		w.kill(pool, pool.Replicas/3, goneTime)
+		sim.kill(pool, pool.Replicas/3, poolDowntime)
 	case HalfOfPoolGone:
-		w.kill(pool, pool.Replicas/2, goneTime)
+		sim.kill(pool, pool.Replicas/2, poolDowntime)
 	case BackendLeaving:
-		w.leave(w.servers[0])
+		sim.leave(sim.servers[0])
 	case EngineFlapping:
-		w.flap(w.servers[0])
+		sim.flap(sim.servers[0])
 	}
 }
 
-// kill crashes the first engines of a pool and brings them back cold.
-func (w *world) kill(pool PoolSpec, count int, gone wasabiridge.Millis) {
-	for _, s := range w.servers {
+// kill crashes the first count engines of a pool. They restart with empty caches
+// after the downtime.
+func (sim *simulation) kill(pool PoolSpec, count int, downtime wasabiridge.Millis) {
+	for _, s := range sim.servers {
 		if s.pool.ID == pool.ID && count > 0 {
 			count--
-			w.crash(s)
-			w.at(w.now+gone, s.Return)
+			sim.crash(s)
+			sim.schedule(sim.now+downtime, s.Return)
 		}
 	}
 }
 
-func (w *world) flap(s *server) {
-	if w.now > w.end {
+func (sim *simulation) flap(s *server) {
+	if sim.now > sim.end {
 		return
 	}
-	w.crash(s)
-	w.at(w.now+flapTime, func() {
+	sim.crash(s)
+	sim.schedule(sim.now+flapInterval, func() {
 		s.Return()
-		w.at(w.now+flapTime, func() { w.flap(s) })
+		sim.schedule(sim.now+flapInterval, func() { sim.flap(s) })
 	})
 }
 
-func (w *world) leave(s *server) {
+func (sim *simulation) leave(s *server) {
 	s.Leave()
-	w.checker.leaving[s.backend.ID] = w.now
-	for i := range w.instances {
-		told := w.now + leavingSpread*wasabiridge.Millis(i)/wasabiridge.Millis(len(w.instances))
-		w.at(told, func() { w.tell(i, wasabiridge.BackendLeaving{Backend: s.backend.ID}) })
+	sim.checker.leaving[s.backend.ID] = sim.now
+	for i := range sim.instances {
+		notifiedAt := sim.now + leavingSpread*wasabiridge.Millis(i)/wasabiridge.Millis(len(sim.instances))
+		sim.schedule(notifiedAt, func() { sim.notify(i, wasabiridge.BackendLeaving{Backend: s.backend.ID}) })
 	}
 }
 
-// restartRouters ends the lives of all instances. Their connections break:
-// engines stop what they did for them, and callers ask again. A caller whose
-// request must not run twice cannot, because nobody knows whether it ran.
-func (w *world) restartRouters() {
-	w.inbox = nil
-	for _, id := range slices.Sorted(maps.Keys(w.attempts)) {
-		a := w.attempts[id]
-		a.server.Cancel(w.now, a.dispatch.Attempt)
+// restartRouters restarts all instances. Their connections break: engines cancel
+// the attempts in flight, and callers send their requests again. Non-idempotent
+// requests are not sent again, because the caller cannot know whether the first
+// one ran; they count as cut.
+func (sim *simulation) restartRouters() {
+	sim.pending = nil
+	for _, id := range slices.Sorted(maps.Keys(sim.attempts)) {
+		a := sim.attempts[id]
+		a.server.Cancel(sim.now, a.dispatch.Attempt)
 	}
-	clear(w.attempts)
-	for i := range w.instances {
-		w.instances[i].life++
-		w.instances[i].decider = w.newDecider(i, w.instances[i].life)
+	clear(sim.attempts)
+	for i := range sim.instances {
+		sim.instances[i].incarnation++
+		sim.instances[i].decider = sim.newDecider(i, sim.instances[i].incarnation)
 	}
-	w.checker.restarted()
-	for _, l := range w.lives {
-		if l.ended {
+	sim.checker.restarted()
+	for _, state := range sim.requests {
+		if state.ended {
 			continue
 		}
-		if l.request.Action.NonIdempotent {
-			w.endOf(l)
-			w.each(l, func(f *Figures) { f.Cut++ })
+		if state.request.Action.NonIdempotent {
+			sim.markEnded(state)
+			sim.updateFigures(state, func(f *Figures) { f.Cut++ })
 			continue
 		}
-		l.winner, l.delivered = 0, 0
-		w.at(w.now+askAgain, func() { w.ask(l) })
+		state.winner, state.delivered = 0, 0
+		sim.schedule(sim.now+callerRetryDelay, func() { sim.sendToInstance(state) })
 	}
 }
--- a/internal/wasabimeasure/limits_test.go
+++ b/internal/wasabimeasure/limits_test.go
@@ -9,15 +9,16 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabitest"
 )
 
-// middling is a run of the policy to ship, long enough for a tail.
-func middling(name string, load float64) wasabimeasure.Options {
+// mediumRun returns the options of a run of the production policy that is long
+// enough for a 95th percentile.
+func mediumRun(name string, load float64) wasabimeasure.Options {
 	w, err := wasabimeasure.Load(name)
 	Expect(err).NotTo(HaveOccurred())
 	w.Duration, w.WarmUp = 80*wasabiridge.Second, 20*wasabiridge.Second
 	return wasabimeasure.Options{Workload: w, Policy: "ours", Instances: 9, Load: load, Seed: wasabitest.Seed}
 }
 
-func goodOf(r wasabimeasure.Report, stream string) int {
+func goodRequests(r wasabimeasure.Report, stream string) int {
 	for _, s := range r.Streams {
 		if s.Name == stream {
 			return s.Good
@@ -27,36 +28,36 @@
 }
 
 var _ = Describe("Limits in a measured run", func() {
-	// Twice as many callers ask as the engines can answer. Without limits all
-	// of them wait until it is too late, and nobody gets an answer in time.
+	// Requests arrive at twice the rate that the engines can serve. Without
+	// limits all of them queue past their deadlines, and goodput collapses.
 	for _, x := range []struct{ workload, stream string }{{"liftwell", "fault_code"}, {"selam", "rights_review"}} {
 		It("keep the goodput of "+x.workload+" at twice its capacity", func() {
 			peak := 0
 			for _, load := range []float64{0.8, 1, 1.2} {
-				peak = max(peak, goodOf(run(middling(x.workload, load)), x.stream))
+				peak = max(peak, goodRequests(run(mediumRun(x.workload, load)), x.stream))
 			}
-			overloaded := run(middling(x.workload, 2))
-			Expect(goodOf(overloaded, x.stream)).To(BeNumerically(">=", 0.9*float64(peak)))
+			overloaded := run(mediumRun(x.workload, 2))
+			Expect(goodRequests(overloaded, x.stream)).To(BeNumerically(">=", 0.9*float64(peak)))
 			Expect(overloaded.Violations).To(BeEmpty())
 		})
 	}
 
-	// An engine dies again and again, or half of a pool dies at once. What was
-	// inside comes back to the routers. If they sent it all again, and again,
-	// the engines that are left would do the work several times.
+	// An engine crashes repeatedly, or half of a pool crashes at once, and the
+	// attempts in flight fail. With unlimited retries the remaining engines
+	// would compute the same requests several times.
 	for _, f := range []wasabimeasure.Fault{wasabimeasure.EngineFlapping, wasabimeasure.HalfOfPoolGone} {
-		It("keep the work within a tenth more under "+string(f), func() {
-			calm := run(middling("liftwell", 0.7))
-			hit := run(middling("liftwell", 0.7).WithFaults(f))
-			Expect(hit.Attempts).To(BeNumerically("<=", 1.1*float64(calm.Attempts)))
-			Expect(hit.Violations).To(BeEmpty())
+		It("keep the attempts within 110 % of a run without faults under "+string(f), func() {
+			healthy := run(mediumRun("liftwell", 0.7))
+			faulty := run(mediumRun("liftwell", 0.7).WithFaults(f))
+			Expect(faulty.Attempts).To(BeNumerically("<=", 1.1*float64(healthy.Attempts)))
+			Expect(faulty.Violations).To(BeEmpty())
 		})
 	}
 
-	// One account sends ten times its traffic. Callers of the others would
-	// see their first tokens come late.
-	It("hold an account that floods, so that others hardly notice", func() {
-		o := middling("liftwell", 0.7)
+	// One account sends ten times its traffic. Without fair shares the first
+	// tokens of all other accounts would be delayed.
+	It("keep the TTFT p95 of other accounts within 110 % when one account floods", func() {
+		o := mediumRun("liftwell", 0.7)
 		before := run(o).OthersOf("east")
 		o.Workload = o.Workload.WithSurge("east", 10)
 		after := run(o).OthersOf("east")
--- a/internal/wasabimeasure/measure.go
+++ b/internal/wasabimeasure/measure.go
@@ -1,10 +1,12 @@
-// Package wasabimeasure measures decisions: it drives a few real Deciders
-// against model engines from wasabifake, in virtual time.
+// Package wasabimeasure measures the quality of routing decisions: a
+// discrete-event simulation runs the production Deciders of several instances
+// against the simulated engines of wasabifake, in virtual time.
 //
-// It has no model of networks, links between zones, machines or the
-// platform. Callers reach a random instance or follow address answers; events reach each instance after
-// a fixed delay. Every run checks the promises that hold whatever fails and
-// reports each breach as a violation.
+// Networks, links between availability zones, machines and the platform are not
+// modelled. Callers choose an instance at random or by the address list that
+// instances return; events reach each instance after a fixed delay. Every run
+// checks the invariants that must hold under every fault, and reports breaches
+// as violations.
 //
 // # Usage
 //
@@ -13,9 +15,12 @@
 //	if w, err = wasabimeasure.Load("liftwell"); err != nil {
 //		return err
 //	}
-//	report := wasabimeasure.Run(wasabimeasure.Options{
+//	var report wasabimeasure.Report
+//	if report, err = wasabimeasure.Run(wasabimeasure.Options{
 //		Workload: w, Policy: "oracle", Instances: 9, Load: 0.7, Seed: 1,
-//	})
+//	}); err != nil {
+//		return err
+//	}
 //	fmt.Println(report.HitRate, report.TTFT99, report.Violations)
 //
 // The same options give the same report.
@@ -27,44 +32,45 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Options says what to measure. It is an immutable value.
+// Options configure a run. They are an immutable value.
 type Options struct {
 	Workload  Workload
 	Policy    string
 	Instances int
-	// Load is the rate of arrivals as a part of the workload's capacity.
+	// Load is the arrival rate as a fraction of the capacity of the workload.
 	Load   float64
 	Seed   uint64
 	Faults []Fault
-	// Callers is how callers choose an instance. Empty means CallersRandom.
+	// Callers is CallersRandom or CallersSteered. Empty means CallersRandom.
 	Callers string
-	// Stopwatch times decisions. Nil leaves their cost out, so that the
-	// report depends on nothing but the other options.
+	// Stopwatch returns a monotonic time, with which the wall time of decisions
+	// is measured. If it is nil, decisions are not timed, and the report
+	// depends only on the other options.
 	Stopwatch func() time.Duration
-	// wrap puts something between the run and a Decider, for tests.
+	// wrap returns the Decider that the run uses in place of the original one.
 	wrap func(wasabiridge.Decider) wasabiridge.Decider
 }
 
-// WithPolicy returns the same options for another policy.
+// WithPolicy returns a copy of the options with the policy replaced.
 func (o Options) WithPolicy(name string) Options {
 	o.Policy = name
 	return o
 }
 
-// WithSeed returns the same options for another seed.
+// WithSeed returns a copy of the options with the seed replaced.
 func (o Options) WithSeed(seed uint64) Options {
 	o.Seed = seed
 	return o
 }
 
-// WithFaults returns the same options with other faults.
+// WithFaults returns a copy of the options with the faults replaced.
 func (o Options) WithFaults(faults ...Fault) Options {
 	o.Faults = append([]Fault(nil), faults...)
 	return o
 }
 
-// WithDecider returns the same options with something put around every
-// Decider.
+// WithDecider returns a copy of the options in which wrap replaces every Decider.
+// Tests use it to inject wrong decisions.
 func (o Options) WithDecider(wrap func(wasabiridge.Decider) wasabiridge.Decider) Options {
 	o.wrap = wrap
 	return o
@@ -88,12 +94,13 @@
 	return nil
 }
 
-// Run measures. Breaches of promises are in the report, not in the error.
+// Run runs the simulation and returns its report. Violated invariants are in the
+// report. The error is ErrInvalid if the options are invalid.
 func Run(o Options) (Report, error) {
 	if err := o.check(); err != nil {
 		return Report{}, err
 	}
-	w := newWorld(o)
-	w.run()
-	return w.report(), nil
+	sim := newSimulation(o)
+	sim.run()
+	return sim.report(), nil
 }
--- a/internal/wasabimeasure/measure_test.go
+++ b/internal/wasabimeasure/measure_test.go
@@ -31,30 +31,31 @@
 	return r
 }
 
-func text(o wasabimeasure.Options) string {
+func reportJSON(o wasabimeasure.Options) string {
 	var b bytes.Buffer
 	Expect(wasabimeasure.WriteJSON(&b, []wasabimeasure.Report{run(o)})).To(Succeed())
 	return b.String()
 }
 
-// meddler puts another Decider's effects in the place of the real ones.
-type meddler struct {
+// effectRewriter is a Decider that rewrites the effects of another one.
+type effectRewriter struct {
 	wasabiridge.Decider
-	meddle func(now wasabiridge.Millis, effects []wasabiridge.Effect) []wasabiridge.Effect
+	rewrite func(now wasabiridge.Millis, effects []wasabiridge.Effect) []wasabiridge.Effect
 }
 
-func (m meddler) Handle(now wasabiridge.Millis, e wasabiridge.Event) []wasabiridge.Effect {
-	return m.meddle(now, m.Decider.Handle(now, e))
+func (m effectRewriter) Handle(now wasabiridge.Millis, e wasabiridge.Event) []wasabiridge.Effect {
+	return m.rewrite(now, m.Decider.Handle(now, e))
 }
 
-// onDispatch changes every Dispatch, or adds effects after it.
+// onDispatch returns a wrapper of Deciders that replaces every Dispatch by the
+// effects that change returns.
 func onDispatch(change func(now wasabiridge.Millis, d wasabiridge.Dispatch) []wasabiridge.Effect) func(wasabiridge.Decider) wasabiridge.Decider {
 	return func(d wasabiridge.Decider) wasabiridge.Decider {
-		return meddler{d, func(now wasabiridge.Millis, effects []wasabiridge.Effect) []wasabiridge.Effect {
+		return effectRewriter{d, func(now wasabiridge.Millis, effects []wasabiridge.Effect) []wasabiridge.Effect {
 			var all []wasabiridge.Effect
 			for _, e := range effects {
-				if sent, ok := e.(wasabiridge.Dispatch); ok {
-					all = append(all, change(now, sent)...)
+				if dispatch, ok := e.(wasabiridge.Dispatch); ok {
+					all = append(all, change(now, dispatch)...)
 					continue
 				}
 				all = append(all, e)
@@ -65,11 +66,11 @@
 }
 
 var _ = Describe("A measured run", func() {
-	It("gives the same bytes for the same seed, and others for another", func() {
+	It("writes identical JSON for the same seed and different JSON for another seed", func() {
 		for _, name := range []string{"liftwell", "selam"} {
 			o := short(name).WithFaults(wasabimeasure.RoutersRestarted, wasabimeasure.EventsLost, wasabimeasure.EngineCrash)
-			Expect(text(o)).To(Equal(text(o)))
-			Expect(text(o)).NotTo(Equal(text(o.WithSeed(1))))
+			Expect(reportJSON(o)).To(Equal(reportJSON(o)))
+			Expect(reportJSON(o)).NotTo(Equal(reportJSON(o.WithSeed(1))))
 		}
 	})
 
@@ -78,81 +79,81 @@
 		faults[string(f)] = f
 	}
 	for _, name := range slices.Sorted(maps.Keys(faults)) {
-		It("keeps all promises under "+name, func() {
+		It("violates no invariant under "+name, func() {
 			r := run(short("liftwell").WithFaults(faults[name]))
 			Expect(r.Violations).To(BeEmpty())
 			Expect(r.Answered + r.Refused + r.Cut).To(BeNumerically(">=", r.Requests))
 		})
 	}
 
-	planted := map[string]struct {
-		faults []wasabimeasure.Fault
-		plant  func(now wasabiridge.Millis, d wasabiridge.Dispatch) []wasabiridge.Effect
-		says   string
+	injected := map[string]struct {
+		faults    []wasabimeasure.Fault
+		inject    func(now wasabiridge.Millis, d wasabiridge.Dispatch) []wasabiridge.Effect
+		violation string
 	}{
-		"a claim that nothing backs": {
-			plant: func(_ wasabiridge.Millis, d wasabiridge.Dispatch) []wasabiridge.Effect {
+		"an assumed cache hit for blocks that the engine never computed": {
+			inject: func(_ wasabiridge.Millis, d wasabiridge.Dispatch) []wasabiridge.Effect {
 				d.ClaimedTokens, d.Incarnation = 2048, 7
 				return []wasabiridge.Effect{d}
 			},
-			says: "never was given",
+			violation: "never computed",
 		},
-		"a claim on the life before a crash": {
+		"an assumed cache hit on the incarnation before a crash": {
 			faults: []wasabimeasure.Fault{wasabimeasure.EngineCrash},
-			plant: func(now wasabiridge.Millis, d wasabiridge.Dispatch) []wasabiridge.Effect {
+			inject: func(now wasabiridge.Millis, d wasabiridge.Dispatch) []wasabiridge.Effect {
 				if now > 16*wasabiridge.Second && d.Backend.ID == "answer-1" {
 					d.ClaimedTokens, d.Incarnation = 2048, 1
 				}
 				return []wasabiridge.Effect{d}
 			},
-			says: "though life 2 was known",
+			violation: "but incarnation 2 had been reported",
 		},
-		"work for a server that is leaving": {
+		"a dispatch to a server that is leaving": {
 			faults: []wasabimeasure.Fault{wasabimeasure.BackendLeaving},
-			plant: func(now wasabiridge.Millis, d wasabiridge.Dispatch) []wasabiridge.Effect {
+			inject: func(now wasabiridge.Millis, d wasabiridge.Dispatch) []wasabiridge.Effect {
 				if now > 13*wasabiridge.Second {
 					d.Backend.ID = "answer-1"
 				}
 				return []wasabiridge.Effect{d}
 			},
-			says: "began to leave",
+			violation: "began to leave",
 		},
-		"a refusal as not run of a request that was sent": {
-			plant: func(_ wasabiridge.Millis, d wasabiridge.Dispatch) []wasabiridge.Effect {
+		"a refusal as not run of a request that an engine accepted": {
+			inject: func(_ wasabiridge.Millis, d wasabiridge.Dispatch) []wasabiridge.Effect {
 				return []wasabiridge.Effect{d, wasabiridge.Refuse{Request: d.Request}}
 			},
-			says: "but reached an engine",
+			violation: "but an engine accepted it",
 		},
-		"a second answer": {
-			plant: func(_ wasabiridge.Millis, d wasabiridge.Dispatch) []wasabiridge.Effect {
+		"a second execution of a non-idempotent request": {
+			inject: func(_ wasabiridge.Millis, d wasabiridge.Dispatch) []wasabiridge.Effect {
 				again := d
 				again.Attempt += 1 << 60
 				return []wasabiridge.Effect{d, again}
 			},
-			says: "must run at most once",
+			violation: "must run at most once",
 		},
-		"an attempt identifier used twice": {
-			plant: func(_ wasabiridge.Millis, d wasabiridge.Dispatch) []wasabiridge.Effect {
+		"an attempt ID that is used twice": {
+			inject: func(_ wasabiridge.Millis, d wasabiridge.Dispatch) []wasabiridge.Effect {
 				d.Attempt %= 1 << 32
 				return []wasabiridge.Effect{d}
 			},
-			says: "used before",
+			violation: "used before",
 		},
-		"a request that is never sent": {
-			plant: func(wasabiridge.Millis, wasabiridge.Dispatch) []wasabiridge.Effect { return nil },
-			says:  "was lost",
+		"a request that is never dispatched": {
+			inject:    func(wasabiridge.Millis, wasabiridge.Dispatch) []wasabiridge.Effect { return nil },
+			violation: "was neither answered nor refused",
 		},
 	}
-	for _, name := range slices.Sorted(maps.Keys(planted)) {
-		It("catches "+name, func() {
-			p := planted[name]
-			r := run(short("liftwell").WithFaults(p.faults...).WithDecider(onDispatch(p.plant)))
+	for _, name := range slices.Sorted(maps.Keys(injected)) {
+		It("reports "+name, func() {
+			p := injected[name]
+			r := run(short("liftwell").WithFaults(p.faults...).WithDecider(onDispatch(p.inject)))
 			Expect(r.Breaches).To(BeNumerically(">", 0))
-			Expect(r.Violations).To(ContainElement(ContainSubstring(p.says)))
+			Expect(r.Violations).To(ContainElement(ContainSubstring(p.violation)))
 		})
 	}
 
-	It("names what is wrong in a workload file", func() {
+	It("names the unknown field of a workload and fails on a missing file", func() {
 		_, err := wasabimeasure.Parse([]byte(`{"name": "x", "speed": 1}`))
 		Expect(err).To(MatchError(ContainSubstring("speed")))
 		_, err = wasabimeasure.Load("no-such-file.json")
--- a/internal/wasabimeasure/pairs_test.go
+++ b/internal/wasabimeasure/pairs_test.go
@@ -10,19 +10,19 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabimeasure"
 )
 
-// Two failures come at the same moment. One that comes twice at one moment is
-// the same as once here; engine_flapping stands for crashes that repeat. What a user would
-// see if a promise broke: an answer that leans on a cache that is gone, an
-// answer that is cut or comes twice, a booking that runs twice, or a refusal
-// that says "not run" for work that an engine took.
-var _ = Describe("Failures in pairs", func() {
+// Two different faults start at the same time. A fault paired with itself equals
+// the single fault here; engine_flapping covers repeated crashes. A violated
+// invariant would be a placement by a cache that is gone, an answer that is
+// truncated or comes twice, a booking that runs twice, or a refusal as "not run"
+// of a request that an engine accepted.
+var _ = Describe("Two simultaneous faults", func() {
 	faults := []wasabimeasure.Fault{
 		wasabimeasure.EngineCrash, wasabimeasure.EventsLost, wasabimeasure.RoutersRestarted,
 		wasabimeasure.HotShift, wasabimeasure.BackendLeaving,
 	}
 	for i, one := range faults {
 		for _, other := range faults[i+1:] {
-			It(fmt.Sprintf("keep all promises: %s and %s", one, other), func() {
+			It(fmt.Sprintf("violate no invariant: %s and %s", one, other), func() {
 				o := short("liftwell").WithFaults(one, other)
 				o.Policy = "ours"
 				o.Workload.Duration = 12 * wasabiridge.Second
--- a/internal/wasabimeasure/plot.go
+++ b/internal/wasabimeasure/plot.go
@@ -7,13 +7,14 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// WritePlot draws which part of all requests got their first token within
-// which time, a line for each report, into a file.
+// WritePlot writes a plot of the cumulative distribution of the time to first
+// token, with a line for each report, to a file. The extension of the path
+// selects the image format. A curve ends below 1 if requests were not answered.
 func WritePlot(path string, reports []Report) error {
 	p := plot.New()
 	p.Title.Text = reports[0].Workload
 	p.X.Label.Text = "time to first token (ms)"
-	p.Y.Label.Text = "part of all requests"
+	p.Y.Label.Text = "fraction of all requests"
 	p.X.Scale = plot.LogScale{}
 	p.X.Tick.Marker = plot.LogTicks{Prec: -1}
 	p.Y.Max = 1
--- a/internal/wasabimeasure/policy.go
+++ b/internal/wasabimeasure/policy.go
@@ -10,16 +10,17 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabiplace"
 )
 
-// policies makes the Placer of each policy.
-var policies = map[string]func(seed uint64, w *world) wasabiridge.Placer{
-	"ours": func(seed uint64, _ *world) wasabiridge.Placer {
+// policies holds the constructor of the Placer of each policy. "ours" is the
+// policy that routers use; the others are baselines.
+var policies = map[string]func(seed uint64, sim *simulation) wasabiridge.Placer{
+	"ours": func(seed uint64, _ *simulation) wasabiridge.Placer {
 		return wasabiplace.New(wasabiplace.Options{Seed: seed})
 	},
-	"round_robin":       func(seed uint64, _ *world) wasabiridge.Placer { return wasabibaseline.NewRoundRobin(seed) },
-	"least_loaded":      func(seed uint64, _ *world) wasabiridge.Placer { return wasabibaseline.NewLeastLoaded(seed) },
-	"rendezvous_prompt": func(seed uint64, _ *world) wasabiridge.Placer { return wasabibaseline.NewRendezvousPrompt(seed) },
-	"rendezvous_first":  func(seed uint64, _ *world) wasabiridge.Placer { return wasabibaseline.NewRendezvousFirst(seed) },
-	"oracle":            func(seed uint64, w *world) wasabiridge.Placer { return wasabibaseline.NewOracle(seed, w) },
+	"round_robin":       func(seed uint64, _ *simulation) wasabiridge.Placer { return wasabibaseline.NewRoundRobin(seed) },
+	"least_loaded":      func(seed uint64, _ *simulation) wasabiridge.Placer { return wasabibaseline.NewLeastLoaded(seed) },
+	"rendezvous_prompt": func(seed uint64, _ *simulation) wasabiridge.Placer { return wasabibaseline.NewRendezvousPrompt(seed) },
+	"rendezvous_first":  func(seed uint64, _ *simulation) wasabiridge.Placer { return wasabibaseline.NewRendezvousFirst(seed) },
+	"oracle":            func(seed uint64, sim *simulation) wasabiridge.Placer { return wasabibaseline.NewOracle(seed, sim) },
 }
 
 // Policies lists the names of all policies.
@@ -32,23 +33,24 @@
 	return names
 }
 
-// attemptBits is how many attempts one life of an instance may make before
-// its identifiers reach those of another.
+// attemptBits is the number of low bits of an attempt ID that count the attempts
+// of one incarnation of an instance. The high bits number the incarnation, so
+// that IDs stay unique below 2^32 attempts.
 const attemptBits = 32
 
-// newDecider starts an instance. Each life has its own seed and its own range
-// of attempt identifiers.
-func (w *world) newDecider(instance, life int) wasabiridge.Decider {
-	number := life*w.o.Instances + instance
-	seed := w.o.Seed*1000 + uint64(number)
+// newDecider returns the Decider of one incarnation of an instance, with its own
+// seed and its own range of attempt IDs.
+func (sim *simulation) newDecider(instance, incarnation int) wasabiridge.Decider {
+	number := incarnation*sim.o.Instances + instance
+	seed := sim.o.Seed*1000 + uint64(number)
 	var d wasabiridge.Decider = wasabicore.New(wasabicore.Options{
-		Placer:       policies[w.o.Policy](seed, w),
-		Limiter:      wasabilimit.New(wasabilimit.Options{Instances: w.o.Instances}),
+		Placer:       policies[sim.o.Policy](seed, sim),
+		Limiter:      wasabilimit.New(wasabilimit.Options{Instances: sim.o.Instances}),
 		FirstAttempt: wasabiridge.AttemptID(number) << attemptBits,
 	})
-	if w.o.wrap != nil {
-		d = w.o.wrap(d)
+	if sim.o.wrap != nil {
+		d = sim.o.wrap(d)
 	}
-	d.Handle(w.now, wasabiridge.ConfigAdopted{Config: w.config})
+	d.Handle(sim.now, wasabiridge.ConfigAdopted{Config: sim.config})
 	return d
 }
--- a/internal/wasabimeasure/agenda.go
+++ b/internal/wasabimeasure/queue.go
@@ -12,27 +12,28 @@
 	do    func()
 }
 
-// agenda holds tasks by time, and within a point in time by the order in
-// which they were added.
-type agenda struct {
+// taskQueue is a priority queue of tasks, ordered by due time. Tasks with the
+// same due time run in the order in which they were added.
+type taskQueue struct {
 	tasks tasks
 	added uint64
 }
 
-func (a *agenda) add(at wasabiridge.Millis, do func()) {
-	a.added++
-	heap.Push(&a.tasks, task{at: at, order: a.added, do: do})
+func (q *taskQueue) add(at wasabiridge.Millis, do func()) {
+	q.added++
+	heap.Push(&q.tasks, task{at: at, order: q.added, do: do})
 }
 
-// next returns when the next task is due. The agenda must not be empty.
-func (a *agenda) next() wasabiridge.Millis { return a.tasks[0].at }
+// nextAt returns the due time of the earliest task. The queue must not be empty.
+func (q *taskQueue) nextAt() wasabiridge.Millis { return q.tasks[0].at }
 
-// due takes a task out that is due. It returns nil when there is none.
-func (a *agenda) due(now wasabiridge.Millis) func() {
-	if len(a.tasks) == 0 || a.tasks[0].at > now {
+// popDue removes and returns the earliest task that is due at now, or nil if
+// none is due.
+func (q *taskQueue) popDue(now wasabiridge.Millis) func() {
+	if len(q.tasks) == 0 || q.tasks[0].at > now {
 		return nil
 	}
-	return heap.Pop(&a.tasks).(task).do
+	return heap.Pop(&q.tasks).(task).do
 }
 
 type tasks []task
--- a/internal/wasabimeasure/report.go
+++ b/internal/wasabimeasure/report.go
@@ -11,7 +11,7 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Report is what one run measured.
+// Report is the result of one run.
 type Report struct {
 	Workload  string  `json:"workload"`
 	Policy    string  `json:"policy"`
@@ -20,49 +20,50 @@
 	Seed      uint64  `json:"seed"`
 	Faults    []Fault `json:"faults"`
 	Figures
-	// Goodput is good answers per second.
+	// Goodput is the number of good answers per second of measured time.
 	Goodput  float64                          `json:"goodput_per_second"`
 	Reasons  map[wasabiridge.RefuseReason]int `json:"refusals_by_reason"`
 	Streams  []Named                          `json:"streams"`
 	Accounts []Named                          `json:"accounts"`
-	// Breaches counts broken promises; Violations spells the first out.
+	// Breaches counts all violations of invariants; Violations describes the
+	// first maxViolations of them.
 	Breaches   int      `json:"breaches"`
 	Violations []string `json:"violations"`
-	// Cost50 and Cost99 are the wall time of a decision on an arrived
-	// request. They depend on the machine, so they are not part of the output
-	// that must repeat.
+	// Cost50 and Cost99 are the median and the 99th percentile of the wall time
+	// of placing an arrived request. They depend on the machine and are left out
+	// of the JSON, which must be the same for the same options.
 	Cost50 time.Duration `json:"-"`
 	Cost99 time.Duration `json:"-"`
 }
 
-func (w *world) report() Report {
-	w.tally.all.settle()
-	measured := w.o.Workload.Duration - w.o.Workload.WarmUp
+func (sim *simulation) report() Report {
+	sim.tally.all.summarize()
+	measured := sim.o.Workload.Duration - sim.o.Workload.WarmUp
 	r := Report{
-		Workload: w.o.Workload.Name, Policy: w.o.Policy, Instances: w.o.Instances,
-		Load: w.o.Load, Seed: w.o.Seed, Faults: append([]Fault{}, w.o.Faults...),
-		Figures:  w.tally.all,
-		Goodput:  share(w.tally.all.Good*int(wasabiridge.Second), int(measured)),
-		Reasons:  w.tally.reasons,
-		Streams:  named(w.tally.streams),
-		Accounts: named(w.tally.accounts),
-		Breaches: w.checker.count, Violations: append([]string{}, w.checker.violations...),
+		Workload: sim.o.Workload.Name, Policy: sim.o.Policy, Instances: sim.o.Instances,
+		Load: sim.o.Load, Seed: sim.o.Seed, Faults: append([]Fault{}, sim.o.Faults...),
+		Figures:  sim.tally.all,
+		Goodput:  share(sim.tally.all.Good*int(wasabiridge.Second), int(measured)),
+		Reasons:  sim.tally.reasons,
+		Streams:  named(sim.tally.streams),
+		Accounts: named(sim.tally.accounts),
+		Breaches: sim.checker.count, Violations: append([]string{}, sim.checker.violations...),
 	}
-	if costs := w.tally.costs; len(costs) > 0 {
-		slices.Sort(costs)
-		r.Cost50, r.Cost99 = costs[len(costs)/2], costs[len(costs)*99/100]
+	if decisionTimes := sim.tally.decisionTimes; len(decisionTimes) > 0 {
+		slices.Sort(decisionTimes)
+		r.Cost50, r.Cost99 = decisionTimes[len(decisionTimes)/2], decisionTimes[len(decisionTimes)*99/100]
 	}
 	return r
 }
 
-// WriteJSON writes reports as JSON.
+// WriteJSON writes reports as an indented JSON array.
 func WriteJSON(out io.Writer, reports []Report) error {
 	e := json.NewEncoder(out)
 	e.SetIndent("", "  ")
 	return e.Encode(reports)
 }
 
-// WriteTable writes reports as a table for people.
+// WriteTable writes reports as a text table, followed by their violations.
 func WriteTable(out io.Writer, reports []Report) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "workload\tpolicy\tseed\tfaults\trequests\thit rate\tp50 ms\tp95 ms\tp99 ms\twasted tokens\trefused\tcut\tretries\thedges\tgoodput/s\tbreaches")
@@ -82,7 +83,8 @@
 	return nil
 }
 
-// WriteCosts writes the cost of decisions, which no seed repeats.
+// WriteCosts writes the wall time of decisions, which differs between runs with
+// the same seed.
 func WriteCosts(out io.Writer, reports []Report) error {
 	for _, r := range reports {
 		if _, err := fmt.Fprintf(out, "cost of a decision, %s on %s: p50 %v, p99 %v\n", r.Policy, r.Workload, r.Cost50, r.Cost99); err != nil {
--- a/internal/wasabimeasure/tally.go
+++ b/internal/wasabimeasure/tally.go
@@ -10,27 +10,28 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabifake"
 )
 
-// Figures are what is counted of some requests. Times are milliseconds from
-// arrival to the first token of answered requests.
+// Figures are the counters and statistics of a set of requests. The TTFT fields
+// are percentiles of the time to first token of answered requests, in
+// milliseconds from arrival.
 type Figures struct {
 	Requests int `json:"requests"`
 	Answered int `json:"answered"`
-	// Good counts requests whose first token came before their deadline.
+	// Good counts answered requests whose first token arrived by their deadline.
 	Good    int `json:"good"`
 	Refused int `json:"refused"`
-	// Cut counts answers that broke off and requests whose outcome the caller
-	// cannot know.
+	// Cut counts truncated answers and requests whose outcome is unknown to the
+	// caller.
 	Cut     int `json:"cut"`
 	Retries int `json:"retries"`
 	Hedges  int `json:"hedges"`
-	// HitRate is the part of the prompts' tokens that was cached, at servers
-	// that have a cache.
+	// HitRate is the fraction of prompt tokens that were cached, counted on
+	// servers with a cache only.
 	HitRate float64            `json:"hit_rate"`
 	TTFT50  wasabiridge.Millis `json:"ttft_p50_ms"`
 	TTFT95  wasabiridge.Millis `json:"ttft_p95_ms"`
 	TTFT99  wasabiridge.Millis `json:"ttft_p99_ms"`
-	// WastedTokens were computed though a live engine of the pool held them,
-	// or for a hedge that lost.
+	// WastedTokens counts prompt tokens that were computed although a running
+	// engine of the pool had them cached, or for a hedge that lost.
 	WastedTokens int `json:"wasted_tokens"`
 	// ComputedTokens counts prompt tokens that were not cached.
 	ComputedTokens int `json:"computed_tokens"`
@@ -41,24 +42,25 @@
 	cached int
 }
 
-// tally counts what becomes of requests.
+// tally holds the statistics of a run.
 type tally struct {
-	all      Figures
-	streams  map[string]*Figures
-	accounts map[string]*Figures
-	reasons  map[wasabiridge.RefuseReason]int
-	costs    []time.Duration
+	all           Figures
+	streams       map[string]*Figures
+	accounts      map[string]*Figures
+	reasons       map[wasabiridge.RefuseReason]int
+	decisionTimes []time.Duration
 }
 
-// each counts a request in all the figures that it belongs to. Requests of
-// the warm-up are not counted.
-func (w *world) each(l *life, count func(f *Figures)) {
-	if l.request.Arrived < w.o.Workload.WarmUp {
+// updateFigures applies count to the totals and to the figures of the stream and
+// the account of a request. Requests that arrived during the warm-up are not
+// counted.
+func (sim *simulation) updateFigures(state *requestState, count func(f *Figures)) {
+	if state.request.Arrived < sim.o.Workload.WarmUp {
 		return
 	}
-	count(&w.tally.all)
-	count(figuresOf(&w.tally.streams, l.stream.Name))
-	count(figuresOf(&w.tally.accounts, string(l.request.Account)))
+	count(&sim.tally.all)
+	count(figuresOf(&sim.tally.streams, state.stream.Name))
+	count(figuresOf(&sim.tally.accounts, string(state.request.Account)))
 }
 
 func figuresOf(m *map[string]*Figures, name string) *Figures {
@@ -71,34 +73,34 @@
 	return (*m)[name]
 }
 
-func (w *world) countDispatch(a *attempt) {
-	w.each(a.life, func(f *Figures) {
+func (sim *simulation) countDispatch(a *attempt) {
+	sim.updateFigures(a.state, func(f *Figures) {
 		f.Attempts++
 		switch {
 		case a.dispatch.Hedge:
 			f.Hedges++
-		case a.life.attempts > 0:
+		case a.state.attempts > 0:
 			f.Retries++
 		}
 	})
-	a.life.attempts++
+	a.state.attempts++
 }
 
-// countStart counts what is computed again, and what of it another live
-// engine of the pool still holds.
-func (w *world) countStart(a *attempt, out wasabifake.Output) {
+// countStart counts the prompt tokens that an attempt computes, and how many of
+// these another engine of the pool has cached.
+func (sim *simulation) countStart(a *attempt, out wasabifake.Output) {
 	if a.server.pool.CacheBlocks == 0 {
 		return
 	}
 	best := out.Usage.CachedTokens
-	for _, s := range w.servers {
+	for _, s := range sim.servers {
 		if s.pool.ID == a.server.pool.ID {
 			best = max(best, s.CachedTokens(out.Job.Chain))
 		}
 	}
 	a.computed = out.Usage.PromptTokens - out.Usage.CachedTokens
 	a.wasted = best - out.Usage.CachedTokens
-	w.each(a.life, func(f *Figures) {
+	sim.updateFigures(a.state, func(f *Figures) {
 		f.PromptTokens += out.Usage.PromptTokens
 		f.cached += out.Usage.CachedTokens
 		f.ComputedTokens += a.computed
@@ -106,54 +108,54 @@
 	})
 }
 
-// countLoser counts the work of an attempt that lost against another.
-func (w *world) countLoser(a *attempt) {
-	if a.life.winner != 0 && a.life.winner != a.dispatch.Attempt {
-		w.each(a.life, func(f *Figures) { f.WastedTokens += a.computed - a.wasted })
+// countLoser counts the tokens that a cancelled hedge computed as wasted.
+func (sim *simulation) countLoser(a *attempt) {
+	if a.state.winner != 0 && a.state.winner != a.dispatch.Attempt {
+		sim.updateFigures(a.state, func(f *Figures) { f.WastedTokens += a.computed - a.wasted })
 	}
 }
 
-func (w *world) countAnswer(l *life) {
-	w.each(l, func(f *Figures) {
+func (sim *simulation) countAnswer(state *requestState) {
+	sim.updateFigures(state, func(f *Figures) {
 		f.Answered++
-		f.ttft = append(f.ttft, l.firstToken-l.request.Arrived)
-		if l.firstToken <= l.request.Deadline {
+		f.ttft = append(f.ttft, state.firstToken-state.request.Arrived)
+		if state.firstToken <= state.request.Deadline {
 			f.Good++
 		}
 	})
 }
 
-func (w *world) countRefusal(l *life, r wasabiridge.Refuse) {
-	w.each(l, func(f *Figures) {
+func (sim *simulation) countRefusal(state *requestState, r wasabiridge.Refuse) {
+	sim.updateFigures(state, func(f *Figures) {
 		f.Refused++
 		if r.Disposition != wasabiridge.NotRun {
 			f.Cut++
 		}
 	})
-	if w.tally.reasons == nil {
-		w.tally.reasons = make(map[wasabiridge.RefuseReason]int)
+	if sim.tally.reasons == nil {
+		sim.tally.reasons = make(map[wasabiridge.RefuseReason]int)
 	}
-	if l.request.Arrived >= w.o.Workload.WarmUp {
-		w.tally.reasons[r.Reason]++
+	if state.request.Arrived >= sim.o.Workload.WarmUp {
+		sim.tally.reasons[r.Reason]++
 	}
 }
 
-// settle works the figures out.
-func (f *Figures) settle() {
+// summarize computes the percentiles and the hit rate.
+func (f *Figures) summarize() {
 	slices.Sort(f.ttft)
 	f.TTFT50, f.TTFT95, f.TTFT99 = quantile(f.ttft, 0.5), quantile(f.ttft, 0.95), quantile(f.ttft, 0.99)
 	f.HitRate = share(f.cached, f.PromptTokens)
 }
 
-func share(part, whole int) float64 {
-	if whole == 0 {
+func share(part, total int) float64 {
+	if total == 0 {
 		return 0
 	}
-	return math.Round(1e4*float64(part)/float64(whole)) / 1e4
+	return math.Round(1e4*float64(part)/float64(total)) / 1e4
 }
 
-// quantile returns the value at or below which the part q of the sorted
-// values lies.
+// quantile returns the smallest of the sorted values such that at least the
+// fraction q of them does not exceed it, or 0 if there are none.
 func quantile(sorted []wasabiridge.Millis, q float64) wasabiridge.Millis {
 	if len(sorted) == 0 {
 		return 0
@@ -161,7 +163,7 @@
 	return sorted[int(math.Ceil(q*float64(len(sorted))))-1]
 }
 
-// Named are figures of a stream or an account.
+// Named holds the figures of one stream or account, with its name.
 type Named struct {
 	Name string `json:"name"`
 	Figures
@@ -170,15 +172,15 @@
 func named(m map[string]*Figures) []Named {
 	var all []Named
 	for name, f := range m {
-		f.settle()
+		f.summarize()
 		all = append(all, Named{name, *f})
 	}
 	sort.Slice(all, func(a, b int) bool { return all[a].Name < all[b].Name })
 	return all
 }
 
-// OthersOf returns the figures of all accounts but one. It counts no retries
-// and no tokens.
+// OthersOf returns the combined figures of all accounts but the named one.
+// Retries, hedges, cut answers and token counts are left at zero.
 func (r Report) OthersOf(name string) Figures {
 	var f Figures
 	for _, a := range r.Accounts {
@@ -191,6 +193,6 @@
 		f.Refused += a.Refused
 		f.ttft = append(f.ttft, a.ttft...)
 	}
-	f.settle()
+	f.summarize()
 	return f
 }
--- a/internal/wasabimeasure/traffic.go
+++ b/internal/wasabimeasure/traffic.go
@@ -32,8 +32,9 @@
 	})
 }
 
-// traffic draws requests of a workload, one after another. The same seed
-// draws the same requests, whatever becomes of them.
+// traffic generates the requests of a workload in order of arrival. The sequence
+// depends only on the seed, the load and shifted, not on how requests are
+// answered, so that policies can be compared on the same requests.
 type traffic struct {
 	w       Workload
 	rate    float64
@@ -47,22 +48,22 @@
 	return &traffic{w: w, rate: w.Capacity * load, random: rand.New(rand.NewPCG(seed, 1))}
 }
 
-// rateAt is the rate of arrivals per millisecond.
+// rateAt returns the arrival rate per millisecond at a time.
 func (t *traffic) rateAt(at float64) float64 {
 	b := t.w.Bursts
 	rate := t.rate / float64(wasabiridge.Second)
 	if b.Every == 0 || b.Factor == 0 {
 		return rate
 	}
-	part := float64(b.Length) / float64(b.Every)
-	calm := rate / (1 + part*(b.Factor-1))
+	burstShare := float64(b.Length) / float64(b.Every)
+	baseRate := rate / (1 + burstShare*(b.Factor-1))
 	if math.Mod(at, float64(b.Every)) < float64(b.Length) {
-		return calm * b.Factor
+		return baseRate * b.Factor
 	}
-	return calm
+	return baseRate
 }
 
-// next draws the next request.
+// next returns the next request and its stream.
 func (t *traffic) next() (wasabiridge.Request, StreamSpec) {
 	t.at += t.random.ExpFloat64() / t.rateAt(t.at)
 	account := t.w.Accounts[t.pick(len(t.w.Accounts), func(i int) float64 { return t.w.Accounts[i].Traffic })].ID
@@ -87,7 +88,7 @@
 }
 
 func (t *traffic) chain(account wasabiridge.ClientAccountID, s StreamSpec) wasabiridge.Chain {
-	pool := t.poolOf(s)
+	pool := t.poolFor(s)
 	c := wasabiridge.Chain{
 		Root:        wasabiridge.CacheRoot{Account: account, Weights: 1},
 		BlockTokens: pool.BlockTokens,
@@ -108,8 +109,8 @@
 	return c
 }
 
-// choose draws a prefix of a level. After a shift the ranks are turned round,
-// so that the coldest prefixes become the hottest.
+// choose returns a random prefix of a level. While shifted is set the ranks are
+// reversed, so that the least requested prefixes become the most requested.
 func (t *traffic) choose(l Level) int {
 	rank := t.pick(l.Count, func(i int) float64 { return math.Pow(float64(i+1), -l.Skew) })
 	if t.shifted {
@@ -123,16 +124,16 @@
 	for i := range n {
 		sum += weight(i)
 	}
-	left := t.random.Float64() * sum
+	remaining := t.random.Float64() * sum
 	for i := range n {
-		if left -= weight(i); left < 0 {
+		if remaining -= weight(i); remaining < 0 {
 			return i
 		}
 	}
 	return n - 1
 }
 
-func (t *traffic) poolOf(s StreamSpec) PoolSpec {
+func (t *traffic) poolFor(s StreamSpec) PoolSpec {
 	for _, p := range t.w.Pools {
 		if p.ID == s.Action.Pool {
 			return p
--- a/internal/wasabimeasure/workload.go
+++ b/internal/wasabimeasure/workload.go
@@ -11,21 +11,22 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Workload describes backend servers and the requests that they get. The
-// built-in workloads, liftwell.json and selam.json beside this file, document
-// the format by example.
+// Workload describes backend servers and the requests that they receive. The
+// comments of the built-in workloads, liftwell.json and selam.json in this
+// directory, document the format.
 type Workload struct {
 	Name  string                         `json:"name"`
 	Zones []wasabiridge.AvailabilityZone `json:"zones"`
-	// Duration is how long requests arrive; those of the first WarmUp are
-	// not counted.
+	// Duration is the time during which requests arrive. Requests that arrive
+	// during the first WarmUp are not counted.
 	Duration wasabiridge.Millis `json:"duration_ms"`
 	WarmUp   wasabiridge.Millis `json:"warm_up_ms"`
-	// Capacity is the rate of arrivals per second at load 1.
+	// Capacity is the arrival rate at load 1, in requests per second.
 	Capacity float64 `json:"capacity_per_second"`
 	Bursts   Bursts  `json:"bursts"`
-	// CacheEventDelay and LoadReportLag say how late deciders learn of an
-	// engine's cache and load; LoadReportEvery is the time between reports.
+	// CacheEventDelay and LoadReportLag are the delays after which instances
+	// receive the cache events and load reports of an engine. LoadReportEvery
+	// is the interval between load reports.
 	CacheEventDelay wasabiridge.Millis `json:"cache_event_delay_ms"`
 	LoadReportLag   wasabiridge.Millis `json:"load_report_lag_ms"`
 	LoadReportEvery wasabiridge.Millis `json:"load_report_every_ms"`
@@ -34,16 +35,17 @@
 	Streams         []StreamSpec       `json:"streams"`
 }
 
-// Bursts raise the rate of arrivals by Factor for Length, once in each Every.
-// The rate outside of bursts falls, so that the mean stays the same.
+// Bursts multiply the arrival rate by Factor for Length, once in each interval
+// Every. The rate outside of bursts is lowered, so that the mean stays the same.
+// If Factor or Every is zero, there are no bursts.
 type Bursts struct {
 	Factor float64            `json:"factor"`
 	Length wasabiridge.Millis `json:"length_ms"`
 	Every  wasabiridge.Millis `json:"every_ms"`
 }
 
-// AccountSpec is a client account. Traffic is its part of all arrivals, in
-// proportion to that of the others; Share is its fair share.
+// AccountSpec describes a client account. Traffic is its weight in the arrivals,
+// relative to the other accounts; Share is its fair share of the capacity.
 type AccountSpec struct {
 	ID      wasabiridge.ClientAccountID `json:"id"`
 	Traffic float64                     `json:"traffic"`
@@ -59,7 +61,8 @@
 	CacheBlocks int                     `json:"cache_blocks"`
 	Slots       int                     `json:"slots"`
 	QueueLimit  int                     `json:"queue_limit"`
-	// Prefill is the time for one block, Decode that for one output token.
+	// Prefill is the time to compute one block of a prompt, Decode the time to
+	// generate one output token.
 	Prefill wasabiridge.Millis `json:"prefill_ms"`
 	Decode  wasabiridge.Millis `json:"decode_ms"`
 }
@@ -67,33 +70,36 @@
 // Level is one level of nested prefixes.
 type Level struct {
 	Name string `json:"name"`
-	// Count is how many prefixes there are below one of the level above. Zero
-	// means that each request has its own.
+	// Count is the number of prefixes below each prefix of the level above.
+	// Zero means that each request has its own.
 	Count int `json:"count"`
-	// Blocks is the length of the level.
+	// Blocks is the length of a prefix of this level in blocks.
 	Blocks int `json:"blocks"`
-	// Skew is the exponent of the Zipf law by which prefixes are chosen. Zero
-	// chooses all alike.
+	// Skew is the exponent of the Zipf distribution of prefixes. Zero is the
+	// uniform distribution.
 	Skew float64 `json:"skew"`
 }
 
-// StreamSpec describes requests of one kind.
+// StreamSpec describes one kind of request.
 type StreamSpec struct {
 	Name string `json:"name"`
-	// Traffic is its part of all arrivals, in proportion to that of others.
+	// Traffic is the weight of the stream in the arrivals, relative to the other
+	// streams.
 	Traffic float64 `json:"traffic"`
 	Levels  []Level `json:"levels"`
-	// TailTokens end each prompt and never fill a block.
+	// TailTokens is the length of the unshared end of each prompt. It is never
+	// cached and should be less than a block.
 	TailTokens   int `json:"tail_tokens"`
 	OutputTokens int `json:"output_tokens"`
-	// Action is that of the rule that serves the stream.
+	// Action is the action of the rule that matches the stream.
 	Action wasabiridge.Action `json:"action"`
 }
 
 //go:embed liftwell.json selam.json
 var builtIn embed.FS
 
-// Load returns the built-in workload of that name, or that of a file.
+// Load returns the built-in workload with the given name, or reads the file with
+// that path. The error is ErrNotFound if there is neither.
 func Load(name string) (Workload, error) {
 	var text []byte
 	var err error
@@ -106,18 +112,19 @@
 	return Parse(text)
 }
 
-// Parse reads a workload from JSON with comments and checks it.
+// Parse reads a workload from JSON with comments. The error is ErrInvalid if it
+// is malformed, has unknown fields or values out of range.
 func Parse(text []byte) (Workload, error) {
 	var w Workload
 	var std []byte
 	var err error
 	if std, err = hujson.Standardize(text); err != nil {
-		return Workload{}, wasabiridge.ErrInvalid.Wrap(err, "measure: workload")
+		return Workload{}, wasabiridge.ErrInvalid.Wrap(err, "measure: workload is not JSON with comments")
 	}
 	d := json.NewDecoder(bytes.NewReader(std))
 	d.DisallowUnknownFields()
 	if err = d.Decode(&w); err != nil {
-		return Workload{}, wasabiridge.ErrInvalid.Wrap(err, "measure: workload")
+		return Workload{}, wasabiridge.ErrInvalid.Wrap(err, "measure: decode workload")
 	}
 	return w, w.check()
 }
@@ -137,8 +144,9 @@
 	return nil
 }
 
-// WithSurge returns a workload in which one account sends that many times its
-// traffic, on top of all other traffic.
+// WithSurge returns a copy of the workload in which one account sends its traffic
+// times over. The capacity is raised accordingly, so that the arrival rates of
+// the other accounts stay the same.
 func (w Workload) WithSurge(account wasabiridge.ClientAccountID, times float64) Workload {
 	accounts := append([]AccountSpec(nil), w.Accounts...)
 	before, after := 0.0, 0.0
@@ -154,7 +162,8 @@
 	return w
 }
 
-// Config returns the configuration that a router in front of the workload has.
+// Config returns the router configuration for the pools, accounts and streams of
+// the workload.
 func (w Workload) Config() wasabiridge.Config {
 	c := wasabiridge.Config{Version: 1}
 	for _, p := range w.Pools {
