--- a/internal/wasabidemo/caller.go
+++ b/internal/wasabidemo/caller.go
@@ -20,22 +20,24 @@
 
 const (
 	answerTokens = 24
-	// longTokens is the length of an answer that takes long enough for an
-	// engine to die in its middle, and diesAt the token at which it does.
-	longTokens = 80
-	diesAt     = 10
-	// askers is how many prompts are sent at once.
-	askers = 3
-	// askAgain is the pause between two questions for a booking that runs.
-	askAgain = wasabiridge.Second / 5
-	// endMarker is the payload of the last event of a whole stream.
+	// longAnswerTokens is the length of an answer during which an engine crashes,
+	// and crashAtToken the token after which it does.
+	longAnswerTokens = 80
+	crashAtToken     = 10
+	// maxConcurrent is the number of prompts in flight at once.
+	maxConcurrent = 3
+	// bookingPollInterval is the pause before a booking that is still running
+	// is sent again.
+	bookingPollInterval = wasabiridge.Second / 5
+	// endMarker is the payload of the last event of a complete stream.
 	endMarker = "[DONE]"
 )
 
-// locateEvery is the pause between two questions for addresses.
-const locateEvery = 50 * time.Millisecond
+// locateInterval is the pause between two queries for addresses.
+const locateInterval = 50 * time.Millisecond
 
-// caller sends requests to routers as a client program does.
+// caller sends requests to routers as a client program does. Its zone is the
+// first of zones.
 type caller struct {
 	clock     wasabiridge.Clock
 	client    *http.Client
@@ -47,7 +49,7 @@
 	return &caller{clock: clock, client: &http.Client{}, key: key}
 }
 
-// answer is a whole streamed answer.
+// answer is the result of a complete stream.
 type answer struct {
 	prompt     string
 	firstToken wasabiridge.Millis
@@ -87,23 +89,24 @@
 	Usage *usage `json:"usage"`
 }
 
-// locateAll asks a router for addresses until it names as many instances: the
-// routers need a moment to take the configuration and to hear of each other.
-func (c *caller) locateAll(ctx context.Context, router string, instances int) error {
+// waitForAddresses queries a router until its address list has that many
+// instances: routers need some time to adopt the configuration and to join the
+// membership. The error is ErrUnavailable if the context ends first.
+func (c *caller) waitForAddresses(ctx context.Context, router string, instances int) error {
 	for {
-		if err := c.locate(ctx, router); err == nil && len(c.addresses) >= instances {
+		if err := c.fetchAddresses(ctx, router); err == nil && len(c.addresses) >= instances {
 			return nil
 		}
 		select {
-		case <-time.After(locateEvery):
+		case <-time.After(locateInterval):
 		case <-ctx.Done():
-			return wasabiridge.ErrUnavailable.New("demo: %d of %d routers know each other", len(c.addresses), instances)
+			return wasabiridge.ErrUnavailable.New("demo: address list has %d of %d routers", len(c.addresses), instances)
 		}
 	}
 }
 
-// locate asks a router which addresses to use.
-func (c *caller) locate(ctx context.Context, router string) error {
+// fetchAddresses queries a router for the addresses that callers should use.
+func (c *caller) fetchAddresses(ctx context.Context, router string) error {
 	var resp *http.Response
 	var err error
 	if resp, err = c.do(ctx, http.MethodGet, router+"/v1/addresses?zone="+url.QueryEscape(string(zones[0])), nil, ""); err != nil {
@@ -112,7 +115,7 @@
 	defer resp.Body.Close()
 	var list wasabiaddress.Answer
 	if err = json.NewDecoder(resp.Body).Decode(&list); err != nil || len(list.Addresses) == 0 {
-		return wasabiridge.ErrUnavailable.New("demo: no addresses (%d)", resp.StatusCode)
+		return wasabiridge.ErrUnavailable.New("demo: no addresses in the answer (status %d)", resp.StatusCode)
 	}
 	c.addresses = list.Addresses
 	return nil
@@ -122,7 +125,7 @@
 	var req *http.Request
 	var err error
 	if req, err = http.NewRequestWithContext(ctx, method, address, bytes.NewReader(body)); err != nil {
-		return nil, wasabiridge.ErrInvalid.Wrap(err, "demo: request")
+		return nil, wasabiridge.ErrInvalid.Wrap(err, "demo: create request")
 	}
 	req.Header.Set("Authorization", "Bearer "+c.key)
 	req.Header.Set("Content-Type", "application/json")
@@ -131,13 +134,15 @@
 	}
 	var resp *http.Response
 	if resp, err = c.client.Do(req); err != nil {
-		return nil, wasabiridge.ErrUnavailable.Wrap(err, "demo: %s", address)
+		return nil, wasabiridge.ErrUnavailable.Wrap(err, "demo: request to %s failed", address)
 	}
 	return resp, nil
 }
 
-// ask streams the answer to one prompt from the first address.
-func (c *caller) ask(ctx context.Context, prompt string, tokens int, onText func(string)) (answer, error) {
+// complete streams the answer to one prompt from the first address and calls
+// onText with the text of each token. The error is ErrUnavailable if the stream
+// ends without endMarker.
+func (c *caller) complete(ctx context.Context, prompt string, tokens int, onText func(string)) (answer, error) {
 	a := answer{prompt: prompt}
 	var body []byte
 	var err error
@@ -145,7 +150,7 @@
 		Model: "stairlift", Stream: true, StreamOptions: streamOptions{IncludeUsage: true},
 		MaxTokens: tokens, Messages: []chatMessage{{Role: "user", Content: prompt}},
 	}); err != nil {
-		return a, wasabiridge.ErrInvalid.Wrap(err, "demo: prompt")
+		return a, wasabiridge.ErrInvalid.Wrap(err, "demo: encode prompt")
 	}
 	began := c.clock.Now()
 	var resp *http.Response
@@ -155,7 +160,7 @@
 	defer resp.Body.Close()
 	for event, err := range sse.Read(resp.Body, nil) {
 		if err != nil {
-			return a, wasabiridge.ErrUnavailable.Wrap(err, "demo: stream")
+			return a, wasabiridge.ErrUnavailable.Wrap(err, "demo: read stream")
 		}
 		if event.Data == endMarker {
 			return a, nil
@@ -163,17 +168,17 @@
 		if a.firstToken == 0 {
 			a.firstToken = max(1, c.clock.Now()-began)
 		}
-		if err = a.take(event.Data, onText); err != nil {
+		if err = a.addEvent(event.Data, onText); err != nil {
 			return a, err
 		}
 	}
-	return a, wasabiridge.ErrUnavailable.New("demo: answer cut (status %d)", resp.StatusCode)
+	return a, wasabiridge.ErrUnavailable.New("demo: answer truncated (status %d)", resp.StatusCode)
 }
 
-func (a *answer) take(payload string, onText func(string)) error {
+func (a *answer) addEvent(payload string, onText func(string)) error {
 	var chunk chatChunk
 	if err := json.Unmarshal([]byte(payload), &chunk); err != nil {
-		return wasabiridge.ErrInvalid.Wrap(err, "demo: event of the stream")
+		return wasabiridge.ErrInvalid.Wrap(err, "demo: decode event of the stream")
 	}
 	if chunk.Usage != nil {
 		a.usage = *chunk.Usage
@@ -184,17 +189,18 @@
 	return nil
 }
 
-// askAll sends prompts, a few at once, and returns their answers.
-func (c *caller) askAll(ctx context.Context, prompts []string) ([]answer, error) {
+// completeAll sends prompts, at most maxConcurrent at once, and returns their
+// answers in the same order.
+func (c *caller) completeAll(ctx context.Context, prompts []string) ([]answer, error) {
 	answers := make([]answer, len(prompts))
 	errs := make([]error, len(prompts))
-	slots := make(chan struct{}, askers)
+	slots := make(chan struct{}, maxConcurrent)
 	var running sync.WaitGroup
 	for i, prompt := range prompts {
 		slots <- struct{}{}
 		running.Go(func() {
 			defer func() { <-slots }()
-			answers[i], errs[i] = c.ask(ctx, prompt, answerTokens, func(string) {})
+			answers[i], errs[i] = c.complete(ctx, prompt, answerTokens, func(string) {})
 		})
 	}
 	running.Wait()
@@ -206,16 +212,17 @@
 	return answers, nil
 }
 
-// booked is what came back of a booking.
-type booked struct {
+// bookingResult is the response to a booking.
+type bookingResult struct {
 	status   int
 	body     string
-	repeated bool
+	replayed bool
 }
 
-// bookUntilKnown books a visit. While the answer says that the first request
-// with the key still runs, it comes back a little later, as the answer asks.
-func (c *caller) bookUntilKnown(ctx context.Context, router, key string) (booked, error) {
+// bookUntilDone books a visit. While the response is 409 Conflict, because an
+// earlier request with the same idempotency key is still running, it retries
+// after bookingPollInterval.
+func (c *caller) bookUntilDone(ctx context.Context, router, key string) (bookingResult, error) {
 	for {
 		r, err := c.book(ctx, router, key)
 		if err != nil || r.status != http.StatusConflict {
@@ -223,27 +230,27 @@
 		}
 		select {
 		case <-ctx.Done():
-			return r, wasabiridge.ErrUnavailable.New("demo: the booking stays unknown: %s", r.body)
-		case <-time.After(askAgain.Duration()):
+			return r, wasabiridge.ErrUnavailable.New("demo: outcome of the booking still unknown: %s", r.body)
+		case <-time.After(bookingPollInterval.Duration()):
 		}
 	}
 }
 
-// book books a visit.
-func (c *caller) book(ctx context.Context, router, key string) (booked, error) {
+// book sends one booking with an idempotency key.
+func (c *caller) book(ctx context.Context, router, key string) (bookingResult, error) {
 	var resp *http.Response
 	var err error
 	if resp, err = c.do(ctx, http.MethodPost, router+"/bookings", []byte(`{"house":"12 Frederick St"}`), key); err != nil {
-		return booked{}, err
+		return bookingResult{}, err
 	}
 	defer resp.Body.Close()
 	var body []byte
 	if body, err = io.ReadAll(resp.Body); err != nil {
-		return booked{}, wasabiridge.ErrUnavailable.Wrap(err, "demo: booking")
+		return bookingResult{}, wasabiridge.ErrUnavailable.Wrap(err, "demo: read response to booking")
 	}
-	return booked{
+	return bookingResult{
 		status:   resp.StatusCode,
 		body:     strings.TrimSpace(string(body)) + " ",
-		repeated: resp.Header.Get(wasabigateway.ReplayedHeader) == "true",
+		replayed: resp.Header.Get(wasabigateway.ReplayedHeader) == "true",
 	}, nil
 }
--- a/internal/wasabidemo/stage.go
+++ b/internal/wasabidemo/environment.go
@@ -28,101 +28,104 @@
 	operatorKey = "operator-demo-key"
 	blockTokens = 256
 	engineCount = 4
-	// answerLifetime is how long a leaving router still accepts requests.
+	// answerLifetime is how long a leaving router still accepts requests,
+	// because callers may hold an address list that contains it.
 	answerLifetime = wasabiridge.Second / 2
 	drainLimit     = 5 * wasabiridge.Second
 )
 
 var zones = [...]wasabiridge.AvailabilityZone{"port-of-spain", "san-fernando"}
 
-// engineSpec makes a cold manual take about a third of a second.
+// engineSpec has a prefill cost at which an uncached manual takes about a third
+// of a second.
 var engineSpec = wasabifake.Spec{
 	BlockTokens: blockTokens, CacheBlocks: 64, Slots: 16, QueueLimit: 64, Prefill: 25, Decode: 8,
 }
 
-// stage holds everything that the demo runs.
-type stage struct {
-	clock    wasabiridge.Clock
-	folder   string
-	engines  []*wasabiengine.Engine
-	service  *wasabiservice.Service
-	platform *wasabiserver.Server
-	standIn  *wasabiplatform.StandIn
-	routers  []*wasabidaemon.Daemon
-	ended    chan error
+// environment holds the processes and servers of the demo.
+type environment struct {
+	clock     wasabiridge.Clock
+	directory string
+	engines   []*wasabiengine.Engine
+	service   *wasabiservice.Service
+	platform  *wasabiserver.Server
+	standIn   *wasabiplatform.StandIn
+	routers   []*wasabidaemon.Daemon
+	ended     chan error
 }
 
-// newStage starts all parts. On an error nothing is left running.
-func newStage(clock wasabiridge.Clock) (*stage, error) {
-	s := &stage{clock: clock, ended: make(chan error, len(zones))}
-	for _, step := range []func() error{s.startBackends, s.startPlatform, s.startRouters} {
+// newEnvironment starts engines, service, platform and routers. On an error it
+// calls close.
+func newEnvironment(clock wasabiridge.Clock) (*environment, error) {
+	env := &environment{clock: clock, ended: make(chan error, len(zones))}
+	for _, step := range []func() error{env.startBackends, env.startPlatform, env.startRouters} {
 		if err := step(); err != nil {
-			s.close()
+			env.close()
 			return nil, err
 		}
 	}
-	return s, nil
+	return env, nil
 }
 
-func (s *stage) startBackends() error {
+func (env *environment) startBackends() error {
 	for i := range engineCount {
 		spec := engineSpec
 		spec.ID = wasabiridge.BackendServerID(fmt.Sprintf("answer-%d", i+1))
-		e := wasabiengine.New(wasabiengine.Options{Spec: spec, Model: "stairlift", Clock: s.clock})
-		s.engines = append(s.engines, e)
+		e := wasabiengine.New(wasabiengine.Options{Spec: spec, Model: "stairlift", Clock: env.clock})
+		env.engines = append(env.engines, e)
 		if err := e.Start(loopback); err != nil {
 			return err
 		}
 	}
-	s.service = wasabiservice.New("bookings-1")
-	return s.service.Start(loopback)
+	env.service = wasabiservice.New("bookings-1")
+	return env.service.Start(loopback)
 }
 
-func (s *stage) startPlatform() error {
-	s.standIn = wasabiplatform.NewStandIn(wasabiplatform.StandInOptions{Clock: s.clock})
-	s.platform = wasabiserver.New(s.standIn.Handler())
-	return s.platform.Start(loopback)
+func (env *environment) startPlatform() error {
+	env.standIn = wasabiplatform.NewStandIn(wasabiplatform.StandInOptions{Clock: env.clock})
+	env.platform = wasabiserver.New(env.standIn.Handler())
+	return env.platform.Start(loopback)
 }
 
-// startRouters starts one router in each zone and puts the configuration as an
-// operator does. The routers spread it.
-func (s *stage) startRouters() error {
+// startRouters starts one router in each zone and uploads the configuration to
+// the first one through the operator API. That router distributes it.
+func (env *environment) startRouters() error {
 	var err error
-	if s.folder, err = os.MkdirTemp("", "wasabiridge-demo-"); err != nil {
-		return wasabiridge.ErrUnavailable.Wrap(err, "demo: folder for the secret")
+	if env.directory, err = os.MkdirTemp("", "wasabiridge-demo-"); err != nil {
+		return wasabiridge.ErrUnavailable.Wrap(err, "demo: create directory for the secret")
 	}
-	if err = os.WriteFile(s.secretPath(), []byte("shared by all instances of the demo"), 0o600); err != nil {
-		return wasabiridge.ErrUnavailable.Wrap(err, "demo: secret")
+	if err = os.WriteFile(env.secretPath(), []byte("shared by all instances of the demo"), 0o600); err != nil {
+		return wasabiridge.ErrUnavailable.Wrap(err, "demo: write secret")
 	}
 	for i := range zones {
-		if err = s.startRouter(i); err != nil {
+		if err = env.startRouter(i); err != nil {
 			return err
 		}
 	}
-	return s.putConfig()
+	return env.putConfig()
 }
 
-func (s *stage) secretPath() string {
-	return filepath.Join(s.folder, "instances.secret")
+func (env *environment) secretPath() string {
+	return filepath.Join(env.directory, "instances.secret")
 }
 
-func (s *stage) putConfig() error {
+func (env *environment) putConfig() error {
 	var text []byte
 	var err error
-	if text, err = json.MarshalIndent(s.config(), "", "  "); err != nil {
-		return wasabiridge.ErrInvalid.Wrap(err, "demo: configuration")
+	if text, err = json.MarshalIndent(env.config(), "", "  "); err != nil {
+		return wasabiridge.ErrInvalid.Wrap(err, "demo: encode configuration")
 	}
 	client := wasabiclient.New(wasabiclient.Options{
-		Addresses: []string{s.routers[0].OperatorURL()}, Key: operatorKey, Operator: "demo",
+		Addresses: []string{env.routers[0].OperatorURL()}, Key: operatorKey, Operator: "demo",
 	})
 	_, err = client.PutConfig(context.Background(), 0, text)
 	return err
 }
 
-// startRouter starts a router and enters it into the platform's list, where
-// the others find it.
-func (s *stage) startRouter(i int) error {
-	platform := s.standIn.Settings(s.platform.URL())
+// startRouter starts a router and adds it to the instance list of the platform,
+// from which the other routers discover it.
+func (env *environment) startRouter(i int) error {
+	platform := env.standIn.Settings(env.platform.URL())
 	var d *wasabidaemon.Daemon
 	var err error
 	d, err = wasabidaemon.New(wasabidaemon.Options{
@@ -134,24 +137,24 @@
 				Listener:  wasabisettings.Listener{Listen: loopback},
 				KeyHashes: []string{hashOf(operatorKey)},
 			},
-			Peer:  wasabisettings.PeerListener{Listen: loopback, SecretFile: s.secretPath()},
+			Peer:  wasabisettings.PeerListener{Listen: loopback, SecretFile: env.secretPath()},
 			Drain: wasabisettings.Drain{AnswerLifetime: answerLifetime, Limit: drainLimit},
 		},
-		Clock: s.clock,
+		Clock: env.clock,
 	})
 	if err != nil {
 		return err
 	}
-	s.routers = append(s.routers, d)
-	s.standIn.Instances.Set(d.Entry())
-	go func() { s.ended <- d.Run() }()
+	env.routers = append(env.routers, d)
+	env.standIn.Instances.Set(d.Entry())
+	go func() { env.ended <- d.Run() }()
 	return nil
 }
 
-// crashBusy ends the life of the engine that is answering and starts its next
-// one, with a cold cache. It reports false when none is answering.
-func (s *stage) crashBusy() (wasabiridge.BackendServerID, bool) {
-	for _, e := range s.engines {
+// crashServingEngine crashes the first engine with a running request and restarts
+// it with an empty cache. It reports false if there is none or the restart fails.
+func (env *environment) crashServingEngine() (wasabiridge.BackendServerID, bool) {
+	for _, e := range env.engines {
 		if e.Load().Running == 0 {
 			continue
 		}
@@ -161,55 +164,57 @@
 	return "", false
 }
 
-// drain makes the routers leave and waits for them.
-func (s *stage) drain() error {
-	for _, d := range s.routers {
+// drain drains all routers and waits until they have ended.
+func (env *environment) drain() error {
+	for _, d := range env.routers {
 		if err := d.Drain(context.Background()); err != nil {
 			return err
 		}
 	}
-	for range s.routers {
-		if err := <-s.ended; err != nil {
+	for range env.routers {
+		if err := <-env.ended; err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// close ends everything behind the routers.
-func (s *stage) close() {
-	for _, e := range s.engines {
+// close stops the engines, the service and the platform and removes the directory
+// with the secret. Routers are stopped by drain.
+func (env *environment) close() {
+	for _, e := range env.engines {
 		e.Close()
 	}
-	if s.service != nil {
-		s.service.Close()
+	if env.service != nil {
+		env.service.Close()
 	}
-	if s.platform != nil {
-		s.platform.Crash()
+	if env.platform != nil {
+		env.platform.Crash()
 	}
-	if s.folder != "" {
-		_ = os.RemoveAll(s.folder)
+	if env.directory != "" {
+		_ = os.RemoveAll(env.directory)
 	}
 }
 
-// explain prints what a newcomer needs to try the routers by hand.
-func (s *stage) explain(out io.Writer) {
-	fmt.Fprintf(out, "\nEverything stays up until you interrupt it.\n\n")
-	for i, d := range s.routers {
+// printUsage prints the addresses and keys of the running system, and commands to
+// try.
+func (env *environment) printUsage(out io.Writer) {
+	fmt.Fprintf(out, "\nThe system keeps running until it is interrupted.\n\n")
+	for i, d := range env.routers {
 		fmt.Fprintf(out, "router-%d   %s   operators %s   zone %s\n", i+1, d.URL(), d.OperatorURL(), zones[i])
 	}
-	for _, e := range s.engines {
+	for _, e := range env.engines {
 		fmt.Fprintf(out, "%s   %s   engine\n", e.Backend().ID, e.URL())
 	}
-	fmt.Fprintf(out, "%s %s   plain service\n", s.service.Backend().ID, s.service.URL())
-	fmt.Fprintf(out, "platform   %s   table, objects, weights, instances\n", s.platform.URL())
+	fmt.Fprintf(out, "%s %s   plain service\n", env.service.Backend().ID, env.service.URL())
+	fmt.Fprintf(out, "platform   %s   table, objects, weights, instances\n", env.platform.URL())
 	fmt.Fprintf(out, "\nKeys: %s (liftwell), %s (selam-mix), %s (operators).\n", liftwellKey, selamKey, operatorKey)
-	fmt.Fprintf(out, lines, s.routers[0].URL(), liftwellKey, s.routers[0].OperatorURL(), operatorKey)
+	fmt.Fprintf(out, exampleCommands, env.routers[0].URL(), liftwellKey, env.routers[0].OperatorURL(), operatorKey)
 }
 
-// lines takes the address of a router and the key of a client account, then the
-// same for operators.
-const lines = `
+// exampleCommands is a format with four arguments: the address of a router and the
+// key of a client account, then the operator address and the operator key.
+const exampleCommands = `
 curl -N %[1]s/v1/chat/completions -H 'Authorization: Bearer %[2]s' -H 'Content-Type: application/json' \
   -d '{"model":"stairlift","stream":true,"max_tokens":20,"messages":[{"role":"user","content":"Code E4?"}]}'
 curl -i %[1]s/bookings -H 'Authorization: Bearer %[2]s' -H 'Idempotency-Key: visit-1' -d '{"house":"12 Frederick St"}'
@@ -219,14 +224,14 @@
 go run ./cmd/wasabictl config status --address %[3]s --key %[4]s
 `
 
-func (s *stage) config() wasabiridge.Config {
+func (env *environment) config() wasabiridge.Config {
 	pools := []wasabiridge.Pool{{ID: "answer", BlockTokens: blockTokens}, {ID: "bookings"}}
-	for i, e := range s.engines {
+	for i, e := range env.engines {
 		b := e.Backend()
 		b.Zone = zones[i%len(zones)]
 		pools[0].Backends = append(pools[0].Backends, b)
 	}
-	service := s.service.Backend()
+	service := env.service.Backend()
 	service.Zone = zones[0]
 	pools[1].Backends = append(pools[1].Backends, service)
 	return wasabiridge.Config{
--- a/internal/wasabidemo/path_bench_test.go
+++ b/internal/wasabidemo/path_bench_test.go
@@ -35,20 +35,22 @@
 	pathEnd = "data: [DONE]\n\n"
 )
 
-// path is the two ways to the same servers: directly and through a router.
-type path struct {
+// routes holds the base URLs of one server and of a router in front of all
+// servers.
+type routes struct {
 	direct, routed string
 	client         *http.Client
 }
 
-// newPath starts a router before servers that answer with the handler.
-func newPath(b *testing.B, h http.HandlerFunc) path {
+// newRoutes starts servers with the given handler for POST requests, and a router
+// in front of them.
+func newRoutes(b *testing.B, h http.HandlerFunc) routes {
 	b.Helper()
 	pool := wasabiridge.Pool{ID: "answer"}
 	for i := range pathEngines {
 		s := wasabiserver.New(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.Method != http.MethodPost {
-				// The router asks for load and cache events.
+				// The router polls load reports and cache events.
 				w.WriteHeader(http.StatusNotFound)
 				return
 			}
@@ -99,12 +101,12 @@
 	})
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8192, DisableCompression: true}}
 	b.Cleanup(client.CloseIdleConnections)
-	return path{direct: pool.Backends[0].URL, routed: d.URL(), client: client}
+	return routes{direct: pool.Backends[0].URL, routed: d.URL(), client: client}
 }
 
-// open starts a stream and returns its body after the first byte, and how
-// long that took.
-func (p path) open(base string) (io.ReadCloser, time.Duration, error) {
+// open starts a stream and returns its body after the first byte, with the time
+// to first byte.
+func (p routes) open(base string) (io.ReadCloser, time.Duration, error) {
 	body := strings.NewReader(`{"model":"m","stream":true,"max_tokens":64,"messages":[{"role":"user","content":"Code E4?"}]}`)
 	req, err := http.NewRequest(http.MethodPost, base+"/v1/chat/completions", body)
 	if err != nil {
@@ -125,12 +127,12 @@
 	return resp.Body, time.Since(began), nil
 }
 
-// load keeps streams open side by side for a while and returns the times to
-// the first byte and the tokens that were read.
-func (p path) load(b *testing.B, base string) ([]time.Duration, int64) {
+// measure keeps pathStreams streams open concurrently for pathSpan and returns the
+// sorted times to first byte and the number of tokens received.
+func (p routes) measure(b *testing.B, base string) ([]time.Duration, int64) {
 	b.Helper()
 	var mu sync.Mutex
-	var firsts []time.Duration
+	var firstByteTimes []time.Duration
 	var tokens atomic.Int64
 	var running sync.WaitGroup
 	until := time.Now().Add(pathSpan)
@@ -146,29 +148,30 @@
 				tokens.Add(countTokens(b, body, buffer))
 				body.Close()
 				mu.Lock()
-				firsts = append(firsts, first)
+				firstByteTimes = append(firstByteTimes, first)
 				mu.Unlock()
 			}
 		})
 	}
 	running.Wait()
-	sort.Slice(firsts, func(i, j int) bool { return firsts[i] < firsts[j] })
-	return firsts, tokens.Load()
+	sort.Slice(firstByteTimes, func(i, j int) bool { return firstByteTimes[i] < firstByteTimes[j] })
+	return firstByteTimes, tokens.Load()
 }
 
-// countTokens reads a stream to its end and counts its events.
+// countTokens reads a stream to its end and returns the number of its tokens. A
+// stream without an end marker is an error.
 func countTokens(b *testing.B, body io.Reader, buffer []byte) int64 {
 	count := int64(0)
-	whole := false
+	complete := false
 	for {
 		n, err := body.Read(buffer)
 		count += int64(bytes.Count(buffer[:n], []byte("token_ids")))
-		whole = whole || bytes.HasSuffix(buffer[:n], []byte("[DONE]\n\n"))
-		if err == io.EOF && whole {
+		complete = complete || bytes.HasSuffix(buffer[:n], []byte("[DONE]\n\n"))
+		if err == io.EOF && complete {
 			return count
 		}
 		if err != nil {
-			b.Errorf("cut stream: %v", err)
+			b.Errorf("stream truncated: %v", err)
 			return count
 		}
 	}
@@ -178,10 +181,10 @@
 	return sorted[int(share*float64(len(sorted)-1))].Seconds() * 1000
 }
 
-// BenchmarkFirstToken compares the time to first token of 200 streams side by
-// side, whose 64 tokens come 20 ms apart, through the router and directly.
+// BenchmarkFirstToken compares the time to first token of 200 concurrent streams
+// through the router and directly. Each has 64 tokens at intervals of 20 ms.
 func BenchmarkFirstToken(b *testing.B) {
-	p := newPath(b, func(w http.ResponseWriter, r *http.Request) {
+	p := newRoutes(b, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.Header().Set("Content-Type", "text/event-stream")
 		control := http.NewResponseController(w)
@@ -199,8 +202,8 @@
 		_, _ = io.WriteString(w, pathEnd)
 	})
 	for b.Loop() {
-		direct, _ := p.load(b, p.direct)
-		routed, _ := p.load(b, p.routed)
+		direct, _ := p.measure(b, p.direct)
+		routed, _ := p.measure(b, p.routed)
 		if b.Failed() {
 			return
 		}
@@ -211,38 +214,38 @@
 	}
 }
 
-// BenchmarkTokens compares the tokens a second that 200 streams carry when
-// the servers send as fast as they can. Each event holds one token; servers
-// flush every 8.
+// BenchmarkTokens compares the throughput of 200 concurrent streams, in tokens per
+// second, through the router and directly, when the servers send without pauses.
+// Each event holds one token; servers flush after every 8 events.
 func BenchmarkTokens(b *testing.B) {
-	page := strings.Repeat(pathEvent, 8)
-	p := newPath(b, func(w http.ResponseWriter, r *http.Request) {
+	batch := strings.Repeat(pathEvent, 8)
+	p := newRoutes(b, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.Header().Set("Content-Type", "text/event-stream")
 		for range 250 {
-			_, _ = io.WriteString(w, page)
+			_, _ = io.WriteString(w, batch)
 			_ = http.NewResponseController(w).Flush()
 		}
 		_, _ = io.WriteString(w, pathEnd)
 	})
 	for b.Loop() {
-		_, direct := p.load(b, p.direct)
+		_, direct := p.measure(b, p.direct)
 		before := time.Now()
-		_, routed := p.load(b, p.routed)
-		took := time.Since(before)
+		_, routed := p.measure(b, p.routed)
+		elapsed := time.Since(before)
 		b.ReportMetric(float64(direct)/pathSpan.Seconds(), "direct-tokens/s")
-		b.ReportMetric(float64(routed)/took.Seconds(), "routed-tokens/s")
+		b.ReportMetric(float64(routed)/elapsed.Seconds(), "routed-tokens/s")
 	}
 }
 
-// BenchmarkStreamMemory reports what the router holds for each open stream:
-// the memory of the process with streams through it, less that with the same
-// streams opened directly.
+// BenchmarkStreamMemory reports the memory that the router uses for each open
+// stream: the memory of the process with streams through the router, less that
+// with the same number of direct streams.
 func BenchmarkStreamMemory(b *testing.B) {
 	for _, count := range []int{200, 1000, 2000} {
 		b.Run(fmt.Sprintf("streams=%d", count), func(b *testing.B) {
 			var release atomic.Pointer[chan struct{}]
-			p := newPath(b, func(w http.ResponseWriter, r *http.Request) {
+			p := newRoutes(b, func(w http.ResponseWriter, r *http.Request) {
 				_, _ = io.Copy(io.Discard, r.Body)
 				w.Header().Set("Content-Type", "text/event-stream")
 				_, _ = io.WriteString(w, pathEvent)
@@ -251,17 +254,17 @@
 				_, _ = io.WriteString(w, pathEnd)
 			})
 			for b.Loop() {
-				direct := p.held(b, p.direct, count, &release)
-				routed := p.held(b, p.routed, count, &release)
+				direct := p.heldMemory(b, p.direct, count, &release)
+				routed := p.heldMemory(b, p.routed, count, &release)
 				b.ReportMetric(float64(routed-direct)/float64(count), "B/stream")
 			}
 		})
 	}
 }
 
-// held opens streams and returns the heap and stacks that the process holds
-// for them.
-func (p path) held(b *testing.B, base string, count int, release *atomic.Pointer[chan struct{}]) int64 {
+// heldMemory opens streams and returns by how many bytes the heap and stacks of
+// the process grew while they were open.
+func (p routes) heldMemory(b *testing.B, base string, count int, release *atomic.Pointer[chan struct{}]) int64 {
 	b.Helper()
 	p.client.CloseIdleConnections()
 	end := make(chan struct{})
@@ -282,10 +285,10 @@
 		})
 	}
 	opened.Wait()
-	held := memoryInUse() - before
+	heldMemory := memoryInUse() - before
 	close(end)
 	running.Wait()
-	return held
+	return heldMemory
 }
 
 func memoryInUse() int64 {
@@ -296,19 +299,19 @@
 	return int64(m.HeapAlloc + m.StackInuse)
 }
 
-// BenchmarkOneCaller compares the time to first token of one caller at a time,
+// BenchmarkOneCaller compares the time to first token of sequential requests
 // through the router and directly.
 func BenchmarkOneCaller(b *testing.B) {
-	p := newPath(b, func(w http.ResponseWriter, r *http.Request) {
+	p := newRoutes(b, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.Header().Set("Content-Type", "text/event-stream")
 		_, _ = io.WriteString(w, pathEvent)
 		_ = http.NewResponseController(w).Flush()
 		_, _ = io.WriteString(w, pathEnd)
 	})
-	way := func(base string) func(*testing.B) {
+	benchmark := func(base string) func(*testing.B) {
 		return func(b *testing.B) {
-			var firsts []time.Duration
+			var firstByteTimes []time.Duration
 			for b.Loop() {
 				body, first, err := p.open(base)
 				if err != nil {
@@ -316,13 +319,13 @@
 				}
 				_, _ = io.Copy(io.Discard, body)
 				body.Close()
-				firsts = append(firsts, first)
+				firstByteTimes = append(firstByteTimes, first)
 			}
-			sort.Slice(firsts, func(i, j int) bool { return firsts[i] < firsts[j] })
-			b.ReportMetric(quantile(firsts, 0.5), "p50-ms")
-			b.ReportMetric(quantile(firsts, 0.99), "p99-ms")
+			sort.Slice(firstByteTimes, func(i, j int) bool { return firstByteTimes[i] < firstByteTimes[j] })
+			b.ReportMetric(quantile(firstByteTimes, 0.5), "p50-ms")
+			b.ReportMetric(quantile(firstByteTimes, 0.99), "p99-ms")
 		}
 	}
-	b.Run("way=direct", way(p.direct))
-	b.Run("way=routed", way(p.routed))
+	b.Run("way=direct", benchmark(p.direct))
+	b.Run("way=routed", benchmark(p.routed))
 }
--- a/internal/wasabidemo/workload.go
+++ b/internal/wasabidemo/workload.go
@@ -10,9 +10,9 @@
 	historyBytes = 4 << 10
 )
 
-// nestedPrompts are the questions of technicians: a manual, then the history
-// of one model, then the question. Prompts of one manual share its text, and
-// prompts of one model its history too.
+// nestedPrompts returns prompts that share nested prefixes: the text of a manual,
+// then the service history of one model, then a question. Prompts with the same
+// manual share its text, and those with the same model its history as well.
 func nestedPrompts() []string {
 	questions := []string{"What does fault code E4 mean?", "Why does the seat stop half way?", "Which part do I order?"}
 	var prompts []string
@@ -27,7 +27,7 @@
 	return prompts
 }
 
-// text makes up a document of the given length.
+// text generates a document of the given size in bytes.
 func text(title string, size int) string {
 	var b strings.Builder
 	for line := 1; b.Len() < size; line++ {
