--- a/internal/wasabiengine/engine.go
+++ b/internal/wasabiengine/engine.go
@@ -1,12 +1,12 @@
-// Package wasabiengine is an HTTP stand-in of a model engine, for the demo,
+// Package wasabiengine is an HTTP stand-in for a model engine, used by the demo,
 // tests and experiments.
 //
 // It speaks the OpenAI-compatible API with the extensions that
-// docs/BACKENDS.md lists, over the model of package wasabifake: a bounded
-// prefix cache, prefill and decode costs, slots and a queue. Its answers are
-// made up but repeatable: the same prompt under the same weights gives the
-// same tokens at every engine, so that a resumed answer can be compared token
-// by token.
+// docs/BACKENDS.md lists, on top of the simulated engine of package wasabifake: a
+// bounded prefix cache, prefill and decode costs, slots and a queue. Its answers
+// are generated deterministically: the same prompt and weights version give the
+// same tokens on every engine, so that a resumed answer can be compared token by
+// token.
 //
 // # Usage
 //
@@ -39,44 +39,45 @@
 	defaultQueue       = 1024
 )
 
-// Options describe an engine.
+// Options configure an Engine. Clock must be set.
 type Options struct {
 	// Spec holds the costs and limits of the engine. Zero cache blocks, slots
 	// and queue limit mean 256, 256 and 1024; zero weights mean version 1.
 	Spec  wasabifake.Spec
 	Model wasabiridge.ModelID
 	Clock wasabiridge.Clock
-	// LoadLag is how old a load report may be.
+	// LoadLag is the maximum age of a load report. A report is served again
+	// until it is that old.
 	LoadLag wasabiridge.Millis
-	// EventDelay is how late cache events are sent.
+	// EventDelay is the delay before cache events are sent.
 	EventDelay wasabiridge.Millis
-	// LoadTime is how long it takes to load weights.
+	// LoadTime is the time to load weights, during which requests are refused.
 	LoadTime wasabiridge.Millis
-	// IgnoresFencing makes the engine carry out orders of any fencing number.
+	// IgnoresFencing makes the engine execute orders with an old fencing number.
 	IgnoresFencing bool
-	// CrashOn is a text in a prompt that ends the engine's life once it begins to run the
-	// request. Empty means that none does.
+	// CrashOn makes the engine crash when it has accepted a request whose prompt
+	// contains this text. Empty disables it.
 	CrashOn string
 }
 
-// Engine is one stand-in of a model engine with its own listener. It is safe
-// for concurrent use.
+// Engine is a stand-in for a model engine with its own listener. It is safe for
+// concurrent use.
 type Engine struct {
 	wasabiserver.Faults
-	opts      Options
-	server    *wasabiserver.Server
-	core      *core
-	report    atomic.Pointer[wasabiridge.LoadReport]
-	served    atomic.Int64
-	cancelled atomic.Int64
-	written   atomic.Int64
-	ends      atomic.Int64
+	opts           Options
+	server         *wasabiserver.Server
+	runner         *modelRunner
+	report         atomic.Pointer[wasabiridge.LoadReport]
+	served         atomic.Int64
+	cancelled      atomic.Int64
+	written        atomic.Int64
+	requestCrashes atomic.Int64
 }
 
-// New returns an engine that does not listen yet. It must be closed.
+// New returns an engine that does not listen yet. The caller must call Close.
 func New(o Options) *Engine {
 	o = o.withDefaults()
-	e := &Engine{opts: o, core: newCore(o.Clock, o.Spec)}
+	e := &Engine{opts: o, runner: newModelRunner(o.Clock, o.Spec)}
 	r := chi.NewRouter()
 	r.Post("/v1/chat/completions", e.handleChat)
 	r.Post("/v1/completions", e.handleText)
@@ -108,30 +109,31 @@
 	return o
 }
 
-// Start begins a life of the engine. The address, such as "127.0.0.1:0", is
-// where it listens; after a crash it listens where it did before, with a new
-// incarnation and a cold cache.
+// Start starts the engine, or restarts it after Crash. The first call listens on
+// the address, such as "127.0.0.1:0". After a crash the address is ignored: the
+// engine listens on its previous one, with a new incarnation and an empty cache.
 func (e *Engine) Start(address string) error {
-	e.core.revive()
+	e.runner.restart()
 	return e.server.Start(address)
 }
 
-// Crash ends the current life: the cache is lost and open connections are cut.
+// Crash stops the engine as a crash of the process does: the cache is lost and
+// open connections are closed. Start restarts it.
 func (e *Engine) Crash() {
-	e.core.crash()
+	e.runner.crash()
 	e.server.Crash()
 }
 
-// Close ends the engine for good.
+// Close stops the engine. It cannot be started again.
 func (e *Engine) Close() {
 	e.Crash()
-	e.core.close()
+	e.runner.close()
 }
 
 // URL returns the base address of the engine.
 func (e *Engine) URL() string { return e.server.URL() }
 
-// Backend describes the engine as a configuration would.
+// Backend returns the entry of the engine in a configuration.
 func (e *Engine) Backend() wasabiridge.BackendServer {
 	return wasabiridge.BackendServer{
 		ID: e.opts.Spec.ID, Kind: wasabiridge.BackendEngine, URL: e.URL(),
@@ -139,46 +141,46 @@
 	}
 }
 
-// Incarnation returns the current life.
+// Incarnation returns the current incarnation. Each restart increments it.
 func (e *Engine) Incarnation() wasabiridge.Incarnation {
-	life, _ := e.core.versions()
-	return life
+	incarnation, _ := e.runner.versions()
+	return incarnation
 }
 
-// Weights returns the version that serves.
+// Weights returns the version of the weights that are loaded.
 func (e *Engine) Weights() wasabiridge.WeightsVersion {
-	_, weights := e.core.versions()
+	_, weights := e.runner.versions()
 	return weights
 }
 
-// Load tells what is inside the engine now, without lag.
-func (e *Engine) Load() wasabiridge.LoadReport { return e.core.load() }
+// Load returns a current load report, without LoadLag.
+func (e *Engine) Load() wasabiridge.LoadReport { return e.runner.load() }
 
-// Ends counts the lives that a request has ended.
-func (e *Engine) Ends() int { return int(e.ends.Load()) }
+// Ends returns how many crashes requests with the text CrashOn have caused.
+func (e *Engine) Ends() int { return int(e.requestCrashes.Load()) }
 
-// Served counts the answers that were begun.
+// Served returns how many answers were started.
 func (e *Engine) Served() int { return int(e.served.Load()) }
 
-// Cancelled counts the answers that their caller gave up.
+// Cancelled returns how many answers ended because the caller disconnected.
 func (e *Engine) Cancelled() int { return int(e.cancelled.Load()) }
 
-// Written counts the tokens that were written to streams.
+// Written returns how many tokens were written to streams.
 func (e *Engine) Written() int { return int(e.written.Load()) }
 
-// Leave makes the engine ask for no new work in its load reports. It still
-// takes what comes.
+// Leave sets the leaving flag of the load reports, which requests that no new
+// work is placed here. The engine still accepts requests.
 func (e *Engine) Leave() {
-	e.core.mu.Lock()
-	defer e.core.mu.Unlock()
-	e.core.model.Leave()
+	e.runner.mu.Lock()
+	defer e.runner.mu.Unlock()
+	e.runner.model.Leave()
 }
 
-// LoseEvents makes the next cache events be lost on their way.
+// LoseEvents drops the next count cache events.
 func (e *Engine) LoseEvents(count int) {
-	e.core.mu.Lock()
-	defer e.core.mu.Unlock()
-	e.core.loseEvents += count
+	e.runner.mu.Lock()
+	defer e.runner.mu.Unlock()
+	e.runner.eventsToDrop += count
 }
 
 // loadReport returns a load report that is at most LoadLag old.
@@ -186,7 +188,7 @@
 	if r := e.report.Load(); r != nil && e.opts.Clock.Now()-r.Taken < e.opts.LoadLag {
 		return *r
 	}
-	r := e.core.load()
+	r := e.runner.load()
 	e.report.Store(&r)
 	return r
 }
--- a/internal/wasabiengine/engine_test.go
+++ b/internal/wasabiengine/engine_test.go
@@ -22,7 +22,7 @@
 
 func TestEngine(t *testing.T) { wasabitest.Run(t, "engine") }
 
-const patience = 20 * time.Second
+const timeout = 20 * time.Second
 
 func start(o wasabiengine.Options) *wasabiengine.Engine {
 	GinkgoHelper()
@@ -33,11 +33,11 @@
 	return e
 }
 
-// client keeps no connections: one that outlived a crash would fail the first
-// request of the next life.
+// client does not reuse connections: after a crash the first request on a
+// connection to the previous incarnation would fail.
 var client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-// call sends a request and returns status and body.
+// call sends a request and returns the status and body of the response.
 func call(method, url, body string) (int, string) {
 	GinkgoHelper()
 	req, err := http.NewRequestWithContext(context.Background(), method, url, bytes.NewReader([]byte(body)))
@@ -50,14 +50,14 @@
 	return resp.StatusCode, string(data)
 }
 
-func order(e *wasabiengine.Engine, fencing, weights int) int {
+func postOrder(e *wasabiengine.Engine, fencing, weights int) int {
 	GinkgoHelper()
 	status, _ := call(http.MethodPost, e.URL()+"/weights", fmt.Sprintf(`{"fencing_number":%d,"weights":%d}`, fencing, weights))
 	return status
 }
 
-// ask returns the usage of an answer.
-func ask(e *wasabiengine.Engine, body string) (prompt, cached int) {
+// complete sends a completion request and returns the token counts of its usage.
+func complete(e *wasabiengine.Engine, body string) (prompt, cached int) {
 	GinkgoHelper()
 	status, text := call(http.MethodPost, e.URL()+"/v1/completions", body)
 	Expect(status).To(Equal(http.StatusOK), text)
@@ -74,36 +74,36 @@
 }
 
 var _ = Describe("orders to load weights", func() {
-	// Story: an engine serves old weights again after a rollout. The holder
-	// of the lease before was paused and sent its order late.
-	It("are refused under an old fencing number by engines that check it", func() {
+	// Guards against an engine that serves old weights again after a rollout,
+	// because the previous lease holder was paused and sent its order late.
+	It("are refused with an old fencing number by engines that check it", func() {
 		e := start(wasabiengine.Options{})
-		Expect(order(e, 5, 2)).To(Equal(http.StatusAccepted))
-		Eventually(e.Weights, patience).Should(BeEquivalentTo(2))
-		Expect(order(e, 4, 1)).To(Equal(http.StatusPreconditionFailed))
-		Expect(order(e, 5, 3)).To(Equal(http.StatusAccepted), "the same holder may go on")
-		Eventually(e.Weights, patience).Should(BeEquivalentTo(3))
+		Expect(postOrder(e, 5, 2)).To(Equal(http.StatusAccepted))
+		Eventually(e.Weights, timeout).Should(BeEquivalentTo(2))
+		Expect(postOrder(e, 4, 1)).To(Equal(http.StatusPreconditionFailed))
+		Expect(postOrder(e, 5, 3)).To(Equal(http.StatusAccepted), "the fencing number of the same lease holder stays valid")
+		Eventually(e.Weights, timeout).Should(BeEquivalentTo(3))
 	})
 
-	It("are carried out under any number by engines that ignore it", func() {
+	It("are executed with any fencing number by engines that ignore it", func() {
 		e := start(wasabiengine.Options{IgnoresFencing: true})
-		Expect(order(e, 5, 2)).To(Equal(http.StatusAccepted))
-		Eventually(e.Weights, patience).Should(BeEquivalentTo(2))
-		Expect(order(e, 4, 1)).To(Equal(http.StatusAccepted))
-		Eventually(e.Weights, patience).Should(BeEquivalentTo(1))
+		Expect(postOrder(e, 5, 2)).To(Equal(http.StatusAccepted))
+		Eventually(e.Weights, timeout).Should(BeEquivalentTo(2))
+		Expect(postOrder(e, 4, 1)).To(Equal(http.StatusAccepted))
+		Eventually(e.Weights, timeout).Should(BeEquivalentTo(1))
 	})
 
-	It("are overtaken by a later one", func() {
+	It("are superseded by a later order during the load", func() {
 		e := start(wasabiengine.Options{LoadTime: 100})
-		Expect(order(e, 1, 2)).To(Equal(http.StatusAccepted))
+		Expect(postOrder(e, 1, 2)).To(Equal(http.StatusAccepted))
 		status, _ := call(http.MethodPost, e.URL()+"/v1/completions", `{"prompt":"p"}`)
-		Expect(status).To(Equal(http.StatusServiceUnavailable), "nothing is served while weights load")
-		Expect(order(e, 2, 3)).To(Equal(http.StatusAccepted))
-		Eventually(e.Weights, patience).Should(BeEquivalentTo(3))
+		Expect(status).To(Equal(http.StatusServiceUnavailable), "requests must be refused while weights are loading")
+		Expect(postOrder(e, 2, 3)).To(Equal(http.StatusAccepted))
+		Eventually(e.Weights, timeout).Should(BeEquivalentTo(3))
 		Consistently(e.Weights, "150ms").Should(BeEquivalentTo(3))
 	})
 
-	It("change the role alone when they name no version", func() {
+	It("change only the role when they name no weights version", func() {
 		e := start(wasabiengine.Options{})
 		status, text := call(http.MethodPost, e.URL()+"/weights", `{"fencing_number":1,"role":"prefill"}`)
 		Expect(status).To(Equal(http.StatusAccepted))
@@ -116,19 +116,19 @@
 	options := wasabiengine.Options{Spec: wasabifake.Spec{BlockTokens: 4, CacheBlocks: 8}}
 	a, b := fmt.Sprintf(prompt, "a"), fmt.Sprintf(prompt, "b")
 
-	It("serves one salt, one life and one version of the weights", func() {
+	It("shares no blocks between salts, incarnations or weights versions", func() {
 		e := start(options)
 		expect := func(body string, cached int) {
 			GinkgoHelper()
-			total, got := ask(e, body)
+			total, got := complete(e, body)
 			Expect(total).To(Equal(8))
 			Expect(got).To(Equal(cached))
 		}
 		expect(a, 0)
 		expect(a, 8)
 		expect(b, 0)
-		Expect(order(e, 1, 2)).To(Equal(http.StatusAccepted))
-		Eventually(e.Weights, patience).Should(BeEquivalentTo(2))
+		Expect(postOrder(e, 1, 2)).To(Equal(http.StatusAccepted))
+		Eventually(e.Weights, timeout).Should(BeEquivalentTo(2))
 		expect(a, 0)
 		expect(a, 8)
 		e.Crash()
@@ -139,7 +139,7 @@
 })
 
 var _ = Describe("load reports", func() {
-	It("are as old as the lag lets them be, and say so", func() {
+	It("are served again within LoadLag, with their age", func() {
 		e := start(wasabiengine.Options{LoadLag: wasabiridge.Hour})
 		read := func() map[string]any {
 			_, text := call(http.MethodGet, e.URL()+"/load", "")
@@ -148,9 +148,9 @@
 			return body
 		}
 		Expect(read()).To(HaveKeyWithValue("weights", 1.0))
-		Expect(order(e, 1, 2)).To(Equal(http.StatusAccepted))
-		Eventually(e.Weights, patience).Should(BeEquivalentTo(2))
-		Eventually(func() any { return read()["age_ms"] }, patience).Should(BeNumerically(">", 5))
-		Expect(read()).To(HaveKeyWithValue("weights", 1.0), "the report is from before")
+		Expect(postOrder(e, 1, 2)).To(Equal(http.StatusAccepted))
+		Eventually(e.Weights, timeout).Should(BeEquivalentTo(2))
+		Eventually(func() any { return read()["age_ms"] }, timeout).Should(BeNumerically(">", 5))
+		Expect(read()).To(HaveKeyWithValue("weights", 1.0), "the report was taken before the load")
 	})
 })
--- a/internal/wasabiengine/events.go
+++ b/internal/wasabiengine/events.go
@@ -11,7 +11,7 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// loadBody is the answer to GET /load.
+// loadBody is the response to GET /load.
 type loadBody struct {
 	Incarnation   uint64 `json:"incarnation"`
 	AgeMillis     int64  `json:"age_ms"`
@@ -27,8 +27,8 @@
 	Block string `json:"block,omitempty"`
 }
 
-// cacheBatch is one message of GET /cache/events. Entries follow each other
-// without a gap from Sequence on.
+// cacheBatch is one message of GET /cache/events. The events have consecutive
+// sequence numbers, the first of which is Sequence.
 type cacheBatch struct {
 	Incarnation uint64       `json:"incarnation"`
 	Sequence    uint64       `json:"sequence"`
@@ -49,18 +49,18 @@
 	return entry
 }
 
-// handleEvents streams cache events. A subscriber that names the last event
-// it saw goes on behind it, as far as the engine still keeps events.
+// handleEvents streams cache events. A subscriber that sends the ID of its last
+// event receives the events after it, as far as the event log still has them.
 func (e *Engine) handleEvents(w http.ResponseWriter, r *http.Request) {
-	life, sequence := lastEvent(r.Header.Get("Last-Event-ID"))
+	incarnation, sequence := parseEventID(r.Header.Get("Last-Event-ID"))
 	if r.URL.Query().Get("from") == "newest" {
-		life, sequence = e.core.newest()
+		incarnation, sequence = e.runner.newestEvent()
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	_ = http.NewResponseController(w).Flush()
 	for {
-		events, changed := e.core.eventsAfter(life, sequence)
+		events, changed := e.runner.eventsAfter(incarnation, sequence)
 		if len(events) == 0 {
 			select {
 			case <-changed:
@@ -72,14 +72,15 @@
 		if !sleep(r, e.opts.EventDelay) {
 			return
 		}
-		run := unbroken(events)
+		run := contiguous(events)
 		writeBatch(w, run)
-		life, sequence = run[len(run)-1].Incarnation, run[len(run)-1].Sequence
+		incarnation, sequence = run[len(run)-1].Incarnation, run[len(run)-1].Sequence
 	}
 }
 
-// unbroken returns the leading events without a gap.
-func unbroken(events []wasabiridge.CacheEvent) []wasabiridge.CacheEvent {
+// contiguous returns the leading events of one incarnation that have consecutive
+// sequence numbers.
+func contiguous(events []wasabiridge.CacheEvent) []wasabiridge.CacheEvent {
 	for i := 1; i < len(events); i++ {
 		if events[i].Incarnation != events[0].Incarnation || events[i].Sequence != events[i-1].Sequence+1 {
 			return events[:i]
@@ -103,20 +104,20 @@
 	_ = http.NewResponseController(w).Flush()
 }
 
-func lastEvent(id string) (wasabiridge.Incarnation, uint64) {
-	life, sequence, ok := strings.Cut(id, "-")
+func parseEventID(id string) (wasabiridge.Incarnation, uint64) {
+	incarnation, sequence, ok := strings.Cut(id, "-")
 	if !ok {
 		return 0, 0
 	}
-	l, lifeErr := strconv.ParseUint(life, 10, 64)
+	number, incarnationErr := strconv.ParseUint(incarnation, 10, 64)
 	s, sequenceErr := strconv.ParseUint(sequence, 10, 64)
-	if lifeErr != nil || sequenceErr != nil {
+	if incarnationErr != nil || sequenceErr != nil {
 		return 0, 0
 	}
-	return wasabiridge.Incarnation(l), s
+	return wasabiridge.Incarnation(number), s
 }
 
-// sleep waits for a length of time. It reports false when the caller is gone.
+// sleep waits for d. It reports false if the caller has disconnected.
 func sleep(r *http.Request, d wasabiridge.Millis) bool {
 	if d <= 0 {
 		return r.Context().Err() == nil
--- a/internal/wasabiengine/handler.go
+++ b/internal/wasabiengine/handler.go
@@ -14,19 +14,20 @@
 
 const maxBodyBytes = 32 << 20
 
-// form tells the two completion calls apart.
-type form struct {
+// responseFormat holds the differences between the responses of the two completion
+// endpoints.
+type responseFormat struct {
 	object, chunkObject string
 	chat                bool
 }
 
 var (
-	chatForm = form{object: "chat.completion", chunkObject: "chat.completion.chunk", chat: true}
-	textForm = form{object: "text_completion", chunkObject: "text_completion"}
+	chatFormat = responseFormat{object: "chat.completion", chunkObject: "chat.completion.chunk", chat: true}
+	textFormat = responseFormat{object: "text_completion", chunkObject: "text_completion"}
 )
 
-func (e *Engine) handleChat(w http.ResponseWriter, r *http.Request) { e.complete(w, r, chatForm) }
-func (e *Engine) handleText(w http.ResponseWriter, r *http.Request) { e.complete(w, r, textForm) }
+func (e *Engine) handleChat(w http.ResponseWriter, r *http.Request) { e.complete(w, r, chatFormat) }
+func (e *Engine) handleText(w http.ResponseWriter, r *http.Request) { e.complete(w, r, textFormat) }
 
 func (e *Engine) handleModels(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, modelList{
@@ -45,49 +46,51 @@
 	writeJSON(w, status, errorBody{Error: errorDetail{Message: message, Type: kind}})
 }
 
-// refuse answers that the request did not run.
+// refuse writes an error response with a disposition header that says that the
+// request did not run.
 func refuse(w http.ResponseWriter, status int, reason string) {
 	w.Header().Set(wasabiridge.HeaderDisposition, wasabiridge.NotRun.String())
 	writeError(w, status, reason, "not_run")
 }
 
-// asked reports whether a request accepts the version that serves, and names
-// that version on the answer.
-func asked(w http.ResponseWriter, r *http.Request, name string, own uint64) bool {
-	text := strconv.FormatUint(own, 10)
+// acceptsVersion reports whether the header name of a request is absent or equal
+// to the current version. It sets that header of the response to the current
+// version.
+func acceptsVersion(w http.ResponseWriter, r *http.Request, name string, current uint64) bool {
+	text := strconv.FormatUint(current, 10)
 	w.Header().Set(name, text)
 	want := r.Header.Get(name)
 	return want == "" || want == text
 }
 
-func (e *Engine) complete(w http.ResponseWriter, r *http.Request, f form) {
+func (e *Engine) complete(w http.ResponseWriter, r *http.Request, f responseFormat) {
 	var body completionRequest
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&body); err != nil {
 		writeError(w, http.StatusBadRequest, "broken body", "invalid_request_error")
 		return
 	}
-	life, weights := e.core.versions()
-	sameWeights := asked(w, r, wasabiridge.HeaderWeights, uint64(weights))
-	sameLife := asked(w, r, wasabiridge.HeaderIncarnation, uint64(life))
-	if !sameWeights || !sameLife {
+	incarnation, weights := e.runner.versions()
+	sameWeights := acceptsVersion(w, r, wasabiridge.HeaderWeights, uint64(weights))
+	sameIncarnation := acceptsVersion(w, r, wasabiridge.HeaderIncarnation, uint64(incarnation))
+	if !sameWeights || !sameIncarnation {
 		refuse(w, http.StatusConflict, "another weights version or incarnation")
 		return
 	}
 	chain := body.chain(e.opts.Spec.BlockTokens)
-	waiter, ok := e.core.submit(wasabifake.Job{
+	pending, ok := e.runner.submit(wasabifake.Job{
 		Priority:     wasabiridge.Priority(-body.Priority),
 		Chain:        chain,
 		OutputTokens: body.outputTokens(),
 		ResumeFrom:   body.ResumeFrom,
-	}, body.names(chain))
+	}, body.blockNames(chain))
 	if !ok {
 		w.Header().Set("Retry-After", "1")
 		refuse(w, http.StatusServiceUnavailable, "queue full or loading weights")
 		return
 	}
-	defer e.core.release(waiter)
+	defer e.runner.release(pending)
 	if e.opts.CrashOn != "" && strings.Contains(body.text(), e.opts.CrashOn) {
-		e.ends.Add(1)
+		e.requestCrashes.Add(1)
 		go e.Crash()
 		<-r.Context().Done()
 		return
@@ -95,18 +98,18 @@
 	if body.ResumeFrom > 0 {
 		w.Header().Set(wasabiridge.HeaderResumedFrom, strconv.Itoa(body.ResumeFrom))
 	}
-	s := &stream{
-		engine: e, w: w, r: r, form: f, body: body, fault: e.Take(), waiter: waiter,
-		answer: newAnswer(body.text(), weights),
-		id:     fmt.Sprintf("cmpl-%d", e.served.Add(1)),
+	s := &response{
+		engine: e, w: w, r: r, format: f, body: body, fault: e.Take(), pending: pending,
+		generator: newTokenGenerator(body.text(), weights),
+		id:        fmt.Sprintf("cmpl-%d", e.served.Add(1)),
 	}
 	if s.fault.Strikes(wasabiserver.BeforeHeaders, 0) {
 		s.fault.Perform(w, r)
 		return
 	}
 	if body.Stream {
-		s.run()
+		s.writeStream()
 		return
 	}
-	s.whole()
+	s.writeComplete()
 }
--- a/internal/wasabiengine/order.go
+++ b/internal/wasabiengine/order.go
@@ -8,19 +8,19 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// orderBody is the body of POST /weights. The order is absolute: it names the
-// version to serve, so that the same order twice changes nothing more.
+// orderBody is the body of POST /weights. Orders are idempotent, because they name
+// the version to serve.
 type orderBody struct {
 	FencingNumber uint64 `json:"fencing_number"`
 	Model         string `json:"model,omitempty"`
 	Adapter       string `json:"adapter,omitempty"`
 	// Weights is the version to serve. Zero keeps the version.
 	Weights uint64 `json:"weights,omitempty"`
-	// Role is what the engine is to do. Empty keeps the role.
+	// Role is the new role of the engine. Empty keeps the role.
 	Role string `json:"role,omitempty"`
 }
 
-// weightsBody is the answer to GET and POST /weights.
+// weightsBody is the response to GET and POST /weights.
 type weightsBody struct {
 	Weights       uint64 `json:"weights"`
 	FencingNumber uint64 `json:"fencing_number"`
@@ -29,7 +29,7 @@
 }
 
 func (e *Engine) handleWeights(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, http.StatusOK, e.core.weights())
+	writeJSON(w, http.StatusOK, e.runner.weights())
 }
 
 func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
@@ -38,60 +38,60 @@
 		writeError(w, http.StatusBadRequest, "broken order", "invalid_request_error")
 		return
 	}
-	load, ok := e.core.accept(order, !e.opts.IgnoresFencing)
+	loadID, ok := e.runner.accept(order, !e.opts.IgnoresFencing)
 	if !ok {
 		writeError(w, http.StatusPreconditionFailed, "fencing number too old", "fenced")
 		return
 	}
-	if load != 0 {
-		time.AfterFunc(e.opts.LoadTime.Duration(), func() { e.core.endLoad(load, order) })
+	if loadID != 0 {
+		time.AfterFunc(e.opts.LoadTime.Duration(), func() { e.runner.finishLoad(loadID, order) })
 	}
-	writeJSON(w, http.StatusAccepted, e.core.weights())
+	writeJSON(w, http.StatusAccepted, e.runner.weights())
 }
 
-func (c *core) weights() weightsBody {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (r *modelRunner) weights() weightsBody {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	return weightsBody{
-		Weights:       uint64(c.model.Spec().Weights),
-		FencingNumber: uint64(c.fencing),
-		Loading:       c.loading,
-		Role:          c.role,
+		Weights:       uint64(r.model.Spec().Weights),
+		FencingNumber: uint64(r.fencing),
+		Loading:       r.loading,
+		Role:          r.role,
 	}
 }
 
-// accept takes an order. It reports false when its fencing number is older than
-// one already seen and the engine checks fencing numbers. The returned number
-// names the load that the order begins, or is zero when it begins none.
-func (c *core) accept(o orderBody, checks bool) (uint64, bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// accept applies an order. It reports false if checkFencing is set and a higher
+// fencing number was seen before. The returned number is the ID of the load of
+// weights that the order starts, or zero if it starts none.
+func (r *modelRunner) accept(o orderBody, checkFencing bool) (uint64, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	number := wasabiridge.FencingNumber(o.FencingNumber)
-	if checks && number < c.fencing {
+	if checkFencing && number < r.fencing {
 		return 0, false
 	}
-	c.fencing = max(c.fencing, number)
+	r.fencing = max(r.fencing, number)
 	if o.Role != "" {
-		c.role = o.Role
+		r.role = o.Role
 	}
 	target := wasabiridge.WeightsVersion(o.Weights)
-	if target == 0 || (!c.loading && target == c.model.Spec().Weights) {
+	if target == 0 || (!r.loading && target == r.model.Spec().Weights) {
 		return 0, true
 	}
-	c.loading = true
-	c.loads++
-	return c.loads, true
+	r.loading = true
+	r.lastLoadID++
+	return r.lastLoadID, true
 }
 
-// endLoad puts loaded weights in force. A load that a later order or a crash
-// overtook changes nothing.
-func (c *core) endLoad(load uint64, o orderBody) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if !c.loading || load != c.loads {
+// finishLoad activates the loaded weights, unless a later order or a crash has
+// superseded the load.
+func (r *modelRunner) finishLoad(loadID uint64, o orderBody) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !r.loading || loadID != r.lastLoadID {
 		return
 	}
-	c.loading = false
-	c.model.LoadWeights(wasabiridge.WeightsVersion(o.Weights))
-	c.poke()
+	r.loading = false
+	r.model.LoadWeights(wasabiridge.WeightsVersion(o.Weights))
+	r.wakeDriver()
 }
--- a/internal/wasabiengine/protocol.go
+++ b/internal/wasabiengine/protocol.go
@@ -11,7 +11,7 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabiprefix"
 )
 
-// defaultMaxTokens is the length of an answer when the request sets none.
+// defaultMaxTokens is the length of an answer if the request sets no maximum.
 const defaultMaxTokens = 16
 
 // message is one message of a chat.
@@ -20,7 +20,7 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// completionRequest is the body of both completion calls.
+// completionRequest is the request body of both completion endpoints.
 type completionRequest struct {
 	Model               string    `json:"model"`
 	Messages            []message `json:"messages"`
@@ -34,22 +34,25 @@
 	ReturnTokenIDs bool   `json:"return_token_ids"`
 	Priority       int    `json:"priority"`
 	CacheSalt      string `json:"cache_salt"`
-	// ResumeFrom counts output tokens that are left out of the answer.
+	// ResumeFrom is the number of leading output tokens to leave out of the
+	// answer.
 	ResumeFrom int `json:"resume_from"`
-	// BlockHashes name the blocks of the prompt, in hexadecimal.
+	// BlockHashes are hashes of the prompt's blocks, in hexadecimal, which cache
+	// events use for these blocks.
 	BlockHashes []string `json:"block_hashes"`
 }
 
-// chain returns the cache blocks of the prompt, rooted in the salt, so that
-// requests of different salts never share a block.
+// chain returns the cache blocks of the prompt. The salt is part of their hashes,
+// so that requests with different salts never share a block.
 func (r completionRequest) chain(blockTokens int) wasabiridge.Chain {
 	root := wasabiridge.CacheRoot{Adapter: wasabiridge.AdapterID(r.CacheSalt)}
 	return wasabiprefix.Of(root, []byte(r.text()), blockTokens)
 }
 
-// names returns the caller's names of the chain's blocks, for cache events. It
-// is nil when the request names none or another number.
-func (r completionRequest) names(c wasabiridge.Chain) []wasabiridge.BlockHash {
+// blockNames returns the hashes that the caller sent for the blocks of the chain,
+// for cache events. It returns nil if their number is not that of the blocks or
+// one is malformed.
+func (r completionRequest) blockNames(c wasabiridge.Chain) []wasabiridge.BlockHash {
 	if len(r.BlockHashes) != len(c.Blocks) {
 		return nil
 	}
@@ -64,7 +67,8 @@
 	return out
 }
 
-// text returns the prompt as one text.
+// text returns the prompt, or the contents of all messages, each followed by a
+// newline.
 func (r completionRequest) text() string {
 	if len(r.Messages) == 0 {
 		return r.Prompt
@@ -81,7 +85,7 @@
 	return b.String()
 }
 
-// outputTokens returns the length of the answer.
+// outputTokens returns the length of the answer in tokens.
 func (r completionRequest) outputTokens() int {
 	if r.MaxCompletionTokens > 0 {
 		return r.MaxCompletionTokens
@@ -97,7 +101,7 @@
 	Content string `json:"content"`
 }
 
-// choice is the one choice of an answer, whole or in part.
+// choice is the only choice of an answer, or of one event of a stream.
 type choice struct {
 	Index        int     `json:"index"`
 	Delta        *delta  `json:"delta,omitempty"`
@@ -118,7 +122,7 @@
 	PromptTokensDetails promptDetails `json:"prompt_tokens_details"`
 }
 
-// completion is a whole answer or one event of a stream.
+// completion is a complete answer or one event of a stream.
 type completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -153,22 +157,22 @@
 	" and", " test", " footrest", " swivel", " lock", " before", " next", " run",
 }
 
-// token is one made-up output token. Its id is different at each position, so
-// that a token that comes twice or is missing always shows.
+// token is one generated output token. IDs are distinct at all positions, so that
+// duplicated and missing tokens are always detected.
 type token struct {
 	id   int
 	text string
 }
 
-// answer makes up the tokens of answers to one prompt.
-type answer struct{ seed uint64 }
+// tokenGenerator generates the tokens of the answer to one prompt.
+type tokenGenerator struct{ seed uint64 }
 
-func newAnswer(prompt string, w wasabiridge.WeightsVersion) answer {
-	return answer{seed: xxhash.Sum64String(prompt) + uint64(w)*0x9e3779b97f4a7c15}
+func newTokenGenerator(prompt string, w wasabiridge.WeightsVersion) tokenGenerator {
+	return tokenGenerator{seed: xxhash.Sum64String(prompt) + uint64(w)*0x9e3779b97f4a7c15}
 }
 
-func (a answer) token(i int) token {
-	x := a.seed + uint64(i)*0xbf58476d1ce4e5b9
+func (g tokenGenerator) token(i int) token {
+	x := g.seed + uint64(i)*0xbf58476d1ce4e5b9
 	x ^= x >> 31
 	x *= 0x94d049bb133111eb
 	word := int((x >> 33) % uint64(len(vocabulary)))
--- a/internal/wasabiengine/stream.go
+++ b/internal/wasabiengine/stream.go
@@ -10,24 +10,24 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabiserver"
 )
 
-// stream writes one answer.
-type stream struct {
-	engine *Engine
-	w      http.ResponseWriter
-	r      *http.Request
-	form   form
-	body   completionRequest
-	fault  *wasabiserver.Fault
-	waiter *waiter
-	answer answer
-	id     string
+// response writes one answer, either as a stream or complete.
+type response struct {
+	engine    *Engine
+	w         http.ResponseWriter
+	r         *http.Request
+	format    responseFormat
+	body      completionRequest
+	fault     *wasabiserver.Fault
+	pending   *pendingAnswer
+	generator tokenGenerator
+	id        string
 }
 
-// awaitFirst waits until the prompt is computed. It reports false when the
-// caller is gone.
-func (s *stream) awaitFirst() bool {
+// awaitFirstToken waits until the prompt is computed. It reports false if the
+// caller has disconnected.
+func (s *response) awaitFirstToken() bool {
 	select {
-	case <-s.waiter.first:
+	case <-s.pending.first:
 		return true
 	case <-s.r.Context().Done():
 		s.engine.cancelled.Add(1)
@@ -35,24 +35,24 @@
 	}
 }
 
-// await waits until more tokens than written are there and returns how many.
-// It reports false when the caller is gone.
-func (s *stream) await(written, end int) (int, bool) {
+// awaitTokens waits until more than written tokens are produced and returns their
+// number, at most end. It reports false if the caller has disconnected.
+func (s *response) awaitTokens(written, end int) (int, bool) {
 	for {
 		if s.r.Context().Err() != nil {
 			s.engine.cancelled.Add(1)
 			return 0, false
 		}
-		if n := s.engine.core.available(s.waiter, end); n > written {
+		if n := s.engine.runner.available(s.pending, end); n > written {
 			return n, true
 		}
 		sleep(s.r, max(1, s.engine.opts.Spec.Decode))
 	}
 }
 
-func (s *stream) usage() *usage {
+func (s *response) usage() *usage {
 	output := s.body.outputTokens()
-	u := s.waiter.usage
+	u := s.pending.usage
 	return &usage{
 		PromptTokens:        u.PromptTokens,
 		CompletionTokens:    output,
@@ -61,47 +61,47 @@
 	}
 }
 
-func (s *stream) envelope(object string) completion {
+func (s *response) newCompletion(object string) completion {
 	return completion{
 		ID: s.id, Object: object, Created: int64(s.engine.opts.Clock.Now() / wasabiridge.Second),
 		Model: s.body.Model, Choices: []choice{},
 	}
 }
 
-func (s *stream) whole() {
+func (s *response) writeComplete() {
 	end := s.body.outputTokens()
-	if !s.awaitFirst() {
+	if !s.awaitFirstToken() {
 		return
 	}
 	for n := 0; n < end; {
 		var ok bool
-		if n, ok = s.await(n, end); !ok {
+		if n, ok = s.awaitTokens(n, end); !ok {
 			return
 		}
 	}
 	var text strings.Builder
 	var ids []int
 	for i := s.body.ResumeFrom; i < end; i++ {
-		t := s.answer.token(i)
+		t := s.generator.token(i)
 		text.WriteString(t.text)
 		if s.body.ReturnTokenIDs {
 			ids = append(ids, t.id)
 		}
 	}
-	c := s.envelope(s.form.object)
+	c := s.newCompletion(s.format.object)
 	c.Usage = s.usage()
 	c.Choices = []choice{s.choice(text.String(), ids, true)}
 	writeJSON(s.w, http.StatusOK, c)
 }
 
-func (s *stream) choice(text string, ids []int, last bool) choice {
+func (s *response) choice(text string, ids []int, last bool) choice {
 	c := choice{TokenIDs: ids}
 	if last {
 		reason := "length"
 		c.FinishReason = &reason
 	}
 	switch {
-	case !s.form.chat:
+	case !s.format.chat:
 		c.Text = &text
 	case s.body.Stream:
 		c.Delta = &delta{Content: text}
@@ -111,7 +111,7 @@
 	return c
 }
 
-func (s *stream) run() {
+func (s *response) writeStream() {
 	s.w.Header().Set("Content-Type", "text/event-stream")
 	s.w.WriteHeader(http.StatusOK)
 	s.flush()
@@ -119,7 +119,7 @@
 		s.fault.Perform(s.w, s.r)
 		return
 	}
-	if !s.awaitFirst() || !s.writeTokens() {
+	if !s.awaitFirstToken() || !s.writeTokens() {
 		return
 	}
 	if s.fault.Strikes(wasabiserver.BeforeEndMarker, 0) {
@@ -127,7 +127,7 @@
 		return
 	}
 	if s.body.StreamOptions.IncludeUsage {
-		c := s.envelope(s.form.chunkObject)
+		c := s.newCompletion(s.format.chunkObject)
 		c.Usage = s.usage()
 		s.writeEvent(c)
 	}
@@ -135,11 +135,12 @@
 	s.flush()
 }
 
-// writeTokens writes all tokens. It reports false when the answer ended early.
-func (s *stream) writeTokens() bool {
+// writeTokens writes an event for each token. It reports false if the answer ended
+// early, because of an injected fault or because the caller has disconnected.
+func (s *response) writeTokens() bool {
 	end := s.body.outputTokens()
 	for i := s.body.ResumeFrom; i < end; {
-		ready, ok := s.await(i, end)
+		ready, ok := s.awaitTokens(i, end)
 		if !ok {
 			return false
 		}
@@ -158,19 +159,19 @@
 	return true
 }
 
-func (s *stream) writeToken(i int, last bool) {
-	t := s.answer.token(i)
+func (s *response) writeToken(i int, last bool) {
+	t := s.generator.token(i)
 	var ids []int
 	if s.body.ReturnTokenIDs {
 		ids = []int{t.id}
 	}
-	c := s.envelope(s.form.chunkObject)
+	c := s.newCompletion(s.format.chunkObject)
 	c.Choices = []choice{s.choice(t.text, ids, last)}
 	s.writeEvent(c)
 	s.engine.written.Add(1)
 }
 
-func (s *stream) writeEvent(c completion) {
+func (s *response) writeEvent(c completion) {
 	var data []byte
 	var err error
 	if data, err = json.Marshal(c); err != nil {
@@ -180,6 +181,6 @@
 	s.flush()
 }
 
-func (s *stream) flush() {
+func (s *response) flush() {
 	_ = http.NewResponseController(s.w).Flush()
 }
