--- a/internal/wasabifake/engine.go
+++ b/internal/wasabifake/engine.go
@@ -1,15 +1,15 @@
-// Package wasabifake models backend servers without any I/O: a model engine
+// Package wasabifake simulates backend servers without any I/O: a model engine
 // with a bounded prefix cache, prefill, decode, slots, a queue, load reports,
-// cache events, crashes and cold returns.
+// cache events, crashes and restarts with an empty cache.
 //
-// The model is driven by the time that its callers hand in, which may be
-// virtual or real. It is meant for tests and measurements.
+// Time is passed in by the caller and may be virtual or real. The package is meant
+// for tests and measurements.
 //
-// What is modelled: prompts are computed one after another at a fixed cost
-// for each block that is not cached; answers are decoded side by side, slower
-// when more of them run; a request holds a slot from the start of its prompt
-// to the end of its answer; a full queue refuses. What is not modelled:
-// networks, machines, and the memory that running answers take.
+// Prompts are computed one at a time at a fixed cost for each block that is not
+// cached. Answers are decoded concurrently, more slowly the more of them run. A
+// request occupies a slot from the start of its prompt to the end of its answer.
+// Requests are refused while the queue is full. Networks, machines and the memory
+// that answers take during decoding are not modelled.
 //
 // # Usage
 //
@@ -28,26 +28,28 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Spec describes a backend server. It is an immutable value.
+// Spec configures an Engine. It is an immutable value.
 type Spec struct {
-	ID          wasabiridge.BackendServerID
+	ID wasabiridge.BackendServerID
+	// BlockTokens is the size of a cache block. Zero means 2048.
 	BlockTokens int
-	// CacheBlocks bounds the prefix cache. Zero means no cache.
+	// CacheBlocks is the capacity of the prefix cache. Zero means no cache.
 	CacheBlocks int
-	// Slots bounds how many requests run at once. Zero means 1.
+	// Slots is the maximum number of requests that run at once. Zero means 1.
 	Slots int
-	// QueueLimit bounds how many requests wait inside the server. Zero means
-	// no bound.
+	// QueueLimit is the maximum number of waiting requests. Zero means no
+	// limit.
 	QueueLimit int
 	// Prefill is the time to compute one block of a prompt.
 	Prefill wasabiridge.Millis
-	// Decode is the time between two tokens when the server is idle. It
-	// doubles when all slots are taken.
+	// Decode is the time for one output token in an idle server. The time grows
+	// linearly with the number of answers that are being decoded when decoding
+	// starts, to twice Decode when all slots are taken.
 	Decode  wasabiridge.Millis
 	Weights wasabiridge.WeightsVersion
 }
 
-// Job is one attempt handed to an engine.
+// Job is one attempt at a request, as submitted to an engine.
 type Job struct {
 	Attempt  wasabiridge.AttemptID
 	Request  wasabiridge.RequestID
@@ -55,33 +57,34 @@
 	Chain    wasabiridge.Chain
 	// OutputTokens is the length of the answer.
 	OutputTokens int
-	// ResumeFrom counts output tokens that need not be produced again.
+	// ResumeFrom is the number of leading output tokens that are not produced
+	// again.
 	ResumeFrom int
 }
 
-// OutputKind tells what an engine did.
+// OutputKind is the kind of an Output.
 type OutputKind uint8
 
 // Kinds of outputs.
 const (
-	// Started says that the prompt is being computed from now on.
+	// Started means that the engine starts to compute the prompt.
 	Started OutputKind = iota
-	// FirstToken says that the prompt is computed and the answer begins.
+	// FirstToken means that the prompt is computed and decoding starts.
 	FirstToken
-	// Completed says that the whole answer was produced.
+	// Completed means that the complete answer was produced.
 	Completed
 )
 
-// Output is something that an engine did at a point in time.
+// Output is an event in the processing of a job.
 type Output struct {
 	At   wasabiridge.Millis
 	Kind OutputKind
 	Job  Job
-	// Usage is whole for Completed. Before that it has no output tokens.
+	// Usage has a token count for the output only if Kind is Completed.
 	Usage wasabiridge.Usage
 }
 
-type running struct {
+type jobState struct {
 	job     Job
 	cached  int
 	arrived uint64
@@ -90,18 +93,18 @@
 	end   wasabiridge.Millis
 }
 
-// Engine is a model of one backend server. It is not safe for concurrent use.
+// Engine simulates one backend server. It is not safe for concurrent use.
 type Engine struct {
 	spec        Spec
 	incarnation wasabiridge.Incarnation
 	down        bool
 	leaving     bool
 	cache       *cache
-	arrivals    uint64
-	queue       []running
-	prefilling  *running
+	lastArrival uint64
+	queue       []jobState
+	prefilling  *jobState
 	prefillEnd  wasabiridge.Millis
-	decoding    []running
+	decoding    []jobState
 	outputs     []Output
 	events      []wasabiridge.CacheEvent
 	sequence    uint64
@@ -130,46 +133,48 @@
 // Spec returns the description of the engine.
 func (e *Engine) Spec() Spec { return e.spec }
 
-// Incarnation returns the current life of the engine.
+// Incarnation returns the current incarnation of the engine, starting at 1. Each
+// Return increments it.
 func (e *Engine) Incarnation() wasabiridge.Incarnation { return e.incarnation }
 
-// Down reports whether the engine is crashed.
+// Down reports whether the engine has crashed and was not restarted.
 func (e *Engine) Down() bool { return e.down }
 
-// Leave makes the engine ask for no new work in its load reports. It still
-// takes what comes.
+// Leave sets the leaving flag of the load reports, which requests that no new
+// work is placed here. The engine still accepts jobs.
 func (e *Engine) Leave() { e.leaving = true }
 
-// Submit hands over an attempt. It reports false when the engine is down or
-// its queue is full; nothing ran then.
+// Submit queues a job behind those of the same or a higher priority and starts it
+// if possible. It reports false if the engine is down or its queue is full; the
+// job did not run then.
 func (e *Engine) Submit(now wasabiridge.Millis, j Job) bool {
-	e.run(now)
+	e.advanceTo(now)
 	if e.down || (e.spec.QueueLimit > 0 && len(e.queue) >= e.spec.QueueLimit) {
 		return false
 	}
-	e.arrivals++
-	e.queue = append(e.queue, running{job: j, arrived: e.arrivals})
+	e.lastArrival++
+	e.queue = append(e.queue, jobState{job: j, arrived: e.lastArrival})
 	sort.SliceStable(e.queue, func(a, b int) bool {
 		return e.queue[a].job.Priority > e.queue[b].job.Priority
 	})
-	e.start(now)
+	e.startNext(now)
 	return true
 }
 
-// Cancel gives an attempt up. It reports false when the engine does not know
-// the attempt, or not any more.
+// Cancel removes an attempt that is queued or running. It reports false if there
+// is none, for instance because it has completed.
 func (e *Engine) Cancel(now wasabiridge.Millis, a wasabiridge.AttemptID) bool {
-	e.run(now)
+	e.advanceTo(now)
 	if e.prefilling != nil && e.prefilling.job.Attempt == a {
 		e.prefilling = nil
-		e.start(now)
+		e.startNext(now)
 		return true
 	}
-	for _, list := range []*[]running{&e.queue, &e.decoding} {
+	for _, list := range []*[]jobState{&e.queue, &e.decoding} {
 		for i, r := range *list {
 			if r.job.Attempt == a {
 				*list = append((*list)[:i], (*list)[i+1:]...)
-				e.start(now)
+				e.startNext(now)
 				return true
 			}
 		}
@@ -177,16 +182,16 @@
 	return false
 }
 
-// NextAt returns when the engine next does something on its own. It reports
-// false when the engine is idle.
+// NextAt returns the time of the next output or state change. It reports false
+// when the engine is idle.
 func (e *Engine) NextAt() (wasabiridge.Millis, bool) {
 	if len(e.outputs) > 0 {
 		return e.outputs[0].At, true
 	}
-	return e.next()
+	return e.nextCompletion()
 }
 
-func (e *Engine) next() (wasabiridge.Millis, bool) {
+func (e *Engine) nextCompletion() (wasabiridge.Millis, bool) {
 	at, ok := wasabiridge.Millis(0), false
 	if e.prefilling != nil {
 		at, ok = e.prefillEnd, true
@@ -199,18 +204,18 @@
 	return at, ok
 }
 
-// Advance moves the engine to the given time and returns what it did, in
-// order of time. Outputs of the past are returned once.
+// Advance advances the engine to the given time and returns the outputs up to
+// then, in order of time. Each output is returned once.
 func (e *Engine) Advance(now wasabiridge.Millis) []Output {
-	e.run(now)
+	e.advanceTo(now)
 	out := e.outputs
 	e.outputs = nil
 	return out
 }
 
-func (e *Engine) run(now wasabiridge.Millis) {
+func (e *Engine) advanceTo(now wasabiridge.Millis) {
 	for {
-		at, ok := e.next()
+		at, ok := e.nextCompletion()
 		if !ok || at > now {
 			return
 		}
@@ -218,26 +223,27 @@
 		if e.prefilling != nil && e.prefillEnd <= at {
 			e.finishPrefill(at)
 		}
-		e.start(at)
+		e.startNext(at)
 	}
 }
 
-func (e *Engine) start(now wasabiridge.Millis) {
+func (e *Engine) startNext(now wasabiridge.Millis) {
 	if e.down || e.prefilling != nil || len(e.queue) == 0 || len(e.decoding) >= e.spec.Slots {
 		return
 	}
 	r := e.queue[0]
 	e.queue = e.queue[1:]
 	blocks := r.job.Chain.Blocks
-	depth := e.cache.depth(blocks)
-	e.cache.touch(blocks, depth)
-	r.cached = depth * e.spec.BlockTokens
+	cachedBlocks := e.cache.cachedPrefix(blocks)
+	e.cache.touch(blocks, cachedBlocks)
+	r.cached = cachedBlocks * e.spec.BlockTokens
 	e.prefilling = &r
 	e.prefillEnd = now + e.PrefillTime(r.job.Chain.Tokens-r.cached)
 	e.output(now, Started, r)
 }
 
-// PrefillTime returns how long it takes to compute tokens of a prompt.
+// PrefillTime returns the time to compute that many tokens of a prompt, at least
+// 1 ms.
 func (e *Engine) PrefillTime(tokens int) wasabiridge.Millis {
 	if tokens <= 0 {
 		return 1
@@ -249,10 +255,10 @@
 	r := *e.prefilling
 	e.prefilling = nil
 	e.cache.store(r.job.Chain.Blocks)
-	left := wasabiridge.Millis(max(0, r.job.OutputTokens-r.job.ResumeFrom))
-	busy := wasabiridge.Millis(len(e.decoding) + 1)
+	remaining := wasabiridge.Millis(max(0, r.job.OutputTokens-r.job.ResumeFrom))
+	active := wasabiridge.Millis(len(e.decoding) + 1)
 	r.first = at
-	r.end = at + left*e.spec.Decode*(wasabiridge.Millis(e.spec.Slots)+busy)/wasabiridge.Millis(e.spec.Slots)
+	r.end = at + remaining*e.spec.Decode*(wasabiridge.Millis(e.spec.Slots)+active)/wasabiridge.Millis(e.spec.Slots)
 	e.decoding = append(e.decoding, r)
 	e.output(at, FirstToken, r)
 	e.finishDecodes(at)
@@ -270,7 +276,7 @@
 	e.decoding = kept
 }
 
-func (e *Engine) output(at wasabiridge.Millis, kind OutputKind, r running) {
+func (e *Engine) output(at wasabiridge.Millis, kind OutputKind, r jobState) {
 	u := wasabiridge.Usage{
 		PromptTokens: r.job.Chain.Tokens,
 		CachedTokens: r.cached,
--- a/internal/wasabifake/engine_test.go
+++ b/internal/wasabifake/engine_test.go
@@ -28,7 +28,7 @@
 		e = wasabifake.NewEngine(wasabifake.Spec{ID: "e", CacheBlocks: 3, Slots: 2, QueueLimit: 2, Prefill: 100, Decode: 10})
 	})
 
-	It("computes only what is not cached, and decodes side by side", func() {
+	It("computes only uncached blocks and decodes concurrently", func() {
 		Expect(e.Submit(0, job(1, 10, 11))).To(BeTrue())
 		Expect(e.Submit(0, job(2, 10, 12))).To(BeTrue())
 		var first []wasabiridge.Millis
@@ -45,7 +45,7 @@
 		Expect(busy).To(BeFalse())
 	})
 
-	It("evicts the block used least recently, leaves first, and says so", func() {
+	It("evicts the least recently used block, leaves first, with a cache event", func() {
 		e.Submit(0, job(1, 10, 11))
 		e.Advance(1000)
 		e.Submit(1000, job(2, 20, 21))
@@ -59,7 +59,7 @@
 		}))
 	})
 
-	It("refuses when its queue is full, and serves higher priorities first", func() {
+	It("refuses jobs when its queue is full and serves higher priorities first", func() {
 		high := job(4, 40)
 		high.Priority = 1
 		Expect(e.Submit(0, job(1, 10))).To(BeTrue())
@@ -75,7 +75,7 @@
 		Expect(order).To(Equal([]wasabiridge.AttemptID{1, 4, 2}))
 	})
 
-	It("comes back cold in another life after a crash", func() {
+	It("restarts as a new incarnation with an empty cache after a crash", func() {
 		e.Submit(0, job(1, 10))
 		e.Submit(0, job(2, 20))
 		lost := e.Crash(150)
@@ -89,7 +89,7 @@
 		Expect(e.TakeEvents()).To(ConsistOf(HaveField("Kind", wasabiridge.CacheCleared)))
 	})
 
-	It("stops what is cancelled and takes the next", func() {
+	It("stops a cancelled job and starts the next one", func() {
 		e.Submit(0, job(1, 10))
 		e.Submit(0, job(2, 20))
 		Expect(e.Cancel(50, 1)).To(BeTrue())
@@ -100,7 +100,7 @@
 		Expect(e.CachedTokens(job(0, 10).Chain)).To(BeZero())
 	})
 
-	It("forecasts what a prompt would meet", func() {
+	It("forecasts the waiting time and cached tokens of a prompt", func() {
 		e.Submit(0, job(1, 10, 11))
 		wait, cached := e.Forecast(50, job(0, 10, 11, 12).Chain)
 		Expect(wait).To(Equal(wasabiridge.Millis(150)))
--- a/internal/wasabifake/state.go
+++ b/internal/wasabifake/state.go
@@ -4,17 +4,18 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Lost is a job that was inside an engine when it crashed.
+// Lost is a job that was queued or running in an engine when it crashed.
 type Lost struct {
 	Job Job
-	// Produced counts its output tokens until then, which may have reached
-	// the caller.
+	// Produced is the number of output tokens until the crash, which the caller
+	// may have received.
 	Produced int
 }
 
-// Crash ends the current life of the engine and returns the jobs inside.
+// Crash ends the current incarnation: the cache, unread events and all jobs are
+// lost. It returns the jobs. The engine stays down until Return.
 func (e *Engine) Crash(now wasabiridge.Millis) []Lost {
-	e.run(now)
+	e.advanceTo(now)
 	var lost []Lost
 	for _, r := range e.queue {
 		lost = append(lost, Lost{Job: r.job})
@@ -32,7 +33,8 @@
 	return lost
 }
 
-// Return starts the next life of a crashed engine, with a cold cache.
+// Return restarts a crashed engine as the next incarnation, with an empty cache.
+// It does nothing if the engine is not down.
 func (e *Engine) Return() {
 	if !e.down {
 		return
@@ -43,17 +45,17 @@
 	e.emit(wasabiridge.CacheCleared, 0)
 }
 
-// LoadWeights changes the weights and drops the cache, whose entries belong
-// to the weights before.
+// LoadWeights changes the weights version and clears the cache, whose entries are
+// valid for the previous weights only.
 func (e *Engine) LoadWeights(w wasabiridge.WeightsVersion) {
 	e.spec.Weights = w
 	e.cache = newCache(e.spec.CacheBlocks, e.emit)
 	e.emit(wasabiridge.CacheCleared, 0)
 }
 
-// Load reports what is inside the engine now.
+// Load returns a load report at the given time.
 func (e *Engine) Load(now wasabiridge.Millis) wasabiridge.LoadReport {
-	e.run(now)
+	e.advanceTo(now)
 	report := wasabiridge.LoadReport{
 		Backend:     e.spec.ID,
 		Incarnation: e.incarnation,
@@ -70,65 +72,67 @@
 	return report
 }
 
-// backlog estimates the prompt work of the running prompt and of the queued
-// ones. Prompts that share blocks with each other count them once.
-func (e *Engine) backlog(now wasabiridge.Millis, queue []running) wasabiridge.Millis {
+// backlog returns the time to finish the current prompt and to compute the queued
+// ones. Blocks that several of these prompts share are counted once.
+func (e *Engine) backlog(now wasabiridge.Millis, queue []jobState) wasabiridge.Millis {
 	work := wasabiridge.Millis(0)
-	coming := make(map[wasabiridge.BlockHash]bool)
+	expected := make(map[wasabiridge.BlockHash]bool)
 	if e.prefilling != nil {
 		work = max(0, e.prefillEnd-now)
-		mark(coming, e.prefilling.job.Chain.Blocks)
+		addBlocks(expected, e.prefilling.job.Chain.Blocks)
 	}
 	for _, r := range queue {
-		depth := e.depthWith(coming, r.job.Chain.Blocks)
-		work += e.PrefillTime(r.job.Chain.Tokens - depth*e.spec.BlockTokens)
-		mark(coming, r.job.Chain.Blocks)
+		cachedBlocks := e.prefixWith(expected, r.job.Chain.Blocks)
+		work += e.PrefillTime(r.job.Chain.Tokens - cachedBlocks*e.spec.BlockTokens)
+		addBlocks(expected, r.job.Chain.Blocks)
 	}
 	return work
 }
 
-func mark(set map[wasabiridge.BlockHash]bool, blocks []wasabiridge.BlockHash) {
+func addBlocks(set map[wasabiridge.BlockHash]bool, blocks []wasabiridge.BlockHash) {
 	for _, b := range blocks {
 		set[b] = true
 	}
 }
 
-func (e *Engine) depthWith(coming map[wasabiridge.BlockHash]bool, blocks []wasabiridge.BlockHash) int {
+func (e *Engine) prefixWith(expected map[wasabiridge.BlockHash]bool, blocks []wasabiridge.BlockHash) int {
 	for i, b := range blocks {
-		if !e.cache.holds(b) && !coming[b] {
+		if !e.cache.contains(b) && !expected[b] {
 			return i
 		}
 	}
 	return len(blocks)
 }
 
-// CachedTokens counts the tokens of a prompt that are cached now.
+// CachedTokens returns how many leading tokens of a prompt are cached.
 func (e *Engine) CachedTokens(c wasabiridge.Chain) int {
 	if e.down {
 		return 0
 	}
-	return e.cache.depth(c.Blocks) * e.spec.BlockTokens
+	return e.cache.cachedPrefix(c.Blocks) * e.spec.BlockTokens
 }
 
-// Forecast tells exactly what a job that is handed over now would meet: how
-// long its prompt would wait for others, and how many of its tokens would be
-// cached when its turn comes, unless they are evicted in between.
+// Forecast returns how long the prompt of a job that is submitted now would wait
+// for others, and how many of its tokens would be cached when its computation
+// starts, provided that none are evicted until then. If no slot is free, wait is
+// an estimate.
 func (e *Engine) Forecast(now wasabiridge.Millis, c wasabiridge.Chain) (wait wasabiridge.Millis, cached int) {
-	coming := make(map[wasabiridge.BlockHash]bool)
+	expected := make(map[wasabiridge.BlockHash]bool)
 	if e.prefilling != nil {
-		mark(coming, e.prefilling.job.Chain.Blocks)
+		addBlocks(expected, e.prefilling.job.Chain.Blocks)
 	}
 	for _, r := range e.queue {
-		mark(coming, r.job.Chain.Blocks)
+		addBlocks(expected, r.job.Chain.Blocks)
 	}
 	wait = e.backlog(now, e.queue)
 	if len(e.decoding)+len(e.queue) >= e.spec.Slots {
 		wait = max(wait, e.slotWait(now))
 	}
-	return wait, e.depthWith(coming, c.Blocks) * e.spec.BlockTokens
+	return wait, e.prefixWith(expected, c.Blocks) * e.spec.BlockTokens
 }
 
-// slotWait is the time until a slot becomes free for a job behind the queue.
+// slotWait estimates the time until a slot becomes free for a job at the end of
+// the queue: the time until the first answer completes, once for each job.
 func (e *Engine) slotWait(now wasabiridge.Millis) wasabiridge.Millis {
 	if len(e.decoding) == 0 {
 		return 0
@@ -140,8 +144,8 @@
 	return max(0, first-now) * wasabiridge.Millis(1+len(e.queue))
 }
 
-// Produced counts the output tokens that an attempt has produced, for callers
-// that stream them. It reports false when the attempt is not being decoded.
+// Produced returns how many output tokens an attempt has produced, including those
+// before ResumeFrom. It reports false if the attempt is not being decoded.
 func (e *Engine) Produced(now wasabiridge.Millis, a wasabiridge.AttemptID) (int, bool) {
 	for _, r := range e.decoding {
 		if r.job.Attempt == a {
@@ -151,12 +155,12 @@
 	return 0, false
 }
 
-func (r running) produced(now wasabiridge.Millis) int {
+func (r jobState) produced(now wasabiridge.Millis) int {
 	if r.end <= r.first {
 		return r.job.OutputTokens
 	}
-	left := wasabiridge.Millis(r.job.OutputTokens - r.job.ResumeFrom)
-	done := left * min(now-r.first, r.end-r.first) / (r.end - r.first)
+	remaining := wasabiridge.Millis(r.job.OutputTokens - r.job.ResumeFrom)
+	done := remaining * min(now-r.first, r.end-r.first) / (r.end - r.first)
 	return r.job.ResumeFrom + int(done)
 }
 
