--- a/internal/wasabifault/call.go
+++ b/internal/wasabifault/call.go
@@ -7,10 +7,10 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// SleepFunc waits and reports false when the context ended first.
+// SleepFunc waits for span. It reports false if the context ended first.
 type SleepFunc func(ctx context.Context, span wasabiridge.Millis) bool
 
-// Sleep waits in real time. It reports false when the context ended first.
+// Sleep waits for span in real time. It reports false if the context ended first.
 func Sleep(ctx context.Context, span wasabiridge.Millis) bool {
 	if span <= 0 {
 		return ctx.Err() == nil
@@ -25,42 +25,44 @@
 	}
 }
 
-// Read carries out the fate of a read. Every failure of a read is
-// ErrUnavailable, because a read has no effect.
+// Read draws the outcome of a read and applies its delays and failure. Every
+// failure is ErrUnavailable, because a read has no effect.
 func (i *Injector) Read(ctx context.Context, key string) error {
-	fate := i.Draw(Read, key)
-	if !i.sleep(ctx, fate.Before+fate.After) {
+	outcome := i.Draw(Read, key)
+	if !i.sleep(ctx, outcome.Before+outcome.After) {
 		return wasabiridge.ErrUnavailable.New("read of %q timed out", key)
 	}
-	if fate.Kind != Delivered && fate.Kind != Race {
-		return wasabiridge.ErrUnavailable.New("read of %q failed: %s", key, fate.Kind)
+	if outcome.Kind != Delivered && outcome.Kind != Race {
+		return wasabiridge.ErrUnavailable.New("read of %q failed: %s", key, outcome.Kind)
 	}
 	return nil
 }
 
-// Write carries out the fate of a write around its effect. The effect is
-// called unless the write never arrives; for the kinds LateEffect and Race it
-// has to do what the fate says. Its error is returned unless the answer is
-// lost.
+// Write draws the outcome of a write and applies its delays and failure before and
+// after effect. The effect is called unless the write never arrives; for the kinds
+// LateEffect and Race it must implement the delayed write or the concurrent one.
+// Its error is returned unless the answer is lost: then the error is
+// ErrOutcomeUnknown, as for every call whose context ends during a delay. The
+// error of a rejected write is ErrUnavailable.
 func (i *Injector) Write(ctx context.Context, key string, effect func(f Fate) error) error {
-	fate := i.Draw(Write, key)
-	if fate.Kind == Unavailable {
-		return wasabiridge.ErrUnavailable.New("write of %q turned away", key)
+	outcome := i.Draw(Write, key)
+	if outcome.Kind == Unavailable {
+		return wasabiridge.ErrUnavailable.New("write of %q rejected before any effect", key)
 	}
-	if !i.sleep(ctx, fate.Before) {
+	if !i.sleep(ctx, outcome.Before) {
 		return unknownOutcome(key)
 	}
 	var err error
-	if fate.Kind != LostRequest {
-		err = effect(fate)
+	if outcome.Kind != LostRequest {
+		err = effect(outcome)
 	}
-	if !i.sleep(ctx, fate.After) || fate.hidesOutcome() {
+	if !i.sleep(ctx, outcome.After) || outcome.losesAnswer() {
 		return unknownOutcome(key)
 	}
 	return err
 }
 
-func (f Fate) hidesOutcome() bool {
+func (f Fate) losesAnswer() bool {
 	return f.Kind == LostRequest || f.Kind == LostAnswer || f.Kind == LateEffect
 }
 
--- a/internal/wasabifault/fault.go
+++ b/internal/wasabifault/fault.go
@@ -1,19 +1,19 @@
-// Package wasabifault decides which calls to a stand-in of the platform fail,
-// and how. A plan and its seed fix the fate of every call.
+// Package wasabifault injects faults into calls to a stand-in for the platform. A
+// plan and its seed determine the outcome of every call.
 //
-// The fate of a call depends on the seed, the operation, the key and how often
-// that key was used before. It does not depend on which goroutine of several
-// came first with another key, so concurrent runs over distinct keys repeat.
+// The random outcome of a call depends on the seed, the operation, the key and the
+// number of earlier calls with that key. It does not depend on the order of calls
+// with other keys, so that concurrent runs over distinct keys are reproducible.
 //
 // # Usage
 //
-// Shares of all calls fail at random:
+// Given fractions of all calls fail at random:
 //
 //	plan := wasabifault.Plan{Seed: 1, LostAnswer: 0.05, Unavailable: 0.1}
-//	injector := wasabifault.NewInjector(plan, clock)
-//	fate := injector.Draw(wasabifault.Write, key)
+//	injector := wasabifault.NewInjector(plan, clock, nil)
+//	err := injector.Read(ctx, key)
 //
-// A test of one failure scripts the next fates instead:
+// A test of one failure sets the outcomes of the next calls instead:
 //
 //	injector.Script(wasabifault.Write, wasabifault.Fate{Kind: wasabifault.LostAnswer})
 package wasabifault
@@ -22,28 +22,29 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Kind tells what happens to a call.
+// Kind is the kind of outcome of a call.
 type Kind string
 
-// Kinds of fates.
+// Kinds of outcomes.
 const (
-	// Delivered means that the call works. It is the zero Kind.
+	// Delivered means that the call succeeds. It is the zero Kind.
 	Delivered Kind = ""
-	// Unavailable means that the call is turned away before any effect.
+	// Unavailable means that the call is rejected before any effect.
 	Unavailable Kind = "unavailable"
-	// LostRequest means that the call never arrives. The caller cannot tell
-	// this from LostAnswer.
+	// LostRequest means that the request is lost and has no effect. The caller
+	// cannot distinguish this from LostAnswer.
 	LostRequest Kind = "lost_request"
-	// LostAnswer means that the call takes effect and its answer is lost.
+	// LostAnswer means that the call takes effect, but its answer is lost.
 	LostAnswer Kind = "lost_answer"
-	// LateEffect means that the caller gets no answer, and that a write takes
-	// effect some time after the caller gave up.
+	// LateEffect means that the caller receives no answer, and that a write
+	// takes effect some time after the call has failed.
 	LateEffect Kind = "late_effect"
-	// Race means that another writer touches a row just before the call.
+	// Race means that another writer changes a row just before the call. Reads
+	// succeed.
 	Race Kind = "race"
 )
 
-// Op tells reads from writes.
+// Op is the kind of operation of a call.
 type Op string
 
 // Operations.
@@ -54,31 +55,33 @@
 	Write Op = "write"
 )
 
-// Fate is what happens to one call.
+// Fate is the outcome of one call. The zero value is an immediate success.
 type Fate struct {
 	Kind Kind
-	// Before and After are waits before and after the effect.
+	// Before and After are the delays before and after the effect.
 	Before wasabiridge.Millis
 	After  wasabiridge.Millis
-	// Late is how long a write of kind LateEffect takes to arrive.
+	// Late is the delay after which a write of kind LateEffect takes effect.
 	Late wasabiridge.Millis
 }
 
-// Window gives all calls within a span of time one kind of fate. From is
-// inside the window, Until is not.
+// Window gives all calls in the time interval from From, inclusive, to Until,
+// exclusive, outcomes of one kind.
 type Window struct {
 	From  wasabiridge.Millis `json:"from_ms"`
 	Until wasabiridge.Millis `json:"until_ms"`
 	Kind  Kind               `json:"kind"`
 }
 
-// Outage returns a window in which every call is turned away.
+// Outage returns a window in which every call is rejected as Unavailable.
 func Outage(from, until wasabiridge.Millis) Window {
 	return Window{From: from, Until: until, Kind: Unavailable}
 }
 
-// Plan says how often which fault happens. The shares lie between 0 and 1 and
-// are taken in the order of the fields. The zero Plan has no faults.
+// Plan configures how often each fault occurs. The values of the kinds are
+// probabilities between 0 and 1. If their sum exceeds 1, earlier fields take
+// precedence. Windows take precedence over the rate limits, and these over the
+// probabilities. The zero Plan has no faults.
 type Plan struct {
 	Seed        uint64  `json:"seed,omitempty"`
 	Unavailable float64 `json:"unavailable,omitempty"`
@@ -86,33 +89,35 @@
 	LostAnswer  float64 `json:"lost_answer,omitempty"`
 	LateEffect  float64 `json:"late_effect,omitempty"`
 	Race        float64 `json:"race,omitempty"`
-	// Lateness bounds how late a write of kind LateEffect arrives.
+	// Lateness is the maximum delay of the effect of a write of kind
+	// LateEffect. The delay is uniformly distributed; in a window it is always
+	// Lateness.
 	Lateness wasabiridge.Millis `json:"lateness_ms,omitempty"`
-	// DelayMin and DelayMax bound the wait of each call, spread evenly. Half
-	// of the wait comes before the effect and half after it.
+	// DelayMin and DelayMax are the bounds of the uniformly distributed delay
+	// of each call. Half of it is applied before the effect and half after it.
 	DelayMin wasabiridge.Millis `json:"delay_min_ms,omitempty"`
 	DelayMax wasabiridge.Millis `json:"delay_max_ms,omitempty"`
 	Windows  []Window           `json:"windows,omitempty"`
-	// ReadsPerSecond and WritesPerSecond limit the rates. Calls above them
-	// are turned away. Zero means no limit.
+	// ReadsPerSecond and WritesPerSecond are rate limits. Calls above them are
+	// rejected as Unavailable. Zero means no limit.
 	ReadsPerSecond  int `json:"reads_per_second,omitempty"`
 	WritesPerSecond int `json:"writes_per_second,omitempty"`
 }
 
-// WithWindows returns a copy of the plan with other windows.
+// WithWindows returns a copy of the plan with the windows replaced.
 func (p Plan) WithWindows(windows ...Window) Plan {
 	p.Windows = append([]Window(nil), windows...)
 	return p
 }
 
-func (p Plan) limit(op Op) int {
+func (p Plan) rateLimit(op Op) int {
 	if op == Read {
 		return p.ReadsPerSecond
 	}
 	return p.WritesPerSecond
 }
 
-func (p Plan) window(now wasabiridge.Millis) (Kind, bool) {
+func (p Plan) kindInWindow(now wasabiridge.Millis) (Kind, bool) {
 	for _, w := range p.Windows {
 		if now >= w.From && now < w.Until {
 			return w.Kind, true
--- a/internal/wasabifault/injector.go
+++ b/internal/wasabifault/injector.go
@@ -10,8 +10,8 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Injector draws the fates of calls after a plan and carries them out. It is safe for concurrent
-// use.
+// Injector determines the outcomes of calls by a plan and applies them. It is safe
+// for concurrent use.
 type Injector struct {
 	clock wasabiridge.Clock
 	sleep SleepFunc
@@ -23,8 +23,7 @@
 	buckets map[Op]*bucket
 }
 
-// NewInjector returns an injector that follows the plan. A nil sleep waits in
-// real time.
+// NewInjector returns an injector for the plan. If sleep is nil, Sleep is used.
 func NewInjector(plan Plan, clock wasabiridge.Clock, sleep SleepFunc) *Injector {
 	if sleep == nil {
 		sleep = Sleep
@@ -34,7 +33,8 @@
 	return i
 }
 
-// SetPlan replaces the plan. Scripted fates stay.
+// SetPlan replaces the plan and refills the rate limits. Outcomes that were set
+// with Script and the call counts of keys are kept.
 func (i *Injector) SetPlan(plan Plan) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -42,15 +42,16 @@
 	i.buckets = map[Op]*bucket{}
 }
 
-// Script sets the fates of the next calls of an operation. They go before the
-// plan, and follow those that were scripted earlier.
-func (i *Injector) Script(op Op, fates ...Fate) {
+// Script sets the outcomes of the next calls of an operation, after those of
+// earlier calls of Script. They take precedence over the plan.
+func (i *Injector) Script(op Op, outcomes ...Fate) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.scripts[op] = append(i.scripts[op], fates...)
+	i.scripts[op] = append(i.scripts[op], outcomes...)
 }
 
-// Draw returns the fate of one call.
+// Draw determines the outcome of the next call and advances the state of the
+// injector. Read and Write call it.
 func (i *Injector) Draw(op Op, key string) Fate {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -59,33 +60,33 @@
 		return script[0]
 	}
 	now := i.clock.Now()
-	if kind, ok := i.plan.window(now); ok {
+	if kind, ok := i.plan.kindInWindow(now); ok {
 		return Fate{Kind: kind, Late: i.plan.Lateness}
 	}
-	if !i.take(op, now) {
+	if !i.takeToken(op, now) {
 		return Fate{Kind: Unavailable}
 	}
-	return i.random(op, key)
+	return i.drawRandom(op, key)
 }
 
-// random draws from a source that only this call uses, so that the order of
-// calls with other keys does not matter.
-func (i *Injector) random(op Op, key string) Fate {
+// drawRandom uses a random generator that is seeded for this call only, so that the
+// outcome does not depend on the order of calls with other keys.
+func (i *Injector) drawRandom(op Op, key string) Fate {
 	name := string(op) + "\x00" + key
 	i.calls[name]++
-	mixed := xxhash.Sum64String(name + "\x00" + strconv.FormatUint(i.calls[name], 10))
-	rng := rand.New(rand.NewPCG(i.plan.Seed, mixed))
-	fate := Fate{Kind: i.plan.kind(rng.Float64())}
-	if fate.Kind == LateEffect {
-		fate.Late = between(rng, 0, i.plan.Lateness)
+	stream := xxhash.Sum64String(name + "\x00" + strconv.FormatUint(i.calls[name], 10))
+	rng := rand.New(rand.NewPCG(i.plan.Seed, stream))
+	outcome := Fate{Kind: i.plan.kindFor(rng.Float64())}
+	if outcome.Kind == LateEffect {
+		outcome.Late = randomMillis(rng, 0, i.plan.Lateness)
 	}
-	wait := between(rng, i.plan.DelayMin, i.plan.DelayMax)
-	fate.Before = wait / 2
-	fate.After = wait - fate.Before
-	return fate
+	wait := randomMillis(rng, i.plan.DelayMin, i.plan.DelayMax)
+	outcome.Before = wait / 2
+	outcome.After = wait - outcome.Before
+	return outcome
 }
 
-func (p Plan) kind(x float64) Kind {
+func (p Plan) kindFor(x float64) Kind {
 	shares := []struct {
 		kind  Kind
 		share float64
@@ -105,21 +106,21 @@
 	return Delivered
 }
 
-func between(rng *rand.Rand, low, high wasabiridge.Millis) wasabiridge.Millis {
+func randomMillis(rng *rand.Rand, low, high wasabiridge.Millis) wasabiridge.Millis {
 	if high <= low {
 		return low
 	}
 	return low + wasabiridge.Millis(rng.Int64N(int64(high-low)+1))
 }
 
-// bucket is a token bucket that holds up to one second's worth of calls.
+// bucket is a token bucket with a capacity of one second at the rate limit.
 type bucket struct {
 	tokens float64
 	at     wasabiridge.Millis
 }
 
-func (i *Injector) take(op Op, now wasabiridge.Millis) bool {
-	limit := float64(i.plan.limit(op))
+func (i *Injector) takeToken(op Op, now wasabiridge.Millis) bool {
+	limit := float64(i.plan.rateLimit(op))
 	if limit == 0 {
 		return true
 	}
