--- a/internal/wasabicapacity/capacity.go
+++ b/internal/wasabicapacity/capacity.go
@@ -1,10 +1,10 @@
-// Package wasabicapacity works out what a node spends at the target's size from
-// slopes that were measured at smaller sizes.
+// Package wasabicapacity extrapolates the resource usage of an instance at the
+// target size from measurements at smaller sizes.
 //
-// Each role has one file in docs/capacity with the points that were measured.
-// A straight line is fitted through the points of each measure and evaluated
-// at the target. The page docs/CAPACITY.md is made from that; a test compares
-// both, so that the page cannot drift from the measurements.
+// The files in docs/capacity contain the measured points of one or more roles. A
+// straight line is fitted to the points of each measure by linear regression and
+// evaluated at the target size. The page docs/CAPACITY.md is generated from the
+// results; a test compares it with them, so that it cannot become outdated.
 //
 // # Usage
 //
@@ -25,14 +25,14 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// minSizes is how many different sizes a slope needs.
-const minSizes = 3
+// minDistinctSizes is the minimum number of distinct sizes for a fit.
+const minDistinctSizes = 3
 
-// Resource names what is spent.
+// Resource is a kind of resource usage.
 type Resource string
 
-// Resources. Those of the store are totals over all nodes, the others are for
-// one node.
+// Resources. StoreWrites and StoreReads are totals over all instances, the others
+// are values of one instance.
 const (
 	CPU         Resource = "cpu_core_share"
 	Memory      Resource = "memory_bytes"
@@ -42,46 +42,47 @@
 	StoreReads  Resource = "store_reads_per_second"
 )
 
-// ofStore reports whether a resource is a total over all nodes.
-func (r Resource) ofStore() bool { return r == StoreWrites || r == StoreReads }
+// isTotal reports whether a resource is a total over all instances.
+func (r Resource) isTotal() bool { return r == StoreWrites || r == StoreReads }
 
-// Driver names what a cost grows with.
+// Driver is the size on which a cost depends, such as "instances".
 type Driver string
 
-// Plane tells whether a cost is for control or for carrying requests.
+// Plane distinguishes the costs of control from those of relaying requests.
 type Plane string
 
-// Planes. Only control has a budget in the target.
+// Planes. The budgets of the target are for Control only.
 const (
 	Control Plane = "control"
 	Data    Plane = "data"
 )
 
-// Role is what one part of the system costs.
+// Role holds the measured costs of one part of the system.
 type Role struct {
 	Role string `json:"role"`
 	// Plane is Control when it is empty.
 	Plane Plane `json:"plane,omitempty"`
-	// Mechanism tells in one sentence what carries the role at the target.
+	// Mechanism describes in one sentence by what means the role scales to the
+	// target size.
 	Mechanism string `json:"mechanism"`
-	// Command repeats the measurement.
+	// Command is the shell command that runs the measurement.
 	Command  string    `json:"command"`
 	Measures []Measure `json:"measures"`
 }
 
-// Measure is one cost by size.
+// Measure is the cost in one resource as a function of one driver.
 type Measure struct {
 	Resource Resource `json:"resource"`
 	Driver   Driver   `json:"driver"`
 	Note     string   `json:"note,omitempty"`
-	// Share is the part of the target's size that one node carries. Zero
-	// means all of it. The note says why.
+	// Share is the fraction of the target size that one instance handles. Zero
+	// means all of it. Note gives the reason.
 	Share float64 `json:"share,omitempty"`
-	// Bound is the size at which the part stops growing by design, and with it
-	// its cost. Zero means none. What lies beyond is not carried.
+	// Bound is the size at which the part of the system and thus its cost stop
+	// growing by design. Zero means none. Load beyond the bound is not handled.
 	Bound float64 `json:"bound,omitempty"`
-	// LevelsOff says that the points were measured with the bound in force, so
-	// that those beyond it show the level.
+	// LevelsOff means that the points were measured with the bound in effect, so
+	// that the points beyond it show the constant cost.
 	LevelsOff bool    `json:"levels_off,omitempty"`
 	Points    []Point `json:"points"`
 }
@@ -92,24 +93,26 @@
 	Value float64 `json:"value"`
 }
 
-// Fit is a straight line through the points of a measure.
+// Fit is the regression line of the points of a measure, Base + Slope * size.
 type Fit struct {
 	Base, Slope float64
-	// Determination is the share of the variance that the line explains.
+	// Determination is the coefficient of determination, R². It is 1 if all
+	// values are equal.
 	Determination float64
-	// Largest is the largest size that was measured.
+	// Largest is the largest measured size.
 	Largest float64
-	// Size is the size at the target or the bound below it, and Value the cost
-	// there.
+	// Size is the target size, or the bound if that is lower, and Value the cost
+	// at that size.
 	Size, Value float64
-	// Target is the size at the target, whether it is carried or not.
+	// Target is the target size without the bound.
 	Target float64
 }
 
-// bounded reports whether the part carries less than the target asks for.
+// bounded reports whether the bound is below the target size.
 func (f Fit) bounded() bool { return f.Size < f.Target }
 
-// Load reads all roles of a directory, in the order of their names.
+// Load reads the roles in all JSON files of a directory and sorts them by name. The
+// error is ErrNotFound if there are no files, and ErrInvalid if one is invalid.
 func Load(directory string) ([]Role, error) {
 	var (
 		paths []string
@@ -119,7 +122,7 @@
 		return nil, wasabiridge.ErrInvalid.Wrap(err, "capacity: %s", directory)
 	}
 	if len(paths) == 0 {
-		return nil, wasabiridge.ErrNotFound.New("capacity: %s holds no measurements", directory)
+		return nil, wasabiridge.ErrNotFound.New("capacity: no JSON files with measurements in %s", directory)
 	}
 	roles := make([]Role, 0, len(paths))
 	for _, path := range paths {
@@ -133,11 +136,11 @@
 	return roles, nil
 }
 
-// loadFile reads one role, or a list of roles.
+// loadFile reads a file that contains one role or a list of roles.
 func loadFile(path string) ([]Role, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, wasabiridge.ErrNotFound.Wrap(err, "capacity")
+		return nil, wasabiridge.ErrNotFound.Wrap(err, "capacity: read measurements")
 	}
 	data = bytes.TrimSpace(data)
 	if !bytes.HasPrefix(data, []byte("[")) {
@@ -172,17 +175,18 @@
 	return nil
 }
 
-// Fit puts a line through the points and evaluates it at the target. It
-// reports ErrInvalid for unknown names and for fewer than three sizes.
+// Fit fits a line to the points and evaluates it at the target size. The error is
+// ErrInvalid for an unknown resource or driver and for fewer than three distinct
+// sizes. Negative values are raised to 0.
 func (m Measure) Fit() (Fit, error) {
 	target, known := targets[m.Driver]
 	if _, listed := budgets[m.Resource]; !listed || !known {
 		return Fit{}, wasabiridge.ErrInvalid.New("unknown resource %q or driver %q", m.Resource, m.Driver)
 	}
 	sizes, values := make([]float64, len(m.Points)), make([]float64, len(m.Points))
-	different := map[float64]bool{}
-	f := Fit{Size: target.node}
-	if m.Resource.ofStore() {
+	distinct := map[float64]bool{}
+	f := Fit{Size: target.perInstance}
+	if m.Resource.isTotal() {
 		f.Size = target.total
 	}
 	if m.Share > 0 {
@@ -190,11 +194,11 @@
 	}
 	for i, p := range m.Points {
 		sizes[i], values[i] = p.Size, p.Value
-		different[p.Size] = true
+		distinct[p.Size] = true
 		f.Largest = max(f.Largest, p.Size)
 	}
-	if len(different) < minSizes {
-		return Fit{}, wasabiridge.ErrInvalid.New("%s by %s: %d sizes; a slope needs %d", m.Resource, m.Driver, len(different), minSizes)
+	if len(distinct) < minDistinctSizes {
+		return Fit{}, wasabiridge.ErrInvalid.New("%s by %s: %d distinct sizes; a fit needs at least %d", m.Resource, m.Driver, len(distinct), minDistinctSizes)
 	}
 	f.Base, f.Slope = stat.LinearRegression(sizes, values, nil, false)
 	f.Determination = 1
@@ -207,13 +211,14 @@
 	}
 	f.Value = max(f.Base+f.Slope*f.Size, 0)
 	if f.bounded() && m.LevelsOff {
-		f.Value = max(f.Value, m.highestFrom(f.Size))
+		f.Value = max(f.Value, m.maxValueFrom(f.Size))
 	}
 	return f, nil
 }
 
-// highestFrom returns the highest value that was measured at a size or beyond.
-func (m Measure) highestFrom(size float64) float64 {
+// maxValueFrom returns the highest value that was measured at the given size or a
+// larger one.
+func (m Measure) maxValueFrom(size float64) float64 {
 	highest := 0.0
 	for _, p := range m.Points {
 		if p.Size >= size {
@@ -223,34 +228,36 @@
 	return highest
 }
 
-// Limits of a fit that can be trusted.
+// Limits of a reliable fit.
 const (
-	goodDetermination = 0.9
-	levelSpread       = 0.1
+	minDetermination = 0.9
+	maxLevelSpread   = 0.1
 )
 
-// poor reports whether the points do not lie on a line, so that its value far
-// beyond them says little. Points that hardly differ are level and not poor.
-func (m Measure) poor(f Fit) bool {
-	least, most := m.Points[0].Value, m.Points[0].Value
+// notLinear reports whether the points are not on a line, so that the extrapolated
+// value is unreliable. Points that differ by at most maxLevelSpread count as
+// constant and reliable: their R² is low although the line fits. Values at a bound
+// are not extrapolated and thus always reliable.
+func (m Measure) notLinear(f Fit) bool {
+	lowest, highest := m.Points[0].Value, m.Points[0].Value
 	for _, p := range m.Points {
-		least, most = min(least, p.Value), max(most, p.Value)
+		lowest, highest = min(lowest, p.Value), max(highest, p.Value)
 	}
-	return !f.bounded() && most-least > levelSpread*most && f.Determination < goodDetermination
+	return !f.bounded() && highest-lowest > maxLevelSpread*highest && f.Determination < minDetermination
 }
 
-// missingRoles returns the roles of the target that nothing was measured for.
+// missingRoles returns the required roles without measurements.
 func missingRoles(roles []Role) []string {
 	measured := map[string]bool{}
 	for _, r := range roles {
 		name := strings.ToLower(r.Role)
-		if other, found := aliases[name]; found {
+		if other, found := roleAliases[name]; found {
 			name = other
 		}
 		measured[name] = true
 	}
 	var missing []string
-	for _, name := range expected {
+	for _, name := range requiredRoles {
 		if !measured[name] {
 			missing = append(missing, name)
 		}
--- a/internal/wasabicapacity/capacity_test.go
+++ b/internal/wasabicapacity/capacity_test.go
@@ -29,15 +29,15 @@
 		measure wasabicapacity.Measure
 		value   float64
 	}{
-		"a slope":         {wasabicapacity.Measure{Resource: wasabicapacity.CPU, Driver: "instances", Points: line(10, 20, 30)}, 370},
-		"a base":          {wasabicapacity.Measure{Resource: wasabicapacity.Memory, Driver: "instances", Points: line(5, 5, 5)}, 5},
-		"a falling line":  {wasabicapacity.Measure{Resource: wasabicapacity.CPU, Driver: "instances", Points: line(30, 20, 10)}, 0},
-		"for a node":      {wasabicapacity.Measure{Resource: wasabicapacity.CPU, Driver: "requests_per_second", Points: line(10, 20, 30)}, 9300.0 / 370},
-		"total for store": {wasabicapacity.Measure{Resource: wasabicapacity.StoreWrites, Driver: "requests_per_second", Points: line(10, 20, 30)}, 9300},
-		"a bound":         {wasabicapacity.Measure{Resource: wasabicapacity.CPU, Driver: "replicas", Bound: 40, Points: line(10, 20, 30)}, 40},
-		"a level beyond":  {wasabicapacity.Measure{Resource: wasabicapacity.CPU, Driver: "replicas", Bound: 20, LevelsOff: true, Points: line(0, 29, 30)}, 30},
-		"a far bound":     {wasabicapacity.Measure{Resource: wasabicapacity.CPU, Driver: "replicas", Bound: 9999, Points: line(10, 20, 30)}, 1600},
-		"a share":         {wasabicapacity.Measure{Resource: wasabicapacity.CPU, Driver: "replicas", Share: 0.5, Points: line(10, 20, 30)}, 800},
+		"a slope":                          {wasabicapacity.Measure{Resource: wasabicapacity.CPU, Driver: "instances", Points: line(10, 20, 30)}, 370},
+		"a base":                           {wasabicapacity.Measure{Resource: wasabicapacity.Memory, Driver: "instances", Points: line(5, 5, 5)}, 5},
+		"a falling line as zero":           {wasabicapacity.Measure{Resource: wasabicapacity.CPU, Driver: "instances", Points: line(30, 20, 10)}, 0},
+		"the part of one instance":         {wasabicapacity.Measure{Resource: wasabicapacity.CPU, Driver: "requests_per_second", Points: line(10, 20, 30)}, 9300.0 / 370},
+		"the total of the store":           {wasabicapacity.Measure{Resource: wasabicapacity.StoreWrites, Driver: "requests_per_second", Points: line(10, 20, 30)}, 9300},
+		"a bound below the target size":    {wasabicapacity.Measure{Resource: wasabicapacity.CPU, Driver: "replicas", Bound: 40, Points: line(10, 20, 30)}, 40},
+		"the highest value beyond a bound": {wasabicapacity.Measure{Resource: wasabicapacity.CPU, Driver: "replicas", Bound: 20, LevelsOff: true, Points: line(0, 29, 30)}, 30},
+		"a bound above the target size":    {wasabicapacity.Measure{Resource: wasabicapacity.CPU, Driver: "replicas", Bound: 9999, Points: line(10, 20, 30)}, 1600},
+		"a share of the target size":       {wasabicapacity.Measure{Resource: wasabicapacity.CPU, Driver: "replicas", Share: 0.5, Points: line(10, 20, 30)}, 800},
 	}
 	for _, name := range slices.Sorted(maps.Keys(fits)) {
 		want := fits[name]
@@ -66,7 +66,7 @@
 })
 
 var _ = Describe("Page", func() {
-	It("says first what does not fit and what was not measured", func() {
+	It("lists exceeded budgets and missing roles first", func() {
 		roles := []wasabicapacity.Role{
 			{Role: "membership", Mechanism: "m", Command: "c", Measures: []wasabicapacity.Measure{{Resource: wasabicapacity.Bytes, Driver: "instances", Points: line(100, 200, 300)}}},
 			{Role: "relaying", Plane: wasabicapacity.Data, Mechanism: "m", Command: "c", Measures: []wasabicapacity.Measure{{Resource: wasabicapacity.CPU, Driver: "instances", Points: line(1, 2, 3)}}},
@@ -80,16 +80,16 @@
 		Expect(page).NotTo(ContainSubstring("Uncertain"))
 	})
 
-	It("says first what is carried only up to a bound", func() {
+	It("lists costs that a bound limits first", func() {
 		m := wasabicapacity.Measure{Resource: wasabicapacity.Memory, Driver: "known_blocks", Bound: 1000, Points: line(10, 20, 30)}
 		page, err := wasabicapacity.Page([]wasabicapacity.Role{{Role: "cache picture", Mechanism: "m", Command: "c", Measures: []wasabicapacity.Measure{m}}})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(page).To(ContainSubstring("Bounded by design, so the rest is left out or comes later: memory of cache picture stops growing at 1000 of 1e+08 known_blocks"))
 	})
 
-	// A cost that levels off looks like a rising line when it is measured
-	// around the bend only; its value at the target means little then.
-	It("names figures whose points are not on a line, but not level ones", func() {
+	// A cost that levels off and is measured only around the bend fits a rising
+	// line badly. The value at the target size is unreliable then.
+	It("lists values whose points are not on a line as uncertain, but not constant ones", func() {
 		bent := wasabicapacity.Measure{Resource: wasabicapacity.CPU, Driver: "instances", Points: line(0, 10, 9)}
 		level := wasabicapacity.Measure{Resource: wasabicapacity.Memory, Driver: "instances", Points: line(100, 101, 100)}
 		page, err := wasabicapacity.Page([]wasabicapacity.Role{{Role: "placement", Mechanism: "m", Command: "c", Measures: []wasabicapacity.Measure{bent, level}}})
@@ -101,7 +101,7 @@
 })
 
 var _ = Describe("docs/CAPACITY.md", func() {
-	It("is what the measured points give", func() {
+	It("equals the page that is generated from docs/capacity", func() {
 		roles, err := wasabicapacity.Load("../../docs/capacity")
 		Expect(err).NotTo(HaveOccurred())
 		page, err := wasabicapacity.Page(roles)
--- a/internal/wasabicapacity/page.go
+++ b/internal/wasabicapacity/page.go
@@ -21,16 +21,16 @@
 
 `
 
-// namedRoles is how many roles a shortfall names.
-const namedRoles = 3
+// maxNamedRoles is how many roles are listed for an exceeded budget.
+const maxNamedRoles = 3
 
-// spent is the sum of a resource over roles.
-type spent struct {
+// cost is the sum of a resource over all roles, with the contribution of each.
+type cost struct {
 	value float64
 	roles map[string]float64
 }
 
-// Page returns docs/CAPACITY.md.
+// Page returns the text of docs/CAPACITY.md.
 func Page(roles []Role) (string, error) {
 	control, data, err := sums(roles)
 	if err != nil {
@@ -39,7 +39,7 @@
 	var b strings.Builder
 	b.WriteString(head)
 	writeShortfalls(&b, control)
-	if err := writeDoubts(&b, roles); err != nil {
+	if err := writeUncertain(&b, roles); err != nil {
 		return "", err
 	}
 	if missing := missingRoles(roles); len(missing) > 0 {
@@ -56,91 +56,91 @@
 	return b.String(), nil
 }
 
-func sums(roles []Role) (control, data map[Resource]spent, err error) {
-	control, data = map[Resource]spent{}, map[Resource]spent{}
+func sums(roles []Role) (control, data map[Resource]cost, err error) {
+	control, data = map[Resource]cost{}, map[Resource]cost{}
 	for _, r := range roles {
-		into := control
+		totals := control
 		if r.Plane == Data {
-			into = data
+			totals = data
 		}
 		for _, m := range r.Measures {
 			var f Fit
 			if f, err = m.Fit(); err != nil {
 				return nil, nil, err
 			}
-			s := into[m.Resource]
+			s := totals[m.Resource]
 			if s.roles == nil {
 				s.roles = map[string]float64{}
 			}
 			s.value += f.Value
 			s.roles[r.Role] += f.Value
-			into[m.Resource] = s
+			totals[m.Resource] = s
 		}
 	}
 	return control, data, nil
 }
 
-func writeShortfalls(b *strings.Builder, control map[Resource]spent) {
+func writeShortfalls(b *strings.Builder, control map[Resource]cost) {
 	b.WriteString("## What does not fit yet\n\n")
 	found := false
 	for _, r := range resources {
-		limit := budgets[r]
+		entry := budgets[r]
 		s := control[r]
-		if limit.limit == 0 || s.value <= limit.limit {
+		if entry.limit == 0 || s.value <= entry.limit {
 			continue
 		}
 		found = true
 		fmt.Fprintf(b, "- %s: %s against %s, %.1f times too much. Most of it: %s.\n",
-			limit.name, limit.show(s.value), limit.text, s.value/limit.limit, largest(s, limit.show))
+			entry.name, entry.show(s.value), entry.text, s.value/entry.limit, largestRoles(s, entry.show))
 	}
 	if !found {
 		b.WriteString("- Nothing that was measured exceeds its budget.\n")
 	}
 }
 
-// writeDoubts names costs that stop growing at a bound, and figures whose
-// points do not lie on a line.
-func writeDoubts(b *strings.Builder, roles []Role) error {
+// writeUncertain lists costs that stop growing at a bound, and values whose points
+// are not on a line.
+func writeUncertain(b *strings.Builder, roles []Role) error {
 	for _, r := range roles {
 		for _, m := range r.Measures {
 			f, err := m.Fit()
 			if err != nil {
 				return err
 			}
-			limit := budgets[m.Resource]
+			entry := budgets[m.Resource]
 			if f.bounded() {
 				fmt.Fprintf(b, "- Bounded by design, so the rest is left out or comes later: %s of %s stops growing at %.6g of %.6g %s (%.2g%%), with %s.\n",
-					limit.name, r.Role, f.Size, f.Target, m.Driver, 100*f.Size/f.Target, limit.show(f.Value))
+					entry.name, r.Role, f.Size, f.Target, m.Driver, 100*f.Size/f.Target, entry.show(f.Value))
 			}
-			if m.poor(f) {
+			if m.notLinear(f) {
 				fmt.Fprintf(b, "- Uncertain: %s of %s by %s, %s, comes from points that are not on a line (R² %.2f).\n",
-					limit.name, r.Role, m.Driver, limit.show(f.Value), f.Determination)
+					entry.name, r.Role, m.Driver, entry.show(f.Value), f.Determination)
 			}
 		}
 	}
 	return nil
 }
 
-// largest names the roles with the highest parts of a sum.
-func largest(s spent, show func(float64) string) string {
+// largestRoles lists the roles with the highest contributions to a sum.
+func largestRoles(s cost, show func(float64) string) string {
 	names := slices.Sorted(maps.Keys(s.roles))
 	slices.SortStableFunc(names, func(a, b string) int { return cmp.Compare(s.roles[b], s.roles[a]) })
 	var parts []string
-	for _, name := range names[:min(len(names), namedRoles)] {
+	for _, name := range names[:min(len(names), maxNamedRoles)] {
 		parts = append(parts, name+" with "+show(s.roles[name]))
 	}
 	return strings.Join(parts, ", ")
 }
 
-func writeSums(b *strings.Builder, control, data map[Resource]spent) {
+func writeSums(b *strings.Builder, control, data map[Resource]cost) {
 	b.WriteString("## Sums at the target\n\n| resource | control | budget | left | carrying requests (no budget) |\n| --- | --- | --- | --- | --- |\n")
 	for _, r := range resources {
-		limit := budgets[r]
-		left := "-"
-		if limit.limit > 0 {
-			left = fmt.Sprintf("%.0f%%", 100*(1-control[r].value/limit.limit))
+		entry := budgets[r]
+		remaining := "-"
+		if entry.limit > 0 {
+			remaining = fmt.Sprintf("%.0f%%", 100*(1-control[r].value/entry.limit))
 		}
-		fmt.Fprintf(b, "| %s | %s | %s | %s | %s |\n", limit.name, limit.show(control[r].value), limit.text, left, limit.show(data[r].value))
+		fmt.Fprintf(b, "| %s | %s | %s | %s | %s |\n", entry.name, entry.show(control[r].value), entry.text, remaining, entry.show(data[r].value))
 	}
 	b.WriteString("\n")
 }
@@ -168,7 +168,7 @@
 		}
 		show := budgets[m.Resource].show
 		fmt.Fprintf(b, "| %s | %s | %s | %.4g + %.4g x | %.3f | %s at %.6g | %s |\n", budgets[m.Resource].name, m.Driver,
-			pointsText(m.Points), f.Base, f.Slope, f.Determination, show(f.Value), f.Size, beyond(f))
+			pointsText(m.Points), f.Base, f.Slope, f.Determination, show(f.Value), f.Size, extrapolation(f))
 		if m.Note != "" {
 			notes = append(notes, m.Note)
 		}
@@ -191,7 +191,7 @@
 	return strings.Join(texts, ", ")
 }
 
-func beyond(f Fit) string {
+func extrapolation(f Fit) string {
 	if f.bounded() {
 		return fmt.Sprintf("bound; target %.6g", f.Target)
 	}
--- a/internal/wasabicapacity/target.go
+++ b/internal/wasabicapacity/target.go
@@ -2,9 +2,11 @@
 
 import "fmt"
 
-// The target's size.
+// The target size, for the whole system. targetTokens is in tokens per second and
+// targetTokenGap in seconds between the tokens of a stream; targetConfigChange is
+// per day.
 const (
-	targetNodes        = 370.0
+	targetInstances    = 370.0
 	targetReplicas     = 1600.0
 	targetRequests     = 9300.0
 	targetTokens       = 2.2e6
@@ -15,30 +17,33 @@
 	targetConfigChange = 2900.0
 )
 
-// size is a driver at the target: what one node sees of it, and the total.
-type size struct {
-	node, total float64
-	text        string
+// targetSize is the value of a driver at the target size, for one instance and in
+// total.
+type targetSize struct {
+	perInstance, total float64
+	text               string
 }
 
-// openStreams follows from the tokens a second and the time between tokens.
+// openStreams is the number of concurrent streams that produce the tokens per
+// second with the time between tokens.
 const openStreams = targetTokens * targetTokenGap
 
-var targets = map[Driver]size{
-	"instances":               {targetNodes, targetNodes, "370 nodes"},
+var targets = map[Driver]targetSize{
+	"instances":               {targetInstances, targetInstances, "370 nodes"},
 	"replicas":                {targetReplicas, targetReplicas, "1,600 replicas"},
-	"requests_per_second":     {targetRequests / targetNodes, targetRequests, "9,300 requests/s, 25.1 for a node"},
+	"requests_per_second":     {targetRequests / targetInstances, targetRequests, "9,300 requests/s, 25.1 for a node"},
 	"known_blocks":            {targetBlocks, targetBlocks, "100 M cached blocks"},
 	"cache_events_per_second": {targetCacheEvents, targetCacheEvents, "1.1 M cache events/s"},
 	"accounts":                {targetAccounts, targetAccounts, "40,000 client accounts"},
 	"config_changes_per_day":  {targetConfigChange, targetConfigChange, "2,900 changes a day"},
-	"open_streams":            {openStreams / targetNodes, openStreams, "2.2 M tokens/s at 35 ms, 208 streams for a node"},
+	"open_streams":            {openStreams / targetInstances, openStreams, "2.2 M tokens/s at 35 ms, 208 streams for a node"},
 }
 
-// budget is what the target allows of a resource.
+// budget is the maximum of a resource at the target size, without request
+// relaying.
 type budget struct {
 	name string
-	// limit is zero where the target names none.
+	// limit is zero if the target has none.
 	limit float64
 	text  string
 	show  func(float64) string
@@ -53,17 +58,18 @@
 	StoreReads:  {"store reads, all nodes", 2000, "about 2,000/s", func(v float64) string { return fmt.Sprintf("%.2f/s", v) }},
 }
 
-// resources lists the budgets in the order of the page.
+// resources lists all resources in the order of the page.
 var resources = []Resource{CPU, Memory, Bytes, Messages, StoreWrites, StoreReads}
 
-// expected are the roles that the page must cover.
-var expected = []string{
+// requiredRoles are the roles that the page must cover. Those without measurements
+// are listed as missing.
+var requiredRoles = []string{
 	"relaying", "placing", "cache picture", "load picture", "configuration", "membership",
 	"claims", "leases and orders", "time line", "outcomes", "addresses",
 }
 
-// aliases are further names under which parts measure a role.
-var aliases = map[string]string{
+// roleAliases maps alternative role names in the measurements to required roles.
+var roleAliases = map[string]string{
 	"placement":           "placing",
 	"relay to callers":    "relaying",
 	"leases and rollouts": "leases and orders",
