--- a/internal/wasabitest/agenda.go
+++ b/internal/wasabitest/agenda.go
@@ -6,9 +6,9 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Agenda holds steps of a simulation by time, and within a point in time by
-// the order in which they were added. The zero value is empty. It is not safe
-// for concurrent use.
+// Agenda is a queue of the steps of a simulation, ordered by time. Steps at the same
+// time run in the order in which they were added. The zero value is empty. It is
+// not safe for concurrent use.
 type Agenda struct {
 	steps steps
 	added uint64
@@ -34,14 +34,15 @@
 	return last
 }
 
-// Add plans a step.
+// Add schedules run at the given time.
 func (a *Agenda) Add(at wasabiridge.Millis, run func()) {
 	a.added++
 	heap.Push(&a.steps, step{at: at, order: a.added, run: run})
 }
 
-// Run carries out all steps up to a point in time, also those that are added
-// meanwhile. Before each step it calls moved with the step's time.
+// Run runs all steps up to and including until, also those that are added
+// meanwhile. Before each step it calls moved with the time of the step, so that the
+// caller can advance its clock.
 func (a *Agenda) Run(until wasabiridge.Millis, moved func(wasabiridge.Millis)) {
 	for len(a.steps) > 0 && a.steps[0].at <= until {
 		next := heap.Pop(&a.steps).(step)
--- a/internal/wasabitest/names.go
+++ b/internal/wasabitest/names.go
@@ -5,9 +5,9 @@
 	"sort"
 )
 
-// Names returns the names of a table of cases, a map with string keys, in
-// order. Specs are built in that order, so that every run builds the same
-// tree.
+// Names returns the sorted keys of a table of test cases. The table must be a map
+// with string keys. Iterating over it in that order makes every run generate the
+// same tree of specs.
 func Names(table any) []string {
 	keys := reflect.ValueOf(table).MapKeys()
 	names := make([]string, len(keys))
--- a/internal/wasabitest/suite.go
+++ b/internal/wasabitest/suite.go
@@ -1,6 +1,6 @@
 // Package wasabitest runs Ginkgo suites and rapid's property tests with a fixed
-// seed, so that every run of the tests takes the same course. A package whose
-// tests use rapid imports this package too.
+// seed, so that test runs are reproducible. Packages whose tests use rapid must
+// import it as well, because its init function sets the flags of rapid.
 //
 // # Usage
 //
@@ -21,11 +21,11 @@
 	_ "pgregory.net/rapid"
 )
 
-// Seed is the seed of every suite and the default seed of random tests.
+// Seed is the seed of every suite and the default seed of property tests.
 const Seed = 20261202
 
-// init gives property tests a fixed seed as well. Flags on the command line
-// still win, because they are parsed later.
+// init sets the seed of property tests and turns off their failure files. Flags on
+// the command line take precedence, because they are parsed later.
 func init() {
 	if err := flag.Set("rapid.seed", strconv.Itoa(Seed)); err != nil {
 		panic("test: " + err.Error())
@@ -35,7 +35,7 @@
 	}
 }
 
-// Run runs the specs of the calling package.
+// Run runs the specs of the calling package as a suite with the given name.
 func Run(t *testing.T, name string) {
 	t.Helper()
 	gomega.RegisterFailHandler(ginkgo.Fail)
