--- a/attempt.go
+++ b/attempt.go
@@ -43,20 +43,20 @@
 	// LastEvent is the ID of the last stream event that the caller received. A resumed
 	// stream continues after it. Empty means from the start.
 	LastEvent string
-	// FetchFrom is the address, as IP:port, from which the engine may import cached
-	// prompt segments, and SaveTo the one to which it may export them. Empty means that
+	// ImportFrom is the address, as IP:port, from which the engine may import cached
+	// prompt segments, and ExportTo the one to which it may export them. Empty means that
 	// it does not import or export.
-	FetchFrom string
-	SaveTo    string
-	// MemoryFrom is the handle of an earlier attempt's KV cache that was moved to the
+	ImportFrom string
+	ExportTo   string
+	// CacheHandle is the handle of an earlier attempt's KV cache that was moved to the
 	// engine, which continues from it. Empty means none.
-	MemoryFrom string
+	CacheHandle string
 	// MaySend is called right before the first byte is written to a connection. If it
 	// returns false, nothing is sent. Nil means always allowed.
 	MaySend func() bool
-	// Until is when the caller stops waiting. Zero means that the caller set no
+	// Deadline is when the caller stops waiting. Zero means that the caller set no
 	// deadline.
-	Until Millis
+	Deadline Millis
 }
 
 // AttemptSink receives the response to an attempt. Its methods are called by one
--- a/backend.go
+++ b/backend.go
@@ -5,8 +5,8 @@
 type LoadReport struct {
 	Backend     BackendServerID
 	Incarnation Incarnation
-	// Taken is when the backend server measured the load.
-	Taken Millis
+	// MeasuredAt is when the backend server measured the load.
+	MeasuredAt Millis
 	// Running and Waiting count requests inside the server.
 	Running int
 	Waiting int
--- a/cache.go
+++ b/cache.go
@@ -2,12 +2,12 @@
 
 import "context"
 
-// HeldPart is a prompt segment that a model engine or a KV cache store holds.
-type HeldPart struct {
+// CachedSegment is a prompt segment that a model engine or a KV cache store holds.
+type CachedSegment struct {
 	// Salt is the cache salt that was sent with the request whose prompt segment this
 	// is.
-	Salt string
-	Part BlockHash
+	Salt    string
+	Segment BlockHash
 	// Tokens is the length of the segment.
 	Tokens int
 }
@@ -15,8 +15,8 @@
 // CacheReader lists what model engines and KV cache stores hold. It is safe for
 // concurrent use.
 type CacheReader interface {
-	// ReadHeld returns the prompt segments held at an address, given as IP:port. The
+	// ReadSegments returns the prompt segments held at an address, given as IP:port. The
 	// query may briefly delay other work at that address. It returns ErrUnavailable
 	// when there is no readable response.
-	ReadHeld(ctx context.Context, address string) ([]HeldPart, error)
+	ReadSegments(ctx context.Context, address string) ([]CachedSegment, error)
 }
--- a/caller.go
+++ b/caller.go
@@ -2,9 +2,9 @@
 
 import "net/http"
 
-// Asked is the metadata that a caller sends about its request outside the body, for a
-// protocol whose bodies pass through the router unread.
-type Asked struct {
+// CallerRequest is the metadata that a caller sends about its request outside the body,
+// for a protocol whose bodies pass through the router unread.
+type CallerRequest struct {
 	// ID identifies this try of the caller. Callers use a new ID for each try.
 	ID RequestID
 	// Key is the caller's API key. Empty means that the request has none.
@@ -18,9 +18,9 @@
 	// tokens of the response.
 	PromptTokens int
 	MaxTokens    int
-	// Patience is how long the caller waits for the response. Zero means that the
+	// Timeout is how long the caller waits for the response. Zero means that the
 	// caller set no limit.
-	Patience Millis
+	Timeout Millis
 	// LastEvent is the ID of the stream event after which the caller resumes. Empty
 	// means from the start.
 	LastEvent string
@@ -52,8 +52,8 @@
 // Refusal is an error response of the router itself. It is an immutable value.
 type Refusal struct {
 	Kind RefusalKind
-	// Cause is the reason in a few words, for the log.
-	Cause string
+	// Reason is the reason in a few words, for the log.
+	Reason string
 	// RetryAfter is how long the caller should wait before a retry. Zero means that no
 	// hint is sent.
 	RetryAfter Millis
@@ -64,7 +64,7 @@
 type CallerProtocol interface {
 	// Read returns the metadata of a request. It returns ErrInvalid when the request is
 	// malformed.
-	Read(r *http.Request) (Asked, error)
+	Read(r *http.Request) (CallerRequest, error)
 	// Forward returns the header to send to a backend server. It leaves out the fields
 	// that concern the connection to the caller and those that the router sets itself.
 	Forward(h http.Header) http.Header
--- a/catalog.go
+++ b/catalog.go
@@ -74,35 +74,35 @@
 	Content []byte
 }
 
-// Naming is a version of a model that operators want served, and how long ago they set
-// it.
-type Naming struct {
+// TargetVersion is a version of a model that operators want served, and how long ago
+// they set it.
+type TargetVersion struct {
 	Model   ModelID
 	Weights WeightsVersion
 	Age     Millis
-	// Witnessed reports that the instance saw the version within moments of its being
+	// Observed reports that the instance saw the version within moments of its being
 	// set. Otherwise the instance started later, and the age is an estimate.
-	Witnessed bool
+	Observed bool
 }
 
-// CatalogAnswer is the response to a CatalogQuery.
-type CatalogAnswer struct {
-	Namings  []Naming
-	Config   CatalogPart
-	Backends CatalogPart
+// CatalogResponse is the response to a CatalogQuery.
+type CatalogResponse struct {
+	TargetVersions []TargetVersion
+	Config         CatalogPart
+	Backends       CatalogPart
 }
 
-// RestNews notifies other instances that a backend server takes no new work for a
+// BackoffUpdate notifies other instances that a backend server takes no new work for a
 // while, or that it does again. It is only a hint: if it is lost or late, the server
 // itself refuses requests and they are sent elsewhere.
-type RestNews struct {
+type BackoffUpdate struct {
 	Backend BackendServerID
-	// Resting is how long the server stays in backoff and takes no new work. Zero ends
+	// Backoff is how long the server stays in backoff and takes no new work. Zero ends
 	// the backoff.
-	Resting Millis
-	// Easing is how long the server is drained and takes only light work. Zero ends the
+	Backoff Millis
+	// Drain is how long the server is drained and takes only light work. Zero ends the
 	// drain.
-	Easing Millis
+	Drain Millis
 	// Weights is the version of Model that the server now serves. Zero means that it is
 	// not known.
 	Model   ModelID
@@ -112,22 +112,22 @@
 	Incarnation Incarnation
 }
 
-// LoadNews is the load that the sender has in flight at a backend server. It replaces
+// LoadUpdate is the load that the sender has in flight at a backend server. It replaces
 // what the sender reported before.
-type LoadNews struct {
+type LoadUpdate struct {
 	Backend BackendServerID
-	// Inside is the number of attempts in flight. Work is the time needed to compute
+	// InFlight is the number of attempts in flight. Work is the time needed to compute
 	// what is left of those without a first byte.
-	Inside int
-	Work   Millis
+	InFlight int
+	Work     Millis
 	// Tokens is the sum of the tokens in the prompts and responses of these attempts.
 	Tokens int
 	// Limit is the rate limit that the server last announced to the sender.
-	Limit LimitNews
+	Limit LimitUpdate
 }
 
-// LimitNews is the rate limit that a backend server announced.
-type LimitNews struct {
+// LimitUpdate is the rate limit that a backend server announced.
+type LimitUpdate struct {
 	// Known reports that the server announced something. Limited reports that it
 	// announced a limit, and Rate is that limit in requests per second.
 	Known, Limited bool
@@ -136,70 +136,71 @@
 	Age Millis
 }
 
-// PartNews notifies other instances that the sender has sent a prompt segment to an
+// SegmentUpdate notifies other instances that the sender has sent a prompt segment to an
 // engine, or knows that the engine holds it.
-type PartNews struct {
+type SegmentUpdate struct {
 	// Backend is the engine.
 	Backend BackendServerID
 	// Key identifies the segment in the cache: the hash of the segment under its cache
 	// root.
 	Key uint64
-	// Tokens is the length of the segment. Own is the number of prompt tokens that the
-	// request has after it.
-	Tokens, Own int
+	// Tokens is the length of the segment. RemainingTokens is the number of prompt
+	// tokens that the request has after it.
+	Tokens, RemainingTokens int
 	// Work is the time that the request needs at the engine, and Priority its priority
 	// there.
 	Work     Millis
 	Priority Priority
-	// Ready reports that the engine has computed the segment. Saved reports that the
+	// Ready reports that the engine has computed the segment. Exported reports that the
 	// engine was instructed to export it.
-	Ready, Saved bool
+	Ready, Exported bool
 	// Incarnation is the incarnation of the engine. Zero means that it is not known.
 	Incarnation Incarnation
-	// Kept reports that the engine was instructed to import the segment from the KV
+	// Imported reports that the engine was instructed to import the segment from the KV
 	// cache store.
-	Kept bool
-}
-
-// News is a state update to other instances. It carries hints, and whether the sender's
-// copy of the configuration or of the list of backend servers has changed, so that a
-// query is worth while.
-type News struct {
-	From    InstanceID
-	Changed bool
-	Rests   []RestNews
-	Loads   []LoadNews
-	Parts   []PartNews
-	Crashes []CrashNews
-	// Uses is the usage that the sender has admitted for client accounts. Life is the
-	// sender's incarnation. Sequence increases with each message that carries usage.
-	Uses     []UseNews
-	Life     Incarnation
-	Sequence uint64
-	// Part is the share of every account limit that is owned by the sender and the
+	Imported bool
+}
+
+// StateUpdate is a state update to other instances. It carries hints, and whether the
+// sender's copy of the configuration or of the list of backend servers has changed, so
+// that a query is worth while.
+type StateUpdate struct {
+	From     InstanceID
+	Changed  bool
+	Backoffs []BackoffUpdate
+	Loads    []LoadUpdate
+	Segments []SegmentUpdate
+	Crashes  []CrashUpdate
+	// Usage is the usage that the sender has admitted for client accounts. Incarnation
+	// is the sender's incarnation. Sequence increases with each message that carries
+	// usage.
+	Usage       []UsageUpdate
+	Incarnation Incarnation
+	Sequence    uint64
+	// Share is the share of every account limit that is owned by the sender and the
 	// instances that it receives updates from. Zero means that the sender does not know
 	// it.
-	Part float64
-	// Whole reports that the sender knows of no recent usage by accounts that are not
-	// listed in Uses.
-	Whole bool
-	// Change and View describe the set of instances that own the limits, as the sender
-	// knows it. See UsesHeard.
-	Change, View uint64
+	Share float64
+	// Complete reports that the sender knows of no recent usage by accounts that are not
+	// listed in Usage.
+	Complete bool
+	// OwnersEpoch and OwnersDigest describe the set of instances that own the limits,
+	// as the sender knows it. See UsageReceived.
+	OwnersEpoch, OwnersDigest uint64
 }
 
 // CatalogPeers queries and notifies other instances about the catalog. Implementations
 // are safe for concurrent use. Addresses are IP:port.
 type CatalogPeers interface {
-	// AskCatalog queries another instance for its copy of the catalog.
-	AskCatalog(ctx context.Context, address string, q CatalogQuery) (CatalogAnswer, error)
-	// TellNews sends a state update to another instance.
-	TellNews(ctx context.Context, address string, n News) error
+	// QueryCatalog queries another instance for its copy of the catalog.
+	QueryCatalog(ctx context.Context, address string, q CatalogQuery) (CatalogResponse, error)
+	// SendUpdate sends a state update to another instance.
+	SendUpdate(ctx context.Context, address string, n StateUpdate) error
 }
 
 // CatalogHandler serves the calls of CatalogPeers at the receiving instance.
 // Implementations are safe for concurrent use.
 type CatalogHandler interface {
-	HandleAskCatalog(ctx context.Context, q CatalogQuery) (CatalogAnswer, error)
-	HandleTellNews(ctx context.Context, n News) error
+	HandleQueryCatalog(ctx context.Context, q CatalogQuery) (CatalogResponse, error)
+	HandleSendUpdate(ctx context.Context, n StateUpdate) error
 }
--- a/config.go
+++ b/config.go
@@ -69,13 +69,13 @@
 	// they are not known.
 	TokenBytes   int     `json:"token_bytes,omitempty"`
 	LinkMegabits float64 `json:"link_megabits,omitempty"`
-	// MovesRuns reports that the engines of the pool can move the KV cache of a running
-	// request to each other.
-	MovesRuns bool `json:"moves_runs,omitempty"`
+	// MigratesRequests reports that the engines of the pool can move the KV cache of a
+	// running request to each other.
+	MigratesRequests bool `json:"moves_runs,omitempty"`
 }
 
-// KeptCache is a KV cache store that engines export to and import from.
-type KeptCache struct {
+// CacheStore is a KV cache store that engines export to and import from.
+type CacheStore struct {
 	ID PoolID `json:"id"`
 	// Address is the address of the store for engines, as IP:port.
 	Address string           `json:"address"`
@@ -205,8 +205,8 @@
 
 // Config is one complete configuration. It is an immutable value.
 type Config struct {
-	// KeptCaches are the KV cache stores that run beside the engines.
-	KeptCaches []KeptCache `json:"kept_caches,omitempty"`
+	// CacheStores are the KV cache stores that run beside the engines.
+	CacheStores []CacheStore `json:"kept_caches,omitempty"`
 	// CallerLimits overrides the limits of the settings file. Zero fields keep those
 	// limits.
 	CallerLimits CallerLimits  `json:"caller_limits,omitzero"`
--- a/effect.go
+++ b/effect.go
@@ -20,13 +20,13 @@
 	ResumeFrom int
 	// Hedge marks a second attempt that runs concurrently with an earlier one.
 	Hedge bool
-	// FetchFrom and SaveTo are the addresses, as IP:port, from which the engine imports
-	// and to which it exports cached prompt segments. Empty means none.
-	FetchFrom string
-	SaveTo    string
-	// MemoryFrom is the handle of the KV cache of the previous attempt, which was moved
+	// ImportFrom and ExportTo are the addresses, as IP:port, from which the engine
+	// imports and to which it exports cached prompt segments. Empty means none.
+	ImportFrom string
+	ExportTo   string
+	// CacheHandle is the handle of the KV cache of the previous attempt, which was moved
 	// to this server.
-	MemoryFrom string
+	CacheHandle string
 	// FirstByte is the time-out for the first byte of the response. It is set when the
 	// request can go to another server after the time-out, and when the response must
 	// not begin later because the server's weights may not answer any more by then.
--- a/errors.go
+++ b/errors.go
@@ -20,9 +20,9 @@
 	ErrUnavailable = Errors.NewType("unavailable", errorx.Temporary())
 	// ErrOutcomeUnknown means that a write may or may not have taken effect.
 	ErrOutcomeUnknown = Errors.NewType("outcome_unknown")
-	// ErrSilent means that a backend server sent nothing before the first-byte
+	// ErrFirstByteTimeout means that a backend server sent nothing before the first-byte
 	// time-out.
-	ErrSilent = Errors.NewType("silent")
+	ErrFirstByteTimeout = Errors.NewType("silent")
 	// ErrFenced means that the receiver refused an order because its fencing number is
 	// too old.
 	ErrFenced = Errors.NewType("fenced")
--- a/event.go
+++ b/event.go
@@ -66,11 +66,11 @@
 	Unreachable bool
 	// Failed reports that the backend server responded with an error of its own.
 	Failed bool
-	// Silent reports that no byte arrived before the first-byte time-out.
-	Silent bool
-	// ServerEnded reports that the connection broke and that nothing listens at the
+	// FirstByteTimeout reports that no byte arrived before the first-byte time-out.
+	FirstByteTimeout bool
+	// ServerCrashed reports that the connection broke and that nothing listens at the
 	// server's address any more: its process ended while it had the request.
-	ServerEnded bool
+	ServerCrashed bool
 	// Misdirected reports that the address now belongs to another backend server, which
 	// did not run the request.
 	Misdirected bool
@@ -83,7 +83,7 @@
 	// Moved is where the response continues when its KV cache was moved. The end is
 	// then not a failure of the server, and the next attempt does not count as another
 	// run.
-	Moved Moved
+	Moved MigrationResult
 }
 
 // LoadReported carries a load report of a backend server.
@@ -109,47 +109,47 @@
 	Incarnation Incarnation
 }
 
-// WeightsNamed reports which version of a model the operators want served. At is when
+// TargetWeightsSet reports which version of a model the operators want served. At is when
 // the version was first seen.
-type WeightsNamed struct {
+type TargetWeightsSet struct {
 	Model   ModelID
 	Weights WeightsVersion
 	At      Millis
 }
 
-// BackendResting reports that a backend server is in backoff: it takes no new work
+// BackendInBackoff reports that a backend server is in backoff: it takes no new work
 // until a point in time, because it is about to load weights or is loading them. A time
 // in the past ends an earlier backoff.
-type BackendResting struct {
+type BackendInBackoff struct {
 	Backend BackendServerID
 	Until   Millis
 }
 
-// BackendEasing reports that a backend server is being drained: until a point in time
+// BackendDraining reports that a backend server is being drained: until a point in time
 // it takes only light work, so that it has little to finish when it loads weights. A
 // time in the past ends the drain.
-type BackendEasing struct {
+type BackendDraining struct {
 	Backend BackendServerID
 	Until   Millis
 }
 
 // PeerPlaced reports what another instance has sent to backend servers.
 type PeerPlaced struct {
-	From  InstanceID
-	Loads []LoadNews
-	Parts []PartNews
+	From     InstanceID
+	Loads    []LoadUpdate
+	Segments []SegmentUpdate
 }
 
-// KeptCacheSeen reports whether a KV cache store is reachable.
-type KeptCacheSeen struct {
+// CacheStoreChecked reports whether a KV cache store is reachable.
+type CacheStoreChecked struct {
 	Address string
 	Up      bool
 }
 
-// KeptCacheListed reports which prompt segments a KV cache store holds.
-type KeptCacheListed struct {
-	Address string
-	Parts   []PartNews
+// CacheStoreListed reports which prompt segments a KV cache store holds.
+type CacheStoreListed struct {
+	Address  string
+	Segments []SegmentUpdate
 }
 
 // ConfigAdopted reports that a configuration is in force at this instance.
@@ -168,11 +168,11 @@
 func (BackendLost) isEvent()       {}
 func (BackendLeaving) isEvent()    {}
 func (WeightsReported) isEvent()   {}
-func (WeightsNamed) isEvent()      {}
-func (BackendResting) isEvent()    {}
-func (BackendEasing) isEvent()     {}
+func (TargetWeightsSet) isEvent()  {}
+func (BackendInBackoff) isEvent()  {}
+func (BackendDraining) isEvent()   {}
 func (PeerPlaced) isEvent()        {}
-func (KeptCacheSeen) isEvent()     {}
-func (KeptCacheListed) isEvent()   {}
+func (CacheStoreChecked) isEvent() {}
+func (CacheStoreListed) isEvent()  {}
 func (ConfigAdopted) isEvent()     {}
 func (Ticked) isEvent()            {}
--- a/examples/placement/main.go
+++ b/examples/placement/main.go
@@ -40,7 +40,7 @@
 		now += wasabiridge.Second
 		if i == 2 {
 			incarnation = 2
-			placer.Observe(now, wasabiridge.LoadReported{Report: wasabiridge.LoadReport{Backend: p.Backend.ID, Incarnation: incarnation, Taken: now}})
+			placer.Observe(now, wasabiridge.LoadReported{Report: wasabiridge.LoadReport{Backend: p.Backend.ID, Incarnation: incarnation, MeasuredAt: now}})
 		}
 	}
 }
--- a/examples/quarantine/main.go
+++ b/examples/quarantine/main.go
@@ -12,11 +12,11 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabiquarantine"
 )
 
-var standings = map[wasabiridge.Standing]string{
-	wasabiridge.StandingFree:     "free",
-	wasabiridge.StandingSuspect:  "suspect: sent to one server, the same for all instances",
-	wasabiridge.StandingDeferred: "deferred: trial in progress elsewhere, retry later",
-	wasabiridge.StandingBarred:   "blocked: sent to no server",
+var standings = map[wasabiridge.QuarantineVerdict]string{
+	wasabiridge.QuarantineFree:     "free",
+	wasabiridge.QuarantineSuspect:  "suspect: sent to one server, the same for all instances",
+	wasabiridge.QuarantineDeferred: "deferred: trial in progress elsewhere, retry later",
+	wasabiridge.QuarantineBlocked:  "blocked: sent to no server",
 }
 
 func main() {
@@ -32,10 +32,10 @@
 		end.Attempt = attempt
 		first.Observe(now, end)
 		update := first.TakeNews(now)
-		second.Observe(now, wasabiridge.CrashesHeard{From: "pos-1", Crashes: append(update.Narrow, update.Wide...)})
-		fmt.Printf("after %s: request 1 is %s; request 2 is %s\n", server, standings[second.Judge(now, fatal)], standings[second.Judge(now, bystander)])
+		second.Observe(now, wasabiridge.CrashesReceived{From: "pos-1", Crashes: append(update.Narrow, update.Wide...)})
+		fmt.Printf("after %s: request 1 is %s; request 2 is %s\n", server, standings[second.Check(now, fatal)], standings[second.Check(now, bystander)])
 	}
-	ended := wasabiridge.AttemptEnded{Result: wasabiridge.AttemptBroken, ServerEnded: true}
+	ended := wasabiridge.AttemptEnded{Result: wasabiridge.AttemptBroken, ServerCrashed: true}
 	for _, server := range []wasabiridge.BackendServerID{"e1", "e2"} {
 		send(fatal, server, ended)
 	}
--- a/examples/quota/main.go
+++ b/examples/quota/main.go
@@ -32,7 +32,7 @@
 func (i *instance) exhaust(now wasabiridge.Millis) {
 	r := wasabiridge.Request{Account: "liftwell"}
 	for n := 0; ; n++ {
-		v := i.table.Judge(now, r)
+		v := i.table.Check(now, r)
 		if !v.Allowed {
 			fmt.Printf("%5d ms: %s admits %d requests; the next one may be retried after %d ms\n", now, i.id, n, v.RetryAfter)
 			return
@@ -47,17 +47,17 @@
 	from.table.Observe(now, wasabiridge.Ticked{})
 	for _, id := range from.table.Strangers(now) {
 		if connected {
-			from.table.Observe(now, wasabiridge.PeerHeard{From: id})
+			from.table.Observe(now, wasabiridge.PeerReachable{From: id})
 		}
 	}
 	if !from.table.IsDue(now) {
 		return
 	}
 	update := from.table.TakeNews(now)
-	from.table.Observe(now, wasabiridge.PeerTold{To: to.id})
+	from.table.Observe(now, wasabiridge.PeerUpdateSent{To: to.id})
 	if connected {
-		to.table.Observe(now, update.UsesHeard())
-		from.table.Observe(now, wasabiridge.PeerHeard{From: to.id})
+		to.table.Observe(now, update.UsageReceived())
+		from.table.Observe(now, wasabiridge.PeerReachable{From: to.id})
 	}
 }
 
--- a/internal/wasabiaddress/book.go
+++ b/internal/wasabiaddress/book.go
@@ -19,7 +19,7 @@
 //	book := wasabiaddress.New(wasabiaddress.Options{
 //		Self: entry, Members: members.Members, Lifetime: 10 * wasabiridge.Second,
 //	})
-//	answer := book.Answer("liftwell", "port-of-spain")
+//	answer := book.Response("liftwell", "port-of-spain")
 package wasabiaddress
 
 import (
@@ -48,7 +48,7 @@
 	otherWeight  = 1
 )
 
-// Options configure a Book.
+// Options configure a Selector.
 type Options struct {
 	// Self is the entry of this instance.
 	Self wasabiridge.InstanceEntry
@@ -86,7 +86,7 @@
 	leaving atomic.Bool
 }
 
-// New returns a Book.
+// New returns a Selector.
 func New(o Options) *Book {
 	return &Book{options: o}
 }
--- a/internal/wasabibackend/fuzz_test.go
+++ b/internal/wasabibackend/fuzz_test.go
@@ -52,7 +52,7 @@
 		if !ok {
 			return
 		}
-		if !inRange(r.Running, r.Waiting, r.WaitingTokens) || r.Taken > now || r.Taken < now-wasabiridge.Minute {
+		if !inRange(r.Running, r.Waiting, r.WaitingTokens) || r.MeasuredAt > now || r.MeasuredAt < now-wasabiridge.Minute {
 			t.Fatalf("report out of range: %+v", r)
 		}
 	})
--- a/internal/wasabibackend/intake.go
+++ b/internal/wasabibackend/intake.go
@@ -16,7 +16,7 @@
 	defaultLoadRequests = 32
 )
 
-// IntakeOptions configure an Intake. Clock and Ring are required.
+// IntakeOptions configure a Monitor. Clock and Ring are required.
 type IntakeOptions struct {
 	Clock wasabiridge.Clock
 	// Ring receives the events.
@@ -28,7 +28,7 @@
 	// Zero means half a second.
 	LoadEvery wasabiridge.Millis
 	// Questions limits the load requests per second to all servers together.
-	// When LoadEvery would exceed it, each server is polled less often, so that
+	// When LoadInterval would exceed it, each server is polled less often, so that
 	// the cost of an instance does not grow with the pools. Zero means 32.
 	Questions int
 	// EventStreams limits the number of open cache event streams. Zero means
@@ -69,7 +69,7 @@
 	cancel  context.CancelFunc
 }
 
-// NewIntake returns an Intake that watches no servers yet.
+// NewIntake returns a Monitor that watches no servers yet.
 func NewIntake(o IntakeOptions) *Intake {
 	if o.LoadEvery == 0 {
 		o.LoadEvery = defaultLoadEvery
@@ -97,7 +97,7 @@
 }
 
 // Watch replaces the set of watched servers. Servers that are not engines are
-// ignored. Cache events are read from the first EventStreams engines only, so
+// ignored. Cache events are read from the first MaxEventStreams engines only, so
 // the servers used most should come first.
 func (i *Intake) Watch(backends []wasabiridge.BackendServer) {
 	i.mu.Lock()
--- a/internal/wasabibackend/intake_test.go
+++ b/internal/wasabibackend/intake_test.go
@@ -21,7 +21,7 @@
 // eventuallyTimeout is how long a spec waits for an expected event.
 const eventuallyTimeout = 20 * time.Second
 
-// collector collects the events that an Intake puts into its ring.
+// collector collects the events that a Monitor puts into its ring.
 type collector struct {
 	ring   *wasabibackend.Ring
 	loads  []wasabiridge.LoadReport
@@ -59,7 +59,7 @@
 	return out
 }
 
-// watch starts an Intake that sleeps 2 ms in place of every delay, so that the
+// watch starts a Monitor that sleeps 2 ms in place of every delay, so that the
 // specs are fast.
 func watch(backends ...wasabiridge.BackendServer) *collector {
 	n := &collector{ring: wasabibackend.NewRing(1024)}
--- a/internal/wasabibackend/reader.go
+++ b/internal/wasabibackend/reader.go
@@ -48,7 +48,7 @@
 }
 
 func (r *loadPoller) run(ctx context.Context) {
-	// If the interval is longer than LoadEvery because there are many servers,
+	// If the interval is longer than LoadInterval because there are many servers,
 	// the first requests are spread over the difference. Otherwise every restart
 	// would begin with a burst that exceeds the limit on load requests.
 	if extra := r.intake.loadInterval() - r.intake.opts.LoadEvery; extra > 0 {
--- a/internal/wasabibackend/report.go
+++ b/internal/wasabibackend/report.go
@@ -41,7 +41,7 @@
 	return wasabiridge.LoadReport{
 		Backend:       b,
 		Incarnation:   wasabiridge.Incarnation(body.Incarnation),
-		Taken:         now - age,
+		MeasuredAt:    now - age,
 		Running:       clamp(body.Running),
 		Waiting:       clamp(body.Waiting),
 		WaitingTokens: clamp(body.WaitingTokens),
--- a/internal/wasabibackend/runner.go
+++ b/internal/wasabibackend/runner.go
@@ -156,7 +156,7 @@
 		x.ended.Result = wasabiridge.AttemptCancelled
 	}
 	if x.ended.Result == wasabiridge.AttemptBroken {
-		x.ended.ServerEnded = r.hasEnded(ctx, a.Backend)
+		x.ended.ServerCrashed = r.hasEnded(ctx, a.Backend)
 	}
 	return x.ended
 }
--- a/internal/wasabibudget/budget.go
+++ b/internal/wasabibudget/budget.go
@@ -6,7 +6,7 @@
 // it received itself and its share of the slack. The shares add up to no more than the
 // whole slack, whichever instances see each other:
 //
-//   - Sharers divides by the highest number of instances that were recently seen, so
+//   - InstanceCounter divides by the highest number of instances that were recently seen, so
 //     that partitioned instances do not take larger shares.
 //   - A process that has just started has next to no share, because its predecessor may
 //     have spent it. For the same reason its first requests earn no credit: they stand
@@ -14,11 +14,11 @@
 //
 // # Usage
 //
-//	sharers := wasabibudget.NewSharers(terms, now)
+//	sharers := wasabibudget.NewInstanceCounter(terms, now)
 //	budget := wasabibudget.New(terms, now)
-//	sharers.Count(now, 7)
-//	budget.Request(now)
-//	if budget.Spend(now, sharers.Part(now)) {
+//	sharers.Record(now, 7)
+//	budget.AddRequest(now)
+//	if budget.Spend(now, sharers.SlackShare(now)) {
 //		retry()
 //	}
 //
--- a/internal/wasabibudget/sharers.go
+++ b/internal/wasabibudget/sharers.go
@@ -26,8 +26,8 @@
 	latest  int
 }
 
-// NewSharers returns the Sharers of a process that started at the given time and has
-// seen only itself.
+// NewSharers returns the InstanceCounter of a process that started at the given time
+// and has seen only itself.
 func NewSharers(t Terms, startedAt wasabiridge.Millis) *Sharers {
 	return &Sharers{terms: t, startedAt: startedAt, latest: 1, slot: int64(startedAt / slotTime)}
 }
--- a/internal/wasabicache/doc.go
+++ b/internal/wasabicache/doc.go
@@ -33,17 +33,17 @@
 // The entries are stored in a hash table with open addressing and 40 bytes per slot. After
 // it has grown, the table is between 7/16 and 7/8 full. An entry has at most six
 // holders; a seventh replaces the one that was confirmed the longest time ago.
-// Options.MaxLevels limits the number of entries.
+// Options.MaxBlocks limits the number of entries.
 //
 // # Usage
 //
 //	p := wasabicache.New(wasabicache.Options{})
 //	s := p.Server("answer-1")
-//	p.Reborn(s, 1, 7)
-//	p.Touch(now, s, chain, len(chain.Blocks))
+//	p.UpdateIncarnation(s, 1, 7)
+//	p.MarkHeld(now, s, chain, len(chain.Blocks))
 //	for _, hit := range p.Hits(now, chain) {
 //		fmt.Println(p.ID(hit.Server), hit.Tokens)
 //	}
 //
-// A Picture is deterministic and not safe for concurrent use.
+// An Index is deterministic and not safe for concurrent use.
 package wasabicache
--- a/internal/wasabicache/hits.go
+++ b/internal/wasabicache/hits.go
@@ -26,8 +26,8 @@
 	// Depth is the number of leading blocks that the engine may hold.
 	Depth int
 	// Firm is the number of leading blocks that the engine holds, or will hold after
-	// its queued requests, with a probability of at least 0.5. Shown is the number of
-	// those that are not pending: the engine has been shown to hold them.
+	// its queued requests, with a probability of at least 0.5. ConfirmedDepth is the
+	// number of those that are not pending: the engine has been shown to hold them.
 	Firm  int
 	Shown int
 }
@@ -117,7 +117,7 @@
 }
 
 // Cooled returns the value of a request count after the given time of decay, with the same
-// half-life as HeatOf.
+// half-life as RequestCount.
 func (p *Picture) Cooled(count float64, age wasabiridge.Millis) float64 {
 	return float64(decayCount(float32(count), age))
 }
--- a/internal/wasabicache/picture.go
+++ b/internal/wasabicache/picture.go
@@ -8,21 +8,21 @@
 	DefaultMaxLevels = 114688
 	// DefaultLifetime is the initial value of the learned block lifetime.
 	DefaultLifetime = 10 * wasabiridge.Second
-	// DefaultSilence is the default of Options.Silence.
+	// DefaultSilence is the default of Options.EventTimeout.
 	DefaultSilence = 2 * wasabiridge.Second
 )
 
-// Options configures a Picture. The zero value selects the defaults.
+// Options configures an Index. The zero value selects the defaults.
 type Options struct {
 	// MaxLevels is the maximum number of blocks with an entry. Zero means
-	// DefaultMaxLevels.
+	// DefaultMaxBlocks.
 	MaxLevels int
 	// Lifetime is the initial value of the learned block lifetime. Zero means
 	// DefaultLifetime.
 	Lifetime wasabiridge.Millis
 	// Silence is the time after which an expected event is overdue, so that the
 	// stream is considered stopped and its lack of eviction events is ignored. Zero
-	// means DefaultSilence.
+	// means DefaultEventTimeout.
 	Silence wasabiridge.Millis
 }
 
@@ -70,7 +70,7 @@
 	seen        wasabiridge.Millis
 }
 
-// New returns an empty Picture.
+// New returns an empty Index.
 func New(o Options) *Picture {
 	if o.MaxLevels <= 0 {
 		o.MaxLevels = DefaultMaxLevels
@@ -129,8 +129,8 @@
 
 // Ask records that a request for the chain is sent to the engine. Blocks that the engine
 // was not known to hold become pending. They count as held for the selection of an engine,
-// because a later request will find them there. They do not count in Hit.Shown until the
-// engine has been shown to hold them, because the request may never reach it.
+// because a later request will find them there. They do not count in Hit.ConfirmedDepth
+// until the engine has been shown to hold them, because the request may never reach it.
 func (p *Picture) Ask(now wasabiridge.Millis, s ServerIndex, c wasabiridge.Chain) {
 	for _, b := range c.Blocks {
 		p.set(now, s, b, pendingBit)
@@ -155,7 +155,7 @@
 }
 
 // entry returns the entry of a block, which is added if necessary. If the number of
-// entries has reached Options.MaxLevels, an old entry is evicted first.
+// entries has reached Options.MaxBlocks, an old entry is evicted first.
 func (p *Picture) entry(now wasabiridge.Millis, b wasabiridge.BlockHash) *entry {
 	if e := p.table.find(b); e != nil {
 		return e
--- a/internal/wasabicache/probability.go
+++ b/internal/wasabicache/probability.go
@@ -90,7 +90,7 @@
 }
 
 // Answered records that the engine found the first n blocks of a chain in its cache when
-// it processed the prompt at the given time. Before is the estimate from before the
+// it processed the prompt at the given time. Estimate is the estimate from before the
 // attempt. If the estimated blocks were found, the learned lifetime rises; if not, it falls,
 // and so does the reliability of the event stream, unless the last block was pending or an
 // event is overdue.
@@ -121,8 +121,8 @@
 // Depth returns the number of leading blocks that were estimated to be held.
 func (b Before) Depth() int { return b.depth }
 
-// Believe returns the current estimate for the chain at the engine. Call it before Touch,
-// which changes the estimate.
+// Believe returns the current estimate for the chain at the engine. Call it before
+// MarkHeld, which changes the estimate.
 func (p *Picture) Believe(now wasabiridge.Millis, s ServerIndex, c wasabiridge.Chain) Before {
 	sv := &p.servers[s]
 	b := Before{generation: sv.generation}
--- a/internal/wasabicatalog/catalog_test.go
+++ b/internal/wasabicatalog/catalog_test.go
@@ -506,7 +506,7 @@
 			})
 		}
 		Expect(isQuerying(13400)).To(BeTrue())
-		fresh.Handle(13450, wasabicatalog.PeerAnswered{Sent: 13400, Peer: "old", Answer: wasabiridge.CatalogAnswer{
+		fresh.Handle(13450, wasabicatalog.PeerAnswered{Sent: 13400, Peer: "old", Answer: wasabiridge.CatalogResponse{
 			Config: wasabiridge.CatalogPart{Age: -1}, Backends: wasabiridge.CatalogPart{Age: -1},
 		}})
 		Expect(isQuerying(13700)).To(BeFalse())
--- a/internal/wasabicatalog/delta_test.go
+++ b/internal/wasabicatalog/delta_test.go
@@ -19,7 +19,7 @@
 		}
 		m.Handle(at, wasabicatalog.ConfigRead{Sent: at, Snapshot: wasabiridge.ConfigSnapshot{Revision: uint64(v), Config: cfg}})
 	}
-	query := func(from, to *wasabicatalog.Machine, at wasabiridge.Millis) wasabiridge.CatalogAnswer {
+	query := func(from, to *wasabicatalog.Machine, at wasabiridge.Millis) wasabiridge.CatalogResponse {
 		return to.Answer(at, wasabiridge.CatalogQuery{ConfigDigest: from.Answer(at, wasabiridge.CatalogQuery{}).Config.Digest})
 	}
 	version := func(m *wasabicatalog.Machine) int {
--- a/internal/wasabicatalog/event.go
+++ b/internal/wasabicatalog/event.go
@@ -31,11 +31,11 @@
 	Err      error
 }
 
-// PeerAnswered is the result of an AskPeer that was sent at Sent.
+// PeerAnswered is the result of a QueryPeer that was sent at Sent.
 type PeerAnswered struct {
 	Sent   wasabiridge.Millis
 	Peer   wasabiridge.InstanceID
-	Answer wasabiridge.CatalogAnswer
+	Answer wasabiridge.CatalogResponse
 	Err    error
 }
 
--- a/internal/wasabicatalog/keeper.go
+++ b/internal/wasabicatalog/keeper.go
@@ -25,7 +25,7 @@
 	sendTimeout = 500 * time.Millisecond
 )
 
-// Options configure a Keeper. Log, Changed and News are optional.
+// Options configure a Controller. Log, OnChange and OnUpdate are optional.
 type Options struct {
 	Self wasabiridge.InstanceEntry
 	// Clock must keep counting while the instance is suspended.
@@ -37,17 +37,17 @@
 	// Active returns the instances that callers are directed to. Nil means all.
 	Active func() []wasabiridge.InstanceEntry
 	Log    zerolog.Logger
-	// Changed is called after the content has changed, News with each state update
+	// Changed is called after the content has changed, OnUpdate with each state update
 	// received from another instance. Neither may block.
 	Changed func(v View)
-	News    func(n wasabiridge.News)
+	News    func(n wasabiridge.StateUpdate)
 }
 
 // View is the catalog as known at this instance. It is an immutable value.
 type View struct {
 	Snapshot wasabiridge.ConfigSnapshot
 	Backends wasabiridge.BackendSnapshot
-	// ConfigProven and BackendsProven are the times at which the platform reads were
+	// ConfigProven and BackendsConfirmedAt are the times at which the platform reads were
 	// sent that last confirmed the configuration and the list. ConfigKnown and
 	// BackendsKnown report that there was such a read.
 	ConfigProven, BackendsProven wasabiridge.Millis
@@ -80,7 +80,7 @@
 	unusable map[wasabiridge.BackendServerID]string
 }
 
-// NewKeeper returns a Keeper with an empty view. Run starts it.
+// NewKeeper returns a Controller with an empty view. Run starts it.
 func NewKeeper(o Options) *Keeper {
 	k := &Keeper{options: o, inbox: make(chan Event, inboxSize), machine: NewMachine(o.Self)}
 	k.view.Store(&View{})
@@ -146,7 +146,7 @@
 			if k.options.Changed != nil {
 				k.options.Changed(k.View())
 			}
-			k.TellSome(ctx, k.tree.Audience(f), wasabiridge.News{Changed: true})
+			k.TellSome(ctx, k.tree.Audience(f), wasabiridge.StateUpdate{Changed: true})
 		case Proven:
 			k.publish()
 		}
@@ -235,7 +235,7 @@
 	sent := k.options.Clock.Now()
 	timed, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	answer, err := k.options.Peers.AskCatalog(timed, e.Peer.Address, e.Query)
+	answer, err := k.options.Peers.QueryCatalog(timed, e.Peer.Address, e.Query)
 	k.post(ctx, PeerAnswered{Sent: sent, Peer: e.Peer.ID, Answer: answer, Err: err})
 }
 
@@ -245,28 +245,28 @@
 }
 
 // TellSome sends a state update to some members. It does not wait for the calls to end.
-func (k *Keeper) TellSome(ctx context.Context, peers []Peer, n wasabiridge.News) {
+func (k *Keeper) TellSome(ctx context.Context, peers []Peer, n wasabiridge.StateUpdate) {
 	n.From = k.options.Self.ID
 	for _, p := range peers {
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 			defer cancel()
-			if err := k.options.Peers.TellNews(ctx, p.Address, n); err != nil {
+			if err := k.options.Peers.SendUpdate(ctx, p.Address, n); err != nil {
 				k.options.Log.Debug().Err(err).Str("member", string(p.ID)).Msg("Sending a state update failed.")
 			}
 		}()
 	}
 }
 
-// HandleAskCatalog implements wasabiridge.CatalogHandler.
-func (k *Keeper) HandleAskCatalog(_ context.Context, q wasabiridge.CatalogQuery) (wasabiridge.CatalogAnswer, error) {
+// HandleQueryCatalog implements wasabiridge.CatalogHandler.
+func (k *Keeper) HandleQueryCatalog(_ context.Context, q wasabiridge.CatalogQuery) (wasabiridge.CatalogResponse, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.machine.Answer(k.options.Clock.Now(), q), nil
 }
 
-// HandleTellNews implements wasabiridge.CatalogHandler.
-func (k *Keeper) HandleTellNews(_ context.Context, n wasabiridge.News) error {
+// HandleSendUpdate implements wasabiridge.CatalogHandler.
+func (k *Keeper) HandleSendUpdate(_ context.Context, n wasabiridge.StateUpdate) error {
 	if k.options.News != nil {
 		k.options.News(n)
 	}
--- a/internal/wasabicatalog/machine.go
+++ b/internal/wasabicatalog/machine.go
@@ -32,7 +32,7 @@
 //
 // # Usage
 //
-//	keeper := wasabicatalog.NewKeeper(wasabicatalog.Options{
+//	keeper := wasabicatalog.NewController(wasabicatalog.Options{
 //		Self: self, Clock: clock, Source: source, Peers: client, Members: members,
 //	})
 //	go keeper.Run(ctx)
@@ -324,16 +324,16 @@
 func (m *Machine) Backends() wasabiridge.BackendSnapshot { return m.list }
 
 // Answer returns the response to a query of another instance.
-func (m *Machine) Answer(now wasabiridge.Millis, q wasabiridge.CatalogQuery) wasabiridge.CatalogAnswer {
-	var namings []wasabiridge.Naming
+func (m *Machine) Answer(now wasabiridge.Millis, q wasabiridge.CatalogQuery) wasabiridge.CatalogResponse {
+	var namings []wasabiridge.TargetVersion
 	for _, n := range m.namings {
 		if now-n.At < namingRetention {
-			namings = append(namings, wasabiridge.Naming{Model: n.Model, Weights: n.Weights, Age: now - n.At, Witnessed: n.Witnessed})
+			namings = append(namings, wasabiridge.TargetVersion{Model: n.Model, Weights: n.Weights, Age: now - n.At, Observed: n.Witnessed})
 		}
 	}
-	return wasabiridge.CatalogAnswer{
-		Namings:  namings,
-		Config:   m.config.answer(now, q.ConfigDigest),
-		Backends: m.backends.answer(now, q.BackendDigest),
+	return wasabiridge.CatalogResponse{
+		TargetVersions: namings,
+		Config:         m.config.answer(now, q.ConfigDigest),
+		Backends:       m.backends.answer(now, q.BackendDigest),
 	}
 }
--- a/internal/wasabicatalog/naming.go
+++ b/internal/wasabicatalog/naming.go
@@ -84,8 +84,8 @@
 // change of the configuration.
 func (m *Machine) mergeNamings(e PeerAnswered) {
 	changed := false
-	for _, n := range e.Answer.Namings {
-		if n.Witnessed && m.addNaming(Named{Model: n.Model, Weights: n.Weights, At: e.Sent - n.Age, Witnessed: true}) {
+	for _, n := range e.Answer.TargetVersions {
+		if n.Observed && m.addNaming(Named{Model: n.Model, Weights: n.Weights, At: e.Sent - n.Age, Witnessed: true}) {
 			changed = true
 		}
 	}
--- a/internal/wasabiclaim/doc.go
+++ b/internal/wasabiclaim/doc.go
@@ -24,7 +24,7 @@
 //
 //	keeper := wasabiclaim.New(wasabiclaim.Options{
 //		Self: "pos-1", Incarnation: incarnation, Secret: secret,
-//		Table: table, Peers: peers, Clock: clock, Locate: locate,
+//		Table: table, Peers: peers, Clock: clock, PeerAddress: locate,
 //	})
 //	go keeper.Run(ctx)
 //	var out wasabiridge.ClaimOutcome
--- a/internal/wasabiclaim/history_test.go
+++ b/internal/wasabiclaim/history_test.go
@@ -218,7 +218,7 @@
 	}
 	call := h.time.Add(1)
 	if h.chance(0.1) {
-		r.keeper.SendNotRun(q.Request)
+		r.keeper.RecordNotRun(q.Request)
 		_ = r.keeper.Finish(r.ctx, wasabiridge.ClaimResult{Query: q, Disposition: wasabiridge.NotRun})
 		return
 	}
--- a/internal/wasabiclaim/keeper.go
+++ b/internal/wasabiclaim/keeper.go
@@ -28,7 +28,7 @@
 	tableTimeout = 5 * time.Second
 )
 
-// Options configure a Keeper.
+// Options configure a Controller.
 type Options struct {
 	Self wasabiridge.InstanceID
 	// Incarnation must be different after every restart of the instance.
@@ -44,7 +44,7 @@
 	// restarted. Without Members and Peers only tickets of this instance are
 	// decided; the outcome of others is unknown.
 	Members func() []wasabiridge.Member
-	// Locate returns the peer address of an instance, and Instances the number of
+	// Locate returns the peer address of an instance, and InstanceCount the number of
 	// instances. They replace Members for these uses. Both may be nil.
 	Locate    func(wasabiridge.InstanceID) (string, bool)
 	Instances func() int
@@ -105,7 +105,7 @@
 	reply chan wasabiridge.ClaimOutcome
 }
 
-// New returns a Keeper without claims.
+// New returns a Controller without claims.
 func New(o Options) *Keeper {
 	o.Limits = o.Limits.withDefaults()
 	if o.SweepEvery == 0 {
@@ -173,9 +173,9 @@
 	return k.gate.countSend(request)
 }
 
-// SendNotRun records that the last send of the request did not run, as reported
+// RecordNotRun records that the last send of the request did not run, as reported
 // by its backend server.
-func (k *Keeper) SendNotRun(request wasabiridge.RequestID) {
+func (k *Keeper) RecordNotRun(request wasabiridge.RequestID) {
 	k.gate.uncountSend(request)
 }
 
--- a/internal/wasabiclaim/keeper_test.go
+++ b/internal/wasabiclaim/keeper_test.go
@@ -131,7 +131,7 @@
 	"a backend server that reports that the request did not run": func(b *booking) {
 		b.claim(b.a, wasabiridge.ClaimGranted)
 		Expect(b.a.BeginSend(b.last.Request)).To(Succeed())
-		b.a.SendNotRun(b.last.Request)
+		b.a.RecordNotRun(b.last.Request)
 		b.finish(b.a, wasabiridge.NotRun)
 		b.eventually(b.b, wasabiridge.ClaimGranted)
 	},
--- a/internal/wasabiclaim/limits.go
+++ b/internal/wasabiclaim/limits.go
@@ -15,7 +15,7 @@
 	// default. After it repeats are answered that the outcome is unknown. It
 	// never lets a second request run.
 	RunLimit wasabiridge.Millis
-	// KeptAnswers and KeptBytes bound the answers cached in memory for
+	// KeptAnswers and MaxCachedBytes bound the answers cached in memory for
 	// repeats, once for tickets and once for rows; 4,096 and 8 MiB by
 	// default.
 	KeptAnswers int
--- a/internal/wasabiclaim/rowmachine.go
+++ b/internal/wasabiclaim/rowmachine.go
@@ -226,7 +226,7 @@
 }
 
 // addUnsettled adds an entry to the unsettled ones and drops the oldest beyond
-// Limits.Unsettled. The row of a dropped entry stays as it is: repeats are answered
+// Limits.MaxUnsettled. The row of a dropped entry stays as it is: repeats are answered
 // that the outcome is unknown, and nothing runs twice.
 func (b *rowMachine) addUnsettled(e *rowEntry) {
 	e.unsettled = b.unsettled.PushBack(e)
--- a/internal/wasabiclaim/ticketmachine.go
+++ b/internal/wasabiclaim/ticketmachine.go
@@ -205,7 +205,7 @@
 	}
 }
 
-// open adds a free claim for a ticket. It returns nil when Limits.Tickets claims
+// open adds a free claim for a ticket. It returns nil when Limits.MaxTickets claims
 // are remembered already; nothing ran under the ticket then.
 func (b *ticketMachine) open(t ticket) *ticketClaim {
 	if len(b.claims) >= b.limits.Tickets {
--- a/internal/wasabiclient/call.go
+++ b/internal/wasabiclient/call.go
@@ -43,7 +43,7 @@
 
 // PutConfig replaces the configuration with version base and returns the version
 // of the new one. It returns ErrConflict, with the current configuration for
-// Theirs, when base is not the current version.
+// ConflictingConfig, when base is not the current version.
 func (c *Client) PutConfig(ctx context.Context, base wasabiridge.ConfigVersion, text []byte) (wasabiridge.ConfigVersion, error) {
 	r := request{method: http.MethodPut, path: "/v1/config", body: text, header: http.Header{}}
 	r.header.Set("If-Match", wasabioperator.FormatTag(base))
--- a/internal/wasabicommand/command_test.go
+++ b/internal/wasabicommand/command_test.go
@@ -121,7 +121,7 @@
 	return rollout, nil
 }
 
-func (r *fakeRouter) Steer(_ context.Context, id, action string) (wasabiridge.Rollout, error) {
+func (r *fakeRouter) Apply(_ context.Context, id, action string) (wasabiridge.Rollout, error) {
 	if id != "answers-12" {
 		return wasabiridge.Rollout{}, wasabiridge.ErrNotFound.New("rollout: %s is not known", id)
 	}
@@ -142,9 +142,9 @@
 }
 
 func (fakeStatus) Quotas() wasabiridge.QuotaReport {
-	return wasabiridge.QuotaReport{Instance: "pos-1", Part: 0.5, Accounts: []wasabiridge.QuotaStatus{{
+	return wasabiridge.QuotaReport{Instance: "pos-1", Share: 0.5, Accounts: []wasabiridge.QuotaStatus{{
 		Account: "liftwell", Limit: wasabiridge.AccountLimit{Rate: 900, Burst: 1800, Unit: wasabiridge.LimitTokens}, Left: -20, Refused: 4,
-		Used: []wasabiridge.QuotaUse{{Instance: "pos-1", Used: 700}, {Instance: "ari-1", Used: 300, Silent: true}},
+		Used: []wasabiridge.QuotaUse{{Instance: "pos-1", Used: 700}, {Instance: "ari-1", Used: 300, Unresponsive: true}},
 	}}}
 }
 
--- a/internal/wasabicommand/quotas.go
+++ b/internal/wasabicommand/quotas.go
@@ -40,7 +40,7 @@
 	for _, q := range r.Accounts {
 		for i, u := range q.Used {
 			used := fmt.Sprint(u.Used)
-			if u.Silent {
+			if u.Unresponsive {
 				used += "?"
 			}
 			if i > 0 {
--- a/internal/wasabiconfig/keeper.go
+++ b/internal/wasabiconfig/keeper.go
@@ -1,15 +1,15 @@
 // Package wasabiconfig accepts configurations, stores their history in the platform's
 // table and distributes them to all instances.
 //
-// A Machine decides which version is in force; a Keeper drives it with goroutines, the
-// table and the peers. A version is accepted by one compare-and-swap of the head row
-// together with a new row of the history. Heartbeats carry the version number. An
+// A Machine decides which version is in force; a Controller drives it with goroutines,
+// the table and the peers. A version is accepted by one compare-and-swap of the head
+// row together with a new row of the history. Heartbeats carry the version number. An
 // instance that receives a higher one than its own fetches the document from that peer.
 // Infrequent reads of the table find versions that no heartbeat carried.
 //
 // # Usage
 //
-//	keeper := wasabiconfig.NewKeeper(wasabiconfig.Options{
+//	keeper := wasabiconfig.NewController(wasabiconfig.Options{
 //		Self: "pos-1", Incarnation: 17, Clock: clock, Table: table,
 //		Peers: peers, Membership: members,
 //		Adopted: func(cfg wasabiridge.Config) { decide(cfg) },
@@ -40,8 +40,8 @@
 	tick      = 50 * time.Millisecond
 )
 
-// Membership gives a Keeper access to the other instances. Implementations are safe for
-// concurrent use.
+// Membership gives a Controller access to the other instances. Implementations are safe
+// for concurrent use.
 type Membership interface {
 	// Members returns the known instances other than this one.
 	Members() []wasabiridge.Member
@@ -50,7 +50,7 @@
 	Announce(n int)
 }
 
-// Options configure a Keeper.
+// Options configure a Controller.
 type Options struct {
 	Self        wasabiridge.InstanceID
 	Incarnation wasabiridge.Incarnation
@@ -68,7 +68,7 @@
 	Sleep wasabifault.SleepFunc
 }
 
-// Keeper is a wasabiridge.ConfigKeeper. It is safe for concurrent use.
+// Keeper is a wasabiridge.ConfigController. It is safe for concurrent use.
 type Keeper struct {
 	options Options
 	archive archive
@@ -93,7 +93,7 @@
 	done  chan struct{}
 }
 
-var _ wasabiridge.ConfigKeeper = (*Keeper)(nil)
+var _ wasabiridge.ConfigController = (*Keeper)(nil)
 
 // NewKeeper returns a keeper without a configuration. Run starts it.
 func NewKeeper(o Options) *Keeper {
--- a/internal/wasabiconn/pool.go
+++ b/internal/wasabiconn/pool.go
@@ -17,7 +17,7 @@
 // # Usage
 //
 //	pool := wasabiconn.New(wasabiconn.Options{Clock: clock})
-//	conn, err := pool.Get(ctx, address, wasabiconn.Want{Limit: 38})
+//	conn, err := pool.Get(ctx, address, wasabiconn.Requirements{MaxConnections: 38})
 //	if err != nil {
 //		return err // Nothing was sent.
 //	}
@@ -59,8 +59,8 @@
 	unusedIdle = wasabiridge.Minute
 )
 
-// ErrFull is the type of the error that Get returns when Want.Limit connections
-// are in use.
+// ErrFull is the type of the error that Get returns when Requirements.MaxConnections
+// connections are in use.
 var ErrFull = wasabiridge.ErrUnavailable.NewSubtype("full")
 
 // Options configure a Pool. Clock is required.
@@ -69,7 +69,7 @@
 	// DialTimeout bounds opening a connection. Zero means DefaultDialTimeout.
 	DialTimeout wasabiridge.Millis
 	// Silence is how long sent bytes or keep-alive probes may stay unacknowledged.
-	// Zero means DefaultSilence.
+	// Zero means DefaultUserTimeout.
 	Silence wasabiridge.Millis
 }
 
@@ -140,8 +140,8 @@
 }
 
 // Get returns an idle or a new connection to an address, given as IP:port. It
-// returns ErrUnavailable when none can be opened, and its subtype ErrFull when the
-// limit is reached; nothing was sent then. The caller must release the connection.
+// returns ErrUnavailable when none can be opened, and its subtype ErrLimitReached when
+// the limit is reached; nothing was sent then. The caller must release the connection.
 func (p *Pool) Get(ctx context.Context, address string, w Want) (*Conn, error) {
 	c, err := p.take(address, w)
 	if c != nil || err != nil {
--- a/internal/wasabicontract/contract.go
+++ b/internal/wasabicontract/contract.go
@@ -24,7 +24,7 @@
 // ErrBroken is the type of errors for an implementation that violates the contract.
 var ErrBroken = wasabiridge.Errors.NewType("contract_broken")
 
-// Checks maps names to checks. A check returns nil, or an error of type ErrBroken.
+// Checks maps names to checks. A check returns nil, or an error of type ErrViolated.
 type Checks map[string]func(ctx context.Context) error
 
 // Names returns the names in sorted order, so that suites list their specs in the same
--- a/internal/wasabicontract/table.go
+++ b/internal/wasabicontract/table.go
@@ -21,7 +21,7 @@
 func Table(fresh func() TableSubject) Checks { return tableContract(fresh, tableChecks) }
 
 // TableFaults returns the checks for wasabiridge.Table when operations of the platform
-// fail. The subjects must have a Script.
+// fail. The subjects must have an InjectFaults.
 func TableFaults(fresh func() TableSubject) Checks { return tableContract(fresh, tableFaultChecks) }
 
 func tableContract(fresh func() TableSubject, steps map[string]func(t tableSteps) error) Checks {
--- a/internal/wasabicore/attempt.go
+++ b/internal/wasabicore/attempt.go
@@ -67,7 +67,7 @@
 	if a == nil {
 		return
 	}
-	a.ended, a.serverEnded = true, e.ServerEnded
+	a.ended, a.serverEnded = true, e.ServerCrashed
 	if e.Result == wasabiridge.AttemptNotRun {
 		a.disposition = wasabiridge.NotRun
 	}
@@ -127,7 +127,7 @@
 	if rs.running() > 0 {
 		return
 	}
-	if e.Moved.Memory != "" && rs.delivered > 0 {
+	if e.Moved.Handle != "" && rs.delivered > 0 {
 		a.moved = true
 		c.resumeMoved(now, rs, e.Moved)
 		return
@@ -155,11 +155,11 @@
 // resumeMoved dispatches an attempt to the server to which the KV cache of the
 // previous attempt was migrated. It continues the same run, so it counts neither
 // against the retry budget nor against the attempts that the rule allows.
-func (c *Core) resumeMoved(now wasabiridge.Millis, rs *requestState, m wasabiridge.Moved) {
+func (c *Core) resumeMoved(now wasabiridge.Millis, rs *requestState, m wasabiridge.MigrationResult) {
 	if c.refuseQuarantined(now, rs) {
 		return
 	}
-	c.dispatch(now, rs, wasabiridge.Placement{Backend: m.To, Weights: rs.weights, Why: wasabiridge.WhyMoved, MemoryFrom: m.Memory}, placeResume)
+	c.dispatch(now, rs, wasabiridge.Placement{Backend: m.To, Weights: rs.weights, Why: wasabiridge.WhyMoved, CacheHandle: m.Handle}, placeResume)
 }
 
 // furtherAttempt returns the kind of the next attempt after a failure, and whether
--- a/internal/wasabicore/core_test.go
+++ b/internal/wasabicore/core_test.go
@@ -30,7 +30,7 @@
 
 func (f firstServer) Place(now wasabiridge.Millis, q wasabiridge.PlaceQuery) (wasabiridge.Placement, bool) {
 	if len(q.Excluded) > 0 && now < f.before {
-		return wasabiridge.Placement{Never: f.never}, false
+		return wasabiridge.Placement{Unplaceable: f.never}, false
 	}
 	for _, b := range q.Pool.Backends {
 		if !slices.Contains(q.Excluded, b.ID) {
@@ -191,7 +191,7 @@
 		core.Handle(2, wasabiridge.AttemptSent{Request: "r", Attempt: first.Attempt})
 		second = withoutRecords(core.Handle(3, wasabiridge.AttemptEnded{
 			Request: "r", Attempt: first.Attempt, Backend: first.Backend.ID, Result: wasabiridge.AttemptBroken,
-			Delivered: 7, Usage: wasabiridge.Usage{Weights: 4}, Moved: wasabiridge.Moved{To: wasabiridge.BackendServer{ID: "e5"}, Memory: "a/1"},
+			Delivered: 7, Usage: wasabiridge.Usage{Weights: 4}, Moved: wasabiridge.MigrationResult{To: wasabiridge.BackendServer{ID: "e5"}, Handle: "a/1"},
 		}))[0].(wasabiridge.Dispatch)
 		return first, second
 	}
@@ -199,7 +199,7 @@
 	It("is resumed at the server that has the KV cache, with the same weights", func() {
 		_, second := moved(newCore())
 		Expect(second.Backend.ID).To(BeEquivalentTo("e5"))
-		Expect(second.MemoryFrom).To(Equal("a/1"))
+		Expect(second.CacheHandle).To(Equal("a/1"))
 		Expect(second.ResumeFrom).To(Equal(7))
 		Expect(second.Weights).To(Equal(wasabiridge.WeightsVersion(4)))
 	})
@@ -209,7 +209,7 @@
 		_, second := moved(core)
 		third := withoutRecords(core.Handle(4, wasabiridge.AttemptEnded{Request: "r", Attempt: second.Attempt, Backend: "e5", Result: wasabiridge.AttemptNotRun}))[0].(wasabiridge.Dispatch)
 		Expect(third.Backend.ID).NotTo(BeEquivalentTo("e5"))
-		Expect(third.MemoryFrom).To(BeEmpty())
+		Expect(third.CacheHandle).To(BeEmpty())
 		Expect(third.ResumeFrom).To(Equal(7))
 	})
 })
--- a/internal/wasabicore/place.go
+++ b/internal/wasabicore/place.go
@@ -68,7 +68,7 @@
 			continue
 		}
 		p, found, full := c.choose(now, rs, pool)
-		never = never || p.Never
+		never = never || p.Unplaceable
 		if found {
 			c.dispatch(now, rs, p, why)
 			return true
@@ -97,7 +97,7 @@
 // maxFullServers servers. It reports full if there are servers, but none with free
 // capacity.
 func (c *Core) choose(now wasabiridge.Millis, rs *requestState, pool wasabiridge.Pool) (p wasabiridge.Placement, found, full bool) {
-	q := wasabiridge.PlaceQuery{Request: rs.request, Pool: pool, Excluded: rs.excluded, Isolate: c.isolation(now, rs)}
+	q := wasabiridge.PlaceQuery{Request: rs.request, Pool: pool, Excluded: rs.excluded, IsolationKey: c.isolation(now, rs)}
 	if rs.delivered > 0 {
 		q.Weights = rs.weights
 	}
@@ -115,9 +115,9 @@
 }
 
 func (c *Core) dispatch(now wasabiridge.Millis, rs *requestState, p wasabiridge.Placement, why placeReason) {
-	if p.Join > now && !rs.joined && why == placeFirst {
+	if p.WaitUntil > now && !rs.joined && why == placeFirst {
 		rs.joined = true
-		c.timers.add(p.Join, timer{kind: timerJoin, request: rs.request.ID})
+		c.timers.add(p.WaitUntil, timer{kind: timerJoin, request: rs.request.ID})
 		return
 	}
 	c.lastID++
@@ -140,9 +140,9 @@
 		HeldTokens:    p.HeldTokens,
 		ResumeFrom:    rs.delivered,
 		Hedge:         why == placeHedge,
-		FetchFrom:     p.FetchFrom,
-		SaveTo:        p.SaveTo,
-		MemoryFrom:    p.MemoryFrom,
+		ImportFrom:    p.ImportFrom,
+		ExportTo:      p.ExportTo,
+		CacheHandle:   p.CacheHandle,
 		FirstByte:     p.FirstByte,
 		ExpectedWait:  p.ExpectedWait,
 		Why:           p.Why,
--- a/internal/wasabicore/quarantine.go
+++ b/internal/wasabicore/quarantine.go
@@ -11,11 +11,11 @@
 // server after the other, by this instance or, after its caller repeats it, by another
 // instance, until all servers of the pool have terminated and the streams of all callers
 // are cut.
-func (c *Core) standing(now wasabiridge.Millis, rs *requestState) wasabiridge.Standing {
+func (c *Core) standing(now wasabiridge.Millis, rs *requestState) wasabiridge.QuarantineVerdict {
 	if c.options.Quarantine == nil {
-		return wasabiridge.StandingFree
+		return wasabiridge.QuarantineFree
 	}
-	return c.options.Quarantine.Judge(now, rs.request)
+	return c.options.Quarantine.Check(now, rs.request)
 }
 
 // deferredRetryAfter is the Retry-After time of a suspect request that is already being
@@ -29,9 +29,9 @@
 // as well.
 func (c *Core) refuseQuarantined(now wasabiridge.Millis, rs *requestState) bool {
 	switch c.standing(now, rs) {
-	case wasabiridge.StandingBarred:
+	case wasabiridge.QuarantineBlocked:
 		c.refuse(now, rs, wasabiridge.RefusedQuarantined, 0)
-	case wasabiridge.StandingDeferred:
+	case wasabiridge.QuarantineDeferred:
 		c.refuse(now, rs, wasabiridge.RefusedSuspect, deferredRetryAfter)
 	default:
 		return false
@@ -42,7 +42,7 @@
 // isolation returns the fingerprint of a suspect request, for which the placer selects
 // the server that all instances use for this fingerprint. It returns zero for others.
 func (c *Core) isolation(now wasabiridge.Millis, rs *requestState) wasabiridge.Fingerprint {
-	if c.standing(now, rs) != wasabiridge.StandingSuspect {
+	if c.standing(now, rs) != wasabiridge.QuarantineSuspect {
 		return 0
 	}
 	return rs.request.Fingerprint
--- a/internal/wasabicore/quarantine_test.go
+++ b/internal/wasabicore/quarantine_test.go
@@ -12,9 +12,9 @@
 )
 
 // fixedVerdict is a quarantine that reports the same standing for every request.
-type fixedVerdict struct{ standing wasabiridge.Standing }
+type fixedVerdict struct{ standing wasabiridge.QuarantineVerdict }
 
-func (v *fixedVerdict) Judge(wasabiridge.Millis, wasabiridge.Request) wasabiridge.Standing {
+func (v *fixedVerdict) Check(wasabiridge.Millis, wasabiridge.Request) wasabiridge.QuarantineVerdict {
 	return v.standing
 }
 
@@ -43,13 +43,13 @@
 // quarantine check. A blocked request must not use up the queue and the retry budget
 // of other requests either.
 var _ = Describe("A request under quarantine", func() {
-	const free, suspect, blocked = wasabiridge.StandingFree, wasabiridge.StandingSuspect, wasabiridge.StandingBarred
-	moved := wasabiridge.Moved{To: wasabiridge.BackendServer{ID: "e5"}, Memory: "a/1"}
+	const free, suspect, blocked = wasabiridge.QuarantineFree, wasabiridge.QuarantineSuspect, wasabiridge.QuarantineBlocked
+	moved := wasabiridge.MigrationResult{To: wasabiridge.BackendServer{ID: "e5"}, Handle: "a/1"}
 	cases := map[string]struct {
 		action       wasabiridge.Action
-		first, later wasabiridge.Standing
+		first, later wasabiridge.QuarantineVerdict
 		delivered    int
-		moved        wasabiridge.Moved
+		moved        wasabiridge.MigrationResult
 		hedge        bool
 		attempts     int
 		want         wasabiridge.Disposition
@@ -88,10 +88,10 @@
 					Expect(withoutRecords(core.Handle(now+900, wasabiridge.Ticked{}))).To(BeEmpty())
 				}
 				effects = withoutRecords(core.Handle(now+950, wasabiridge.AttemptEnded{
-					Request: "r", Attempt: d.Attempt, Backend: d.Backend.ID, Result: wasabiridge.AttemptBroken, ServerEnded: true,
+					Request: "r", Attempt: d.Attempt, Backend: d.Backend.ID, Result: wasabiridge.AttemptBroken, ServerCrashed: true,
 					Delivered: c.delivered, Moved: c.moved,
 				}))
-				c.moved = wasabiridge.Moved{}
+				c.moved = wasabiridge.MigrationResult{}
 			}
 			Expect(attempts).To(Equal(c.attempts))
 			refused := effects[0].(wasabiridge.Refuse)
--- a/internal/wasabicore/quota.go
+++ b/internal/wasabicore/quota.go
@@ -10,7 +10,7 @@
 	if c.options.Quota == nil {
 		return false
 	}
-	v := c.options.Quota.Judge(now, rs.request)
+	v := c.options.Quota.Check(now, rs.request)
 	rs.quota = v.State
 	if v.Allowed {
 		return false
--- a/internal/wasabicore/quota_test.go
+++ b/internal/wasabicore/quota_test.go
@@ -14,7 +14,7 @@
 // countingQuota admits a fixed number of requests, and counts checks and charges.
 type countingQuota struct{ left, judged, charged int }
 
-func (a *countingQuota) Judge(wasabiridge.Millis, wasabiridge.Request) wasabiridge.QuotaVerdict {
+func (a *countingQuota) Check(wasabiridge.Millis, wasabiridge.Request) wasabiridge.QuotaVerdict {
 	a.judged++
 	a.left--
 	return wasabiridge.QuotaVerdict{Allowed: a.left >= 0, RetryAfter: 700}
@@ -28,12 +28,12 @@
 // Guards against attempts that run without being charged to their client account, and
 // against requests that are refused for the rate limit after they were admitted.
 var _ = Describe("The rate limit of a client account", func() {
-	moved := wasabiridge.Moved{To: wasabiridge.BackendServer{ID: "e5"}, Memory: "a/1"}
+	moved := wasabiridge.MigrationResult{To: wasabiridge.BackendServer{ID: "e5"}, Handle: "a/1"}
 	cases := map[string]struct {
 		action    wasabiridge.Action
 		result    wasabiridge.AttemptResult
 		delivered int
-		moved     wasabiridge.Moved
+		moved     wasabiridge.MigrationResult
 		hedge     bool
 		charged   int
 	}{
--- a/internal/wasabicore/request.go
+++ b/internal/wasabicore/request.go
@@ -86,7 +86,7 @@
 	return n
 }
 
-// serverEndsExhausted reports whether maxServerEnds servers have terminated while
+// serverEndsExhausted reports whether maxServerCrashes servers have terminated while
 // running the request. The caller then has to send it again.
 //
 // Without this limit a request that crashes servers would be sent to the next server
--- a/internal/wasabicost/cost.go
+++ b/internal/wasabicost/cost.go
@@ -19,8 +19,8 @@
 // # Usage
 //
 //	costs := wasabicost.New()
-//	expected := costs.FirstToken(wasabicost.Work{Tokens: 4000, Behind: 13000})
-//	costs.Observe(wasabicost.Work{Tokens: 4000, Behind: 13000}, 61)
+//	expected := costs.FirstToken(wasabicost.Work{Tokens: 4000, Preceding: 13000})
+//	costs.Observe(wasabicost.Work{Tokens: 4000, Preceding: 13000}, 61)
 //
 // An Estimator is deterministic and not safe for concurrent use.
 package wasabicost
@@ -29,7 +29,7 @@
 
 // Work is what an engine computes for one prompt. Negative counts are treated as zero.
 type Work struct {
-	// Tokens is the number of tokens to compute. Behind is the number of tokens before
+	// Tokens is the number of tokens to compute. Preceding is the number of tokens before
 	// them that the engine holds already. Each computed token attends to these and to
 	// the computed tokens before it.
 	Tokens, Behind int
--- a/internal/wasabidaemon/components.go
+++ b/internal/wasabidaemon/components.go
@@ -137,11 +137,11 @@
 
 // sendUpdate sends a state update to the instance at a peer address. It returns
 // errNotReady when this instance has no peer listener and so no peers.
-func (d *Daemon) sendUpdate(ctx context.Context, address string, n wasabiridge.News) error {
+func (d *Daemon) sendUpdate(ctx context.Context, address string, n wasabiridge.StateUpdate) error {
 	if d.components.peers.client == nil {
 		return errNotReady
 	}
-	return d.components.peers.client.TellNews(ctx, address, n)
+	return d.components.peers.client.SendUpdate(ctx, address, n)
 }
 
 func (d *Daemon) newLoop() *wasabiloop.Loop {
--- a/internal/wasabidaemon/peers.go
+++ b/internal/wasabidaemon/peers.go
@@ -273,15 +273,15 @@
 	return h.daemon.components.claims.HandleFinishClaim(ctx, r)
 }
 
-// HandleAskCatalog implements wasabiridge.CatalogHandler. It always returns
+// HandleQueryCatalog implements wasabiridge.CatalogHandler. It always returns
 // errNotReady: a daemon has no catalog of its own, because the statements of
 // operators and of the platform are distributed with the configuration.
-func (h peerHandler) HandleAskCatalog(context.Context, wasabiridge.CatalogQuery) (wasabiridge.CatalogAnswer, error) {
-	return wasabiridge.CatalogAnswer{}, errNotReady
+func (h peerHandler) HandleQueryCatalog(context.Context, wasabiridge.CatalogQuery) (wasabiridge.CatalogResponse, error) {
+	return wasabiridge.CatalogResponse{}, errNotReady
 }
 
-// HandleTellNews implements wasabiridge.CatalogHandler.
-func (h peerHandler) HandleTellNews(_ context.Context, n wasabiridge.News) error {
+// HandleSendUpdate implements wasabiridge.CatalogHandler.
+func (h peerHandler) HandleSendUpdate(_ context.Context, n wasabiridge.StateUpdate) error {
 	if !h.ready() {
 		return errNotReady
 	}
--- a/internal/wasabiengine/engine.go
+++ b/internal/wasabiengine/engine.go
@@ -153,7 +153,7 @@
 	return weights
 }
 
-// Load returns a current load report, without LoadLag.
+// Load returns a current load report, without MaxLoadAge.
 func (e *Engine) Load() wasabiridge.LoadReport { return e.runner.load() }
 
 // Ends returns how many crashes requests with the text CrashOn have caused.
@@ -183,9 +183,9 @@
 	e.runner.eventsToDrop += count
 }
 
-// loadReport returns a load report that is at most LoadLag old.
+// loadReport returns a load report that is at most MaxLoadAge old.
 func (e *Engine) loadReport() wasabiridge.LoadReport {
-	if r := e.report.Load(); r != nil && e.opts.Clock.Now()-r.Taken < e.opts.LoadLag {
+	if r := e.report.Load(); r != nil && e.opts.Clock.Now()-r.MeasuredAt < e.opts.LoadLag {
 		return *r
 	}
 	r := e.runner.load()
@@ -197,7 +197,7 @@
 	r := e.loadReport()
 	writeJSON(w, http.StatusOK, loadBody{
 		Incarnation:   uint64(r.Incarnation),
-		AgeMillis:     int64(e.opts.Clock.Now() - r.Taken),
+		AgeMillis:     int64(e.opts.Clock.Now() - r.MeasuredAt),
 		Running:       r.Running,
 		Waiting:       r.Waiting,
 		WaitingTokens: r.WaitingTokens,
--- a/internal/wasabifake/engine.go
+++ b/internal/wasabifake/engine.go
@@ -134,7 +134,7 @@
 func (e *Engine) Spec() Spec { return e.spec }
 
 // Incarnation returns the current incarnation of the engine, starting at 1. Each
-// Return increments it.
+// Restart increments it.
 func (e *Engine) Incarnation() wasabiridge.Incarnation { return e.incarnation }
 
 // Down reports whether the engine has crashed and was not restarted.
--- a/internal/wasabifake/state.go
+++ b/internal/wasabifake/state.go
@@ -13,7 +13,7 @@
 }
 
 // Crash ends the current incarnation: the cache, unread events and all jobs are
-// lost. It returns the jobs. The engine stays down until Return.
+// lost. It returns the jobs. The engine stays down until Restart.
 func (e *Engine) Crash(now wasabiridge.Millis) []Lost {
 	e.advanceTo(now)
 	var lost []Lost
@@ -59,7 +59,7 @@
 	report := wasabiridge.LoadReport{
 		Backend:     e.spec.ID,
 		Incarnation: e.incarnation,
-		Taken:       now,
+		MeasuredAt:  now,
 		Running:     len(e.decoding),
 		Waiting:     len(e.queue),
 		Weights:     e.spec.Weights,
--- a/internal/wasabifault/fault.go
+++ b/internal/wasabifault/fault.go
@@ -15,7 +15,7 @@
 //
 // A test of one failure sets the outcomes of the next calls instead:
 //
-//	injector.Script(wasabifault.Write, wasabifault.Fate{Kind: wasabifault.LostAnswer})
+//	injector.SetNextOutcomes(wasabifault.Write, wasabifault.Outcome{Kind: wasabifault.LostAnswer})
 package wasabifault
 
 import (
@@ -91,7 +91,7 @@
 	Race        float64 `json:"race,omitempty"`
 	// Lateness is the maximum delay of the effect of a write of kind
 	// LateEffect. The delay is uniformly distributed; in a window it is always
-	// Lateness.
+	// MaxEffectDelay.
 	Lateness wasabiridge.Millis `json:"lateness_ms,omitempty"`
 	// DelayMin and DelayMax are the bounds of the uniformly distributed delay
 	// of each call. Half of it is applied before the effect and half after it.
--- a/internal/wasabifault/injector.go
+++ b/internal/wasabifault/injector.go
@@ -34,7 +34,7 @@
 }
 
 // SetPlan replaces the plan and refills the rate limits. Outcomes that were set
-// with Script and the call counts of keys are kept.
+// with SetNextOutcomes and the call counts of keys are kept.
 func (i *Injector) SetPlan(plan Plan) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -43,7 +43,7 @@
 }
 
 // Script sets the outcomes of the next calls of an operation, after those of
-// earlier calls of Script. They take precedence over the plan.
+// earlier calls of SetNextOutcomes. They take precedence over the plan.
 func (i *Injector) Script(op Op, outcomes ...Fate) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/wasabifingerprint/fingerprint.go
+++ b/internal/wasabifingerprint/fingerprint.go
@@ -9,7 +9,7 @@
 // # Usage
 //
 //	namer := wasabifingerprint.New(key)
-//	f := namer.Name(wasabifingerprint.Content{Account: "shop", Method: "POST", Path: "/v1/x", Body: body})
+//	f := namer.Fingerprint(wasabifingerprint.Content{Account: "shop", Method: "POST", Path: "/v1/x", Body: body})
 package wasabifingerprint
 
 import (
@@ -40,7 +40,7 @@
 	key []byte
 }
 
-// New returns a Namer. All instances must use the same key to get the same fingerprints.
+// New returns a Hasher. All instances must use the same key to get the same fingerprints.
 // The key must not be changed afterwards.
 func New(key []byte) Namer { return Namer{key: key} }
 
--- a/internal/wasabigateway/exchange.go
+++ b/internal/wasabigateway/exchange.go
@@ -155,7 +155,7 @@
 	}
 	end := x.gateway.options.Runner.Run(ctx, a, s)
 	if end.Result == wasabiridge.AttemptNotRun {
-		gate.SendNotRun(a.Request)
+		gate.RecordNotRun(a.Request)
 	}
 	return end
 }
--- a/internal/wasabigateway/settle.go
+++ b/internal/wasabigateway/settle.go
@@ -36,7 +36,7 @@
 		Disposition:  x.execution.disposition(),
 	}
 	if x.relay != nil {
-		o.Cut = x.relay.truncated
+		o.Truncated = x.relay.truncated
 		o.Refused = x.relay.refused
 	}
 	if x.firstToken > 0 {
--- a/internal/wasabikept/watch.go
+++ b/internal/wasabikept/watch.go
@@ -15,9 +15,9 @@
 //
 // # Usage
 //
-//	watch := wasabikept.New(wasabikept.Options{Reacher: pool, Active: node.isActive})
-//	for _, seen := range watch.Look(ctx, config.KeptCaches) {
-//		loop.Observe(seen.KeptCacheSeen)
+//	watch := wasabikept.New(wasabikept.Options{Prober: pool, IsServing: node.isActive})
+//	for _, seen := range watch.Poll(ctx, config.CacheStores) {
+//		loop.Observe(seen.CacheStoreChecked)
 //	}
 package wasabikept
 
@@ -41,7 +41,7 @@
 	Drop(address string)
 }
 
-// Options configures a Watch. Both fields are required.
+// Options configures a Monitor. Both fields are required.
 type Options struct {
 	Reacher Reacher
 	// Active reports whether this instance serves callers.
@@ -54,7 +54,7 @@
 	reachable map[string]bool
 }
 
-// New returns a Watch that has not polled any store.
+// New returns a Monitor that has not polled any store.
 func New(o Options) *Watch {
 	return &Watch{options: o, reachable: map[string]bool{}}
 }
@@ -62,13 +62,13 @@
 // Seen is the state of a store. Changed reports that it differs from the last poll, or
 // that this is the first poll of the store.
 type Seen struct {
-	wasabiridge.KeptCacheSeen
+	wasabiridge.CacheStoreChecked
 	Changed bool
 }
 
 // Look returns the state of all stores, in their order. Every poll includes the
 // unchanged ones, so that a lost event has no lasting effect.
-func (w *Watch) Look(ctx context.Context, stores []wasabiridge.KeptCache) []Seen {
+func (w *Watch) Look(ctx context.Context, stores []wasabiridge.CacheStore) []Seen {
 	active := w.options.Active()
 	listed := make(map[string]bool, len(stores))
 	seen := make([]Seen, 0, len(stores))
@@ -80,7 +80,7 @@
 		}
 		previous, known := w.reachable[s.Address]
 		w.reachable[s.Address] = reachable
-		seen = append(seen, Seen{KeptCacheSeen: wasabiridge.KeptCacheSeen{Address: s.Address, Up: reachable}, Changed: !known || previous != reachable})
+		seen = append(seen, Seen{CacheStoreChecked: wasabiridge.CacheStoreChecked{Address: s.Address, Up: reachable}, Changed: !known || previous != reachable})
 	}
 	for address := range w.reachable {
 		if !listed[address] {
--- a/internal/wasabikept/watch_test.go
+++ b/internal/wasabikept/watch_test.go
@@ -28,7 +28,7 @@
 	return &network{idlePolls: idlePolls, down: map[string]bool{}, age: map[string]int{}}
 }
 
-// Reach implements wasabikept.Reacher.
+// Reach implements wasabikept.Prober.
 func (n *network) Reach(_ context.Context, address string) bool {
 	if n.down[address] {
 		n.Drop(address)
@@ -45,7 +45,7 @@
 	return true
 }
 
-// Drop implements wasabikept.Reacher.
+// Drop implements wasabikept.Prober.
 func (n *network) Drop(address string) {
 	if _, kept := n.age[address]; kept {
 		delete(n.age, address)
@@ -53,20 +53,20 @@
 	}
 }
 
-func stores(addresses ...string) []wasabiridge.KeptCache {
-	var out []wasabiridge.KeptCache
+func stores(addresses ...string) []wasabiridge.CacheStore {
+	var out []wasabiridge.CacheStore
 	for _, a := range addresses {
-		out = append(out, wasabiridge.KeptCache{Address: a})
+		out = append(out, wasabiridge.CacheStore{Address: a})
 	}
 	return out
 }
 
 func up(address string, changed bool) wasabikept.Seen {
-	return wasabikept.Seen{KeptCacheSeen: wasabiridge.KeptCacheSeen{Address: address, Up: true}, Changed: changed}
+	return wasabikept.Seen{CacheStoreChecked: wasabiridge.CacheStoreChecked{Address: address, Up: true}, Changed: changed}
 }
 
 func down(address string, changed bool) wasabikept.Seen {
-	return wasabikept.Seen{KeptCacheSeen: wasabiridge.KeptCacheSeen{Address: address}, Changed: changed}
+	return wasabikept.Seen{CacheStoreChecked: wasabiridge.CacheStoreChecked{Address: address}, Changed: changed}
 }
 
 var _ = Describe("Connections to the KV cache stores", func() {
--- a/internal/wasabilife/life.go
+++ b/internal/wasabilife/life.go
@@ -11,11 +11,11 @@
 //
 // # Usage
 //
-//	var life wasabilife.Life
-//	switch life.Take(now, entry.Incarnation) {
-//	case wasabilife.New:
+//	var life wasabilife.Tracker
+//	switch life.Observe(now, entry.Incarnation) {
+//	case wasabilife.Restarted:
 //		forget()
-//	case wasabilife.Over:
+//	case wasabilife.Ended:
 //		return
 //	}
 package wasabilife
@@ -30,7 +30,7 @@
 // Verdict classifies a report by the incarnation that it refers to.
 type Verdict uint8
 
-// Verdicts of Life.Take.
+// Verdicts of Tracker.Observe.
 const (
 	// Same means the known incarnation, or a report that names none.
 	Same Verdict = iota
--- a/internal/wasabilimit/bench_test.go
+++ b/internal/wasabilimit/bench_test.go
@@ -48,7 +48,7 @@
 					l.Sent(now, r, wasabiridge.AttemptID(i), s.ID)
 					l.Observe(now, wasabiridge.AttemptEnded{Request: r.ID, Attempt: wasabiridge.AttemptID(i), Backend: s.ID})
 				}
-				l.Observe(now, wasabiridge.LoadReported{Report: wasabiridge.LoadReport{Backend: s.ID, Incarnation: 1, Taken: now, Running: 3}})
+				l.Observe(now, wasabiridge.LoadReported{Report: wasabiridge.LoadReport{Backend: s.ID, Incarnation: 1, MeasuredAt: now, Running: 3}})
 				if i%5 == 0 {
 					l.Observe(now, wasabiridge.Ticked{})
 				}
--- a/internal/wasabilimit/limit.go
+++ b/internal/wasabilimit/limit.go
@@ -62,9 +62,9 @@
 	// WaitShare is the maximum expected wait of a request, as a share of the
 	// time until its deadline.
 	WaitShare float64
-	// Quiet and Reserve are the conditions under which an account may exceed
-	// its share: fewer than Quiet requests wait inside a server on average, and
-	// at least the share Reserve of the sum of all limits is free.
+	// Quiet and ExcessMinFree are the conditions under which an account may exceed
+	// its share: fewer than ExcessMaxWaiting requests wait inside a server on average,
+	// and at least the share ExcessMinFree of the sum of all limits is free.
 	Quiet   float64
 	Reserve float64
 	// RetryShare is the number of retries that each first attempt adds to the
--- a/internal/wasabilimit/limit_test.go
+++ b/internal/wasabilimit/limit_test.go
@@ -96,7 +96,7 @@
 
 func (b *harness) report(running, waiting int) {
 	b.limiter.Observe(b.now, wasabiridge.LoadReported{Report: wasabiridge.LoadReport{
-		Backend: "b", Incarnation: 1, Taken: b.now, Running: running, Waiting: waiting,
+		Backend: "b", Incarnation: 1, MeasuredAt: b.now, Running: running, Waiting: waiting,
 	}})
 }
 
@@ -222,7 +222,7 @@
 			b.report(0, 0)
 			Expect(b.limiter.Limit("b")).To(BeNumerically(">=", 32), "a late report of the previous incarnation")
 			b.limiter.Observe(b.now, wasabiridge.LoadReported{Report: wasabiridge.LoadReport{
-				Backend: "b", Incarnation: 2, Taken: b.now,
+				Backend: "b", Incarnation: 2, MeasuredAt: b.now,
 			}})
 			Expect(b.limiter.Limit("b")).To(Equal(8))
 		})
@@ -375,9 +375,9 @@
 	backend := wasabiridge.BackendServer{ID: "e1", Kind: wasabiridge.BackendEngine}
 	pool := wasabiridge.Pool{ID: "answer", Backends: []wasabiridge.BackendServer{backend}}
 	limiter.Observe(0, wasabiridge.ConfigAdopted{Config: wasabiridge.Config{Version: 1, Pools: []wasabiridge.Pool{pool}}})
-	report := wasabiridge.LoadReport{Backend: "e1", Incarnation: 1, Taken: 10, Running: 100}
+	report := wasabiridge.LoadReport{Backend: "e1", Incarnation: 1, MeasuredAt: 10, Running: 100}
 	limiter.Observe(20, wasabiridge.LoadReported{Report: report})
-	report.Taken, report.Running = 1010, 80
+	report.MeasuredAt, report.Running = 1010, 80
 	limiter.Observe(1020, wasabiridge.LoadReported{Report: report})
 	for i := range 3 {
 		r := wasabiridge.Request{ID: wasabiridge.RequestID(rune('a' + i)), Action: wasabiridge.Action{Pool: "answer", QueueLimit: 10}, Deadline: 30_000}
--- a/internal/wasabilimit/server.go
+++ b/internal/wasabilimit/server.go
@@ -140,13 +140,13 @@
 // report applies a load report. Reports of an earlier incarnation, or of one
 // that was lost, are ignored, and so are reports out of order.
 func (s *server) report(r wasabiridge.LoadReport) {
-	if r.Incarnation < s.incarnation || (s.lost && r.Incarnation == s.incarnation) || r.Taken < s.taken {
+	if r.Incarnation < s.incarnation || (s.lost && r.Incarnation == s.incarnation) || r.MeasuredAt < s.taken {
 		return
 	}
 	if r.Incarnation > s.incarnation {
 		s.limit = s.initial()
 	}
-	s.incarnation, s.lost, s.reported, s.taken = r.Incarnation, false, true, r.Taken
+	s.incarnation, s.lost, s.reported, s.taken = r.Incarnation, false, true, r.MeasuredAt
 	s.leaving = s.leaving || r.Leaving
 	s.reportedLoad, s.waiting = r.Running+r.Waiting, r.Waiting
 	s.dropReportedChanges()
--- a/internal/wasabiloop/loop.go
+++ b/internal/wasabiloop/loop.go
@@ -10,7 +10,7 @@
 //	if err := loop.Submit(request, box); err != nil {
 //		return err // The request has not run.
 //	}
-//	defer loop.Forget(request.ID)
+//	defer loop.CloseMailbox(request.ID)
 //	for effect := range box.Effects() {
 //		...
 //	}
@@ -50,7 +50,7 @@
 	Clock   wasabiridge.Clock
 	// Recorder receives the timeline events. Nil drops them.
 	Recorder wasabiridge.Recorder
-	// Ring is the capacity of the ring, in events. Zero or less means DefaultRing.
+	// Ring is the capacity of the ring, in events. Zero or less means DefaultRingSize.
 	Ring int
 }
 
@@ -149,7 +149,7 @@
 	}
 }
 
-// Dropped returns the number of events that Observe dropped.
+// Dropped returns the number of events that TryPost dropped.
 func (l *Loop) Dropped() uint64 {
 	return l.dropped.Load()
 }
--- a/internal/wasabimeasure/report.go
+++ b/internal/wasabimeasure/report.go
@@ -29,7 +29,7 @@
 	// first maxViolations of them.
 	Breaches   int      `json:"breaches"`
 	Violations []string `json:"violations"`
-	// Cost50 and Cost99 are the median and the 99th percentile of the wall time
+	// Cost50 and DecisionP99 are the median and the 99th percentile of the wall time
 	// of placing an arrived request. They depend on the machine and are left out
 	// of the JSON, which must be the same for the same options.
 	Cost50 time.Duration `json:"-"`
--- a/internal/wasabimember/doc.go
+++ b/internal/wasabimember/doc.go
@@ -29,10 +29,10 @@
 //
 // # Usage
 //
-//	keeper := wasabimember.NewKeeper(wasabimember.KeeperOptions{
+//	keeper := wasabimember.NewController(wasabimember.ControllerOptions{
 //		Self: entry, Incarnation: incarnation, Seed: seed,
 //		Clock: clock, List: platform, Peers: client,
-//		OnHeard: configKeeper.Heard,
+//		OnReceive: configKeeper.MemberReceived,
 //	})
 //	go keeper.Run(ctx)
 //	reply, err := keeper.HandleExchange(ctx, heartbeat)
--- a/internal/wasabimember/driver_test.go
+++ b/internal/wasabimember/driver_test.go
@@ -34,7 +34,7 @@
 	order int
 	to    int
 	event wasabimember.Event
-	// from is the instance that gets the response to an Asked event. It is -1
+	// from is the instance that gets the response to a HeartbeatReceived event. It is -1
 	// for other events.
 	from int
 }
--- a/internal/wasabimember/heartbeat.go
+++ b/internal/wasabimember/heartbeat.go
@@ -36,7 +36,7 @@
 	if e == nil || e.state != alive || e.member.Incarnation != h.From.Incarnation {
 		return
 	}
-	e.member.Heard = now
+	e.member.LastReceived = now
 	m.table.suspect(e, false)
 	e.member.Config = max(e.member.Config, h.From.Config)
 	e.digest = h.Digest
@@ -58,7 +58,7 @@
 		m.applyDeath(now, other)
 	case other.Suspect:
 		m.indirectProbe(now, from, other)
-	case other.Vouched && e != nil && e.member.Incarnation == other.Incarnation:
+	case other.ConfirmedAlive && e != nil && e.member.Incarnation == other.Incarnation:
 		m.confirmedByOther(now, e)
 	default:
 		m.applyAlive(now, other)
@@ -215,7 +215,7 @@
 // from the platform's list or from the first report.
 func (m *Machine) describe(now wasabiridge.Millis, e *entry) wasabiridge.Member {
 	out := e.member
-	out.Config, out.Heard, out.Suspect = 0, 0, false
+	out.Config, out.LastReceived, out.Suspect = 0, 0, false
 	out.Dead = e.state == dead
 	out.Age = now - e.since
 	if out.Dead || now-e.joined > joinPeriod {
--- a/internal/wasabimember/keeper.go
+++ b/internal/wasabimember/keeper.go
@@ -33,7 +33,7 @@
 	refreshInterval = wasabiridge.Second
 )
 
-// KeeperOptions configures a Keeper.
+// KeeperOptions configures a Controller.
 type KeeperOptions struct {
 	Self        wasabiridge.InstanceEntry
 	Incarnation wasabiridge.Incarnation
--- a/internal/wasabimember/probe.go
+++ b/internal/wasabimember/probe.go
@@ -205,7 +205,7 @@
 			continue
 		}
 		confirmation := withoutAddresses(m.describe(now, e))
-		confirmation.Vouched = true
+		confirmation.ConfirmedAlive = true
 		m.send(now, requester, confirmation)
 	}
 	e.probeRequesters = nil
--- a/internal/wasabimetrics/definition.go
+++ b/internal/wasabimetrics/definition.go
@@ -76,7 +76,7 @@
 	{wasabiridge.EventConfigAdopted, "Configurations that came into force here."},
 	{wasabiridge.EventBackendLost, "Backend servers that stopped answering."},
 	{wasabiridge.EventBackendLeaving, "Backend servers that began to leave."},
-	{wasabiridge.EventBackendReborn, "Backend servers that came back with an empty cache."},
+	{wasabiridge.EventBackendRestarted, "Backend servers that came back with an empty cache."},
 	{wasabiridge.EventMemberChanged, "Changes of what is known of other instances."},
 	{wasabiridge.EventLease, "Leases that were taken, renewed or lost."},
 	{wasabiridge.EventOrder, "Orders to backend servers."},
--- a/internal/wasabimetrics/metrics.go
+++ b/internal/wasabimetrics/metrics.go
@@ -9,7 +9,7 @@
 //	set := wasabimetrics.New()
 //	set.Counter(wasabimetrics.RequestsArrived).Inc(1)
 //	set.Histogram(wasabimetrics.FirstToken).Update(212)
-//	set.GaugeFunc(wasabimetrics.RequestsOpen, func() int64 { return open.Load() })
+//	set.RegisterGauge(wasabimetrics.RequestsOpen, func() int64 { return open.Load() })
 //	err := set.WriteMetrics(w)
 package wasabimetrics
 
@@ -65,7 +65,7 @@
 		sample := metrics.NewExpDecaySample(reservoirSize, reservoirAlpha)
 		s.samples[d.Name] = metrics.NewRegisteredHistogram(name, s.registry, sample)
 	case KindGauge:
-		// GaugeFunc registers a gauge. A gauge that no component of the
+		// RegisterGauge registers a gauge. A gauge that no component of the
 		// instance registers is left out of the output, because a zero would
 		// be taken for a measured value.
 	}
@@ -114,7 +114,7 @@
 // Gauges maps gauges to the functions that return their current values.
 type Gauges map[Name]func() int64
 
-// Set registers gauges with GaugeFunc, in the order of Definitions, and returns
+// Set registers gauges with RegisterGauge, in the order of Definitions, and returns
 // the first error. Names without a definition are ignored.
 func (s *Set) Set(gauges Gauges) error {
 	for _, d := range Definitions() {
--- a/internal/wasabinode/background.go
+++ b/internal/wasabinode/background.go
@@ -90,11 +90,11 @@
 	ticker := time.NewTicker(wasabikept.Interval)
 	defer ticker.Stop()
 	for {
-		for _, polled := range watch.Look(ctx, n.activeConfig.Load().config.KeptCaches) {
+		for _, polled := range watch.Look(ctx, n.activeConfig.Load().config.CacheStores) {
 			if polled.Changed {
 				n.log.Info().Str("address", polled.Address).Bool("up", polled.Up).Msg("Reachability of KV cache store changed.")
 			}
-			n.loop.Observe(polled.KeptCacheSeen)
+			n.loop.Observe(polled.CacheStoreChecked)
 		}
 		if !settled {
 			// With the first configuration all stores count as reachable. Otherwise an
--- a/internal/wasabinode/config.go
+++ b/internal/wasabinode/config.go
@@ -32,7 +32,7 @@
 	n.activeConfig.Store(&activeConfig{config: &cfg, sharing: sharingScope(cfg.Accounts)})
 	n.loop.Post(wasabiridge.ConfigAdopted{Config: cfg})
 	for _, target := range v.Namings {
-		n.loop.Post(wasabiridge.WeightsNamed{Model: target.Model, Weights: target.Weights, At: n.targetSetAt(target)})
+		n.loop.Post(wasabiridge.TargetWeightsSet{Model: target.Model, Weights: target.Weights, At: n.targetSetAt(target)})
 	}
 	for _, e := range v.Backends.Entries {
 		for _, model := range sortedModels(e.Weights) {
@@ -168,7 +168,7 @@
 // decision loop is full the event is dropped, and the next response brings newer
 // values.
 func (n *Node) Observe(e wasabiridge.Event) {
-	if limit, ok := e.(wasabiridge.LimitNamed); ok {
+	if limit, ok := e.(wasabiridge.LimitAnnounced); ok {
 		n.limits.record(limit, n.options.Clock.Now())
 	}
 	n.loop.Observe(e)
--- a/internal/wasabinode/limit.go
+++ b/internal/wasabinode/limit.go
@@ -22,7 +22,7 @@
 
 // serverLimit is the limit that a backend server last reported to this instance.
 type serverLimit struct {
-	wasabiridge.LimitNamed
+	wasabiridge.LimitAnnounced
 	// since is when the server began to be limited or ceased to be, loggedAt when a
 	// line on it was last logged, and receivedAt when it was last received.
 	since, loggedAt, receivedAt wasabiridge.Millis
@@ -39,17 +39,17 @@
 
 // record takes the limit that a response reported. One that belongs to an older request
 // than the limit on record is ignored.
-func (l *serverLimits) record(e wasabiridge.LimitNamed, now wasabiridge.Millis) {
+func (l *serverLimits) record(e wasabiridge.LimitAnnounced, now wasabiridge.Millis) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	before, known := l.byServer[e.Backend]
 	if !known && (!e.Limited && e.Fault == "" || len(l.byServer) >= maxLimits) {
 		return
 	}
-	if known && e.Asked < before.Asked {
+	if known && e.RequestSentAt < before.RequestSentAt {
 		return
 	}
-	after := serverLimit{LimitNamed: e, since: before.since, loggedAt: before.loggedAt, receivedAt: now}
+	after := serverLimit{LimitAnnounced: e, since: before.since, loggedAt: before.loggedAt, receivedAt: now}
 	if !known || before.Limited != e.Limited {
 		after.since = now
 	}
@@ -57,7 +57,7 @@
 	if changed || before.Rate != e.Rate && now-before.loggedAt >= limitLogInterval {
 		after.loggedAt = now
 		l.log.Info().Str(wasabilog.BackendField, string(e.Backend)).Bool("limited", e.Limited).Float64("rate", e.Rate).
-			Str("error", e.Fault).Int64("asked_ms_ago", int64(now-e.Asked)).Int64("since_ms", int64(now-after.since)).
+			Str("error", e.Fault).Int64("asked_ms_ago", int64(now-e.RequestSentAt)).Int64("since_ms", int64(now-after.since)).
 			Msg("Backend server reported its limit.")
 	}
 	l.byServer[e.Backend] = after
--- a/internal/wasabinode/node.go
+++ b/internal/wasabinode/node.go
@@ -94,7 +94,7 @@
 )
 
 // Platform holds the adapters to the platform: its protocol, store and engines.
-// All fields but Mover are required.
+// All fields but Migrator are required.
 type Platform struct {
 	Protocol wasabiridge.CallerProtocol
 	Runner   wasabiridge.AttemptRunner
@@ -104,14 +104,14 @@
 	Caches   wasabiridge.CacheReader
 	// Mover migrates in-flight requests between backend servers. With nil none are
 	// migrated.
-	Mover wasabiridge.RunMover
+	Mover wasabiridge.RequestMigrator
 	// Directory returns the handler that gives callers the addresses of instances.
 	// Ready returns the handler of the platform's readiness check.
 	Directory func(nearest func(wasabiridge.AvailabilityZone) ([]string, wasabiridge.Millis)) http.Handler
 	Ready     func(ready func() bool) http.Handler
 }
 
-// Options configure a node. All fields but Log and LinesDropped are required.
+// Options configure a node. All fields but Log and DroppedLogLines are required.
 type Options struct {
 	Settings wasabisettings.Settings
 	Clock    wasabiridge.Clock
@@ -202,15 +202,15 @@
 	n.quarantine = wasabiquarantine.NewKeeper(wasabiquarantine.KeeperOptions{
 		Self: s.Instance, Incarnation: n.incarnation, Clock: o.Clock, Seed: seed, Log: wasabilog.Part(n.log, "quarantine"),
 		Members: func() []wasabiridge.Member { return n.members.Members() }, Active: n.activeEntries, Rows: o.Platform.Table,
-		Tell: func(ctx context.Context, address string, update wasabiridge.News) error {
-			return n.client.TellNews(ctx, address, update)
+		Tell: func(ctx context.Context, address string, update wasabiridge.StateUpdate) error {
+			return n.client.SendUpdate(ctx, address, update)
 		},
 	})
 	n.quota = wasabiquota.NewKeeper(wasabiquota.KeeperOptions{
 		Self: s.Instance, Incarnation: n.incarnation, Clock: o.Clock, Log: wasabilog.Part(n.log, "quota"), Rows: o.Platform.Table,
 		Members: func() []wasabiridge.Member { return n.members.Members() }, Active: n.activeEntries,
-		Tell: func(ctx context.Context, address string, update wasabiridge.News) error {
-			return n.client.TellNews(ctx, address, update)
+		Tell: func(ctx context.Context, address string, update wasabiridge.StateUpdate) error {
+			return n.client.SendUpdate(ctx, address, update)
 		},
 	})
 	core := wasabicore.New(wasabicore.Options{
--- a/internal/wasabinode/peers.go
+++ b/internal/wasabinode/peers.go
@@ -27,8 +27,8 @@
 // The failure it guards against: the holder of the lease sends an update on each
 // replica to every one of many instances. It does nothing else for seconds, and
 // the replicas wait for their orders.
-func (n *Node) sendBackoffs(backoffs []wasabiridge.RestNews) {
-	update := wasabiridge.News{From: n.options.Settings.Instance, Rests: backoffs}
+func (n *Node) sendBackoffs(backoffs []wasabiridge.BackoffUpdate) {
+	update := wasabiridge.StateUpdate{From: n.options.Settings.Instance, Backoffs: backoffs}
 	n.applyUpdate(update)
 	peers := n.active()
 	for _, p := range n.catalog.LowestRanks(leaseCandidates) {
@@ -42,25 +42,25 @@
 // applyUpdate applies a state update of an instance: it posts the events to the
 // decision loop, and passes the update to the quarantine and the quotas. When the
 // queue of the loop is full, events are dropped.
-func (n *Node) applyUpdate(update wasabiridge.News) {
+func (n *Node) applyUpdate(update wasabiridge.StateUpdate) {
 	now := n.options.Clock.Now()
-	for _, r := range update.Rests {
+	for _, r := range update.Backoffs {
 		if update.From != n.options.Settings.Instance {
 			n.upgrade.Hear(r.Backend)
 		}
-		n.loop.Observe(wasabiridge.BackendResting{Backend: r.Backend, Until: now + r.Resting})
-		if r.Resting > 0 {
+		n.loop.Observe(wasabiridge.BackendInBackoff{Backend: r.Backend, Until: now + r.Backoff})
+		if r.Backoff > 0 {
 			n.queueMigration(r.Backend)
 		}
-		n.loop.Observe(wasabiridge.BackendEasing{Backend: r.Backend, Until: now + r.Easing})
+		n.loop.Observe(wasabiridge.BackendDraining{Backend: r.Backend, Until: now + r.Drain})
 		if r.Weights > 0 {
 			n.loop.Observe(wasabiridge.WeightsReported{Backend: r.Backend, Model: r.Model, Weights: r.Weights, Incarnation: r.Incarnation})
 		}
 	}
 	n.quarantine.Hear(update)
 	n.quota.Hear(update)
-	if len(update.Loads) > 0 || len(update.Parts) > 0 {
-		n.loop.Observe(wasabiridge.PeerPlaced{From: update.From, Loads: update.Loads, Parts: update.Parts})
+	if len(update.Loads) > 0 || len(update.Segments) > 0 {
+		n.loop.Observe(wasabiridge.PeerPlaced{From: update.From, Loads: update.Loads, Segments: update.Segments})
 	}
 }
 
@@ -112,18 +112,18 @@
 	return errNotServed
 }
 
-// HandleAskCatalog implements wasabiridge.CatalogHandler.
-func (h peerHandler) HandleAskCatalog(ctx context.Context, q wasabiridge.CatalogQuery) (wasabiridge.CatalogAnswer, error) {
+// HandleQueryCatalog implements wasabiridge.CatalogHandler.
+func (h peerHandler) HandleQueryCatalog(ctx context.Context, q wasabiridge.CatalogQuery) (wasabiridge.CatalogResponse, error) {
 	if h.node.catalog == nil {
-		return wasabiridge.CatalogAnswer{}, errNotServed
+		return wasabiridge.CatalogResponse{}, errNotServed
 	}
-	return h.node.catalog.HandleAskCatalog(ctx, q)
+	return h.node.catalog.HandleQueryCatalog(ctx, q)
 }
 
-// HandleTellNews implements wasabiridge.CatalogHandler.
-func (h peerHandler) HandleTellNews(ctx context.Context, update wasabiridge.News) error {
+// HandleSendUpdate implements wasabiridge.CatalogHandler.
+func (h peerHandler) HandleSendUpdate(ctx context.Context, update wasabiridge.StateUpdate) error {
 	if h.node.catalog == nil {
 		return errNotServed
 	}
-	return h.node.catalog.HandleTellNews(ctx, update)
+	return h.node.catalog.HandleSendUpdate(ctx, update)
 }
--- a/internal/wasabinode/publish.go
+++ b/internal/wasabinode/publish.go
@@ -51,12 +51,12 @@
 		case <-ctx.Done():
 			return
 		}
-		var update wasabiridge.News
+		var update wasabiridge.StateUpdate
 		n.loop.Inspect(func() {
-			update.Loads, update.Parts = n.placer.TakeNews(n.options.Clock.Now())
+			update.Loads, update.Segments = n.placer.TakeNews(n.options.Clock.Now())
 			n.quota.Add(n.options.Clock.Now(), &update)
 		})
-		if len(update.Loads) > 0 || len(update.Parts) > 0 || len(update.Uses) > 0 {
+		if len(update.Loads) > 0 || len(update.Segments) > 0 || len(update.Usage) > 0 {
 			n.quota.Tell(ctx, update, n.activeEntries())
 		}
 	}
--- a/internal/wasabinode/restore.go
+++ b/internal/wasabinode/restore.go
@@ -95,7 +95,7 @@
 			out[wasabiaddress.HostPort(b.URL)] = b.ID
 		}
 	}
-	for _, k := range cfg.KeptCaches {
+	for _, k := range cfg.CacheStores {
 		out[k.Address] = ""
 	}
 	return out
@@ -106,18 +106,18 @@
 func (n *Node) restoreCache(ctx context.Context, id wasabiridge.BackendServerID, address string) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, restoreTimeout)
 	defer cancel()
-	held, err := n.options.Platform.Caches.ReadHeld(ctx, address)
+	held, err := n.options.Platform.Caches.ReadSegments(ctx, address)
 	if err != nil {
 		return 0, err
 	}
-	segments := make([]wasabiridge.PartNews, len(held))
+	segments := make([]wasabiridge.SegmentUpdate, len(held))
 	for i, h := range held {
-		segments[i] = wasabiridge.PartNews{Backend: id, Key: wasabiprefix.PartKey(h.Salt, h.Part), Tokens: h.Tokens, Ready: true}
+		segments[i] = wasabiridge.SegmentUpdate{Backend: id, Key: wasabiprefix.PartKey(h.Salt, h.Segment), Tokens: h.Tokens, Ready: true}
 	}
 	if id == "" {
-		n.loop.Observe(wasabiridge.KeptCacheListed{Address: address, Parts: segments})
+		n.loop.Observe(wasabiridge.CacheStoreListed{Address: address, Segments: segments})
 		return len(segments), nil
 	}
-	n.loop.Observe(wasabiridge.PeerPlaced{From: n.options.Settings.Instance, Parts: segments})
+	n.loop.Observe(wasabiridge.PeerPlaced{From: n.options.Settings.Instance, Segments: segments})
 	return len(segments), nil
 }
--- a/internal/wasabioperator/handlers.go
+++ b/internal/wasabioperator/handlers.go
@@ -250,7 +250,7 @@
 	action := chi.URLParam(r, "action")
 	switch action {
 	case "pause", "resume", "rollback":
-		return s.Rollouts.Steer(r.Context(), chi.URLParam(r, "id"), action)
+		return s.Rollouts.Apply(r.Context(), chi.URLParam(r, "id"), action)
 	default:
 		return nil, wasabiridge.ErrInvalid.New("operator: unknown rollout action %q; use pause, resume or rollback", action)
 	}
--- a/internal/wasabioperator/operator.go
+++ b/internal/wasabioperator/operator.go
@@ -3,7 +3,7 @@
 //
 // Requests and responses are JSON. Every request carries an operator's key as
 // "Authorization: Bearer KEY". The instance holds only SHA-256 hashes of keys, and
-// compares them in constant time. An error response has a body of type ErrorAnswer,
+// compares them in constant time. An error response has a body of type ErrorResponse,
 // whose code is one of the Code constants. Requests for a component that the
 // instance was built without are answered with status 501.
 //
@@ -51,8 +51,8 @@
 	// KeyHashes returns the hexadecimal SHA-256 hashes of the operators' keys that
 	// are valid now. It must be safe for concurrent use.
 	KeyHashes func() []string
-	Config    wasabiridge.ConfigKeeper
-	Rollouts  wasabiridge.RolloutKeeper
+	Config    wasabiridge.ConfigController
+	Rollouts  wasabiridge.RolloutController
 	Timeline  wasabiridge.TimelineReader
 	Outcomes  wasabiridge.OutcomeReader
 	Status    wasabiridge.StatusReader
--- a/internal/wasabioperator/operator_test.go
+++ b/internal/wasabioperator/operator_test.go
@@ -63,7 +63,7 @@
 	return r, p.err
 }
 
-func (p *components) Steer(_ context.Context, id, action string) (wasabiridge.Rollout, error) {
+func (p *components) Apply(_ context.Context, id, action string) (wasabiridge.Rollout, error) {
 	p.action = id + " " + action
 	return wasabiridge.Rollout{ID: id}, p.err
 }
--- a/internal/wasabiorder/course.go
+++ b/internal/wasabiorder/course.go
@@ -7,7 +7,7 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabilease"
 )
 
-// Timing holds the time limits and intervals of a Course. A zero field means its
+// Timing holds the time limits and intervals of a Reconciler. A zero field means its
 // default.
 type Timing struct {
 	// TimeLimit is the time-out of one order, 2 s by default.
@@ -49,7 +49,7 @@
 	return t
 }
 
-// Status is the progress of a Course.
+// Status is the progress of a Reconciler.
 type Status uint8
 
 const (
@@ -97,13 +97,13 @@
 	effects        []Effect
 }
 
-// NewCourse returns a Course in status Unread. The fencing number of the target is
+// NewCourse returns a Reconciler in status NotRead. The fencing number of the target is
 // ignored; orders carry that of the grant.
 func NewCourse(server wasabiridge.BackendServer, target wasabiridge.EngineOrder, t Timing) *Course {
 	return &Course{server: server, target: target, timing: t.withDefaults()}
 }
 
-// Status returns the progress of the Course.
+// Status returns the progress of the Reconciler.
 func (c *Course) Status() Status { return c.status }
 
 // State returns the last state read from the engine. It is valid only when Known
--- a/internal/wasabiorder/course_test.go
+++ b/internal/wasabiorder/course_test.go
@@ -10,7 +10,7 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabitest"
 )
 
-// courseTest drives one Course to version 5 under a lease with fencing number 7.
+// courseTest drives one Reconciler to version 5 under a lease with fencing number 7.
 type courseTest struct {
 	*wasabiorder.Course
 	now   wasabiridge.Millis
--- a/internal/wasabiorder/events.go
+++ b/internal/wasabiorder/events.go
@@ -2,7 +2,7 @@
 
 import "github.com/wasabiridge/wasabiridge"
 
-// Event is an input of a Course.
+// Event is an input of a Reconciler.
 type Event interface{ isEvent() }
 
 // Ticked reports the passage of time.
@@ -27,7 +27,7 @@
 func (StateRead) isEvent()     {}
 func (OrderAnswered) isEvent() {}
 
-// Effect is an action that a Course requests. Exactly one event reports its result.
+// Effect is an action that a Reconciler requests. Exactly one event reports its result.
 type Effect interface{ isEffect() }
 
 // ReadState requests a read of the state of an engine.
--- a/internal/wasabiorder/simulation_test.go
+++ b/internal/wasabiorder/simulation_test.go
@@ -97,7 +97,7 @@
 	run()
 }
 
-// feed passes an event to a Course and carries out its effects.
+// feed passes an event to a Reconciler and carries out its effects.
 func (w *simulation) feed(n *instance, c *wasabiorder.Course, e wasabiorder.Event) {
 	for _, effect := range c.Handle(w.clock.Now(), n.grant(), true, e) {
 		switch e := effect.(type) {
--- a/internal/wasabioutcome/outcome_test.go
+++ b/internal/wasabioutcome/outcome_test.go
@@ -286,8 +286,8 @@
 		for _, d := range []wasabiridge.Disposition{wasabiridge.NotRun, wasabiridge.MaybeRun, wasabiridge.Ran} {
 			l.ledger.Add(wasabiridge.Outcome{At: noon, Refused: wasabiridge.RefusedOverload, Disposition: d})
 		}
-		l.ledger.Add(wasabiridge.Outcome{At: noon, Disposition: wasabiridge.Ran, Cut: true})
-		l.ledger.Add(wasabiridge.Outcome{At: noon, Disposition: wasabiridge.Ran, Doubled: true})
+		l.ledger.Add(wasabiridge.Outcome{At: noon, Disposition: wasabiridge.Ran, Truncated: true})
+		l.ledger.Add(wasabiridge.Outcome{At: noon, Disposition: wasabiridge.Ran, RanTwice: true})
 		l.shutDown()
 		f := w.report().Total
 		Expect([]uint64{f.RefusedNotRun, f.RefusedMaybe, f.RefusedAfter, f.Cut, f.Doubled, f.Completed}).To(Equal([]uint64{1, 1, 1, 1, 1, 1}))
--- a/internal/wasabioutcome/series.go
+++ b/internal/wasabioutcome/series.go
@@ -54,17 +54,17 @@
 	c.CachedTokens += atLeastZero(o.CachedTokens)
 	c.WastedTokens += atLeastZero(o.WastedTokens)
 	c.OutputTokens += atLeastZero(o.OutputTokens)
-	if o.Cut {
+	if o.Truncated {
 		c.Cut++
 	}
-	if o.Doubled {
+	if o.RanTwice {
 		c.Doubled++
 	}
 	if o.Refused != "" {
 		c.refuse(o.Disposition)
 		return
 	}
-	if o.Disposition == wasabiridge.Ran && !o.Cut {
+	if o.Disposition == wasabiridge.Ran && !o.Truncated {
 		c.Completed++
 	}
 }
--- a/internal/wasabioutcome/window.go
+++ b/internal/wasabioutcome/window.go
@@ -113,7 +113,7 @@
 }
 
 // DecodeWindow decodes a window and checks its format version, day and bounds.
-// It reports ErrInvalid. CheckWindow checks the histograms.
+// It reports ErrInvalid. ValidateWindow checks the histograms.
 func DecodeWindow(data []byte) (Window, error) {
 	var w Window
 	reader, err := gzip.NewReader(bytes.NewReader(data))
--- a/internal/wasabipeer/catalog.go
+++ b/internal/wasabipeer/catalog.go
@@ -24,9 +24,9 @@
 
 var _ wasabiridge.CatalogPeers = (*Client)(nil)
 
-// AskCatalog queries the catalog of another instance. It reports
+// QueryCatalog queries the catalog of another instance. It reports
 // wasabiridge.ErrUnavailable when no catalog is kept there.
-func (c *Client) AskCatalog(ctx context.Context, address string, q wasabiridge.CatalogQuery) (wasabiridge.CatalogAnswer, error) {
+func (c *Client) QueryCatalog(ctx context.Context, address string, q wasabiridge.CatalogQuery) (wasabiridge.CatalogResponse, error) {
 	var out *pb.CatalogAnswer
 	err := c.invoke(ctx, invocation{address: address, timeout: exchangeTimeout,
 		run: func(ctx context.Context, stub pb.PeerClient, opts ...grpc.CallOption) error {
@@ -35,20 +35,20 @@
 			return err
 		}})
 	if err != nil {
-		return wasabiridge.CatalogAnswer{}, err
+		return wasabiridge.CatalogResponse{}, err
 	}
-	answer := wasabiridge.CatalogAnswer{Config: decodePart(out.GetConfig()), Backends: decodePart(out.GetBackends())}
+	answer := wasabiridge.CatalogResponse{Config: decodePart(out.GetConfig()), Backends: decodePart(out.GetBackends())}
 	for _, n := range out.GetNamings() {
-		answer.Namings = append(answer.Namings, wasabiridge.Naming{
-			Model: wasabiridge.ModelID(n.Model), Weights: wasabiridge.WeightsVersion(n.Weights), Witnessed: n.Witnessed,
+		answer.TargetVersions = append(answer.TargetVersions, wasabiridge.TargetVersion{
+			Model: wasabiridge.ModelID(n.Model), Weights: wasabiridge.WeightsVersion(n.Weights), Observed: n.Witnessed,
 			Age: wasabiridge.Millis(min(n.AgeMs, uint64(wasabiridge.Day))),
 		})
 	}
 	return answer, nil
 }
 
-// TellNews sends a state update to another instance.
-func (c *Client) TellNews(ctx context.Context, address string, n wasabiridge.News) error {
+// SendUpdate sends a state update to another instance.
+func (c *Client) SendUpdate(ctx context.Context, address string, n wasabiridge.StateUpdate) error {
 	return c.invoke(ctx, invocation{address: address, timeout: exchangeTimeout,
 		run: func(ctx context.Context, stub pb.PeerClient, opts ...grpc.CallOption) error {
 			_, err := stub.TellNews(ctx, encodeNews(n), opts...)
@@ -62,14 +62,14 @@
 	if !ok {
 		return nil, toStatus(ctx, wasabiridge.ErrUnavailable.New("peer: this instance keeps no catalog"))
 	}
-	answer, err := h.HandleAskCatalog(ctx, wasabiridge.CatalogQuery{ConfigDigest: in.ConfigDigest, BackendDigest: in.BackendDigest})
+	answer, err := h.HandleQueryCatalog(ctx, wasabiridge.CatalogQuery{ConfigDigest: in.ConfigDigest, BackendDigest: in.BackendDigest})
 	if err != nil {
 		return nil, toStatus(ctx, err)
 	}
 	out := &pb.CatalogAnswer{Config: encodePart(answer.Config), Backends: encodePart(answer.Backends)}
-	for _, n := range answer.Namings {
+	for _, n := range answer.TargetVersions {
 		out.Namings = append(out.Namings, &pb.Naming{
-			Model: string(n.Model), Weights: uint64(n.Weights), AgeMs: uint64(max(n.Age, 0)), Witnessed: n.Witnessed,
+			Model: string(n.Model), Weights: uint64(n.Weights), AgeMs: uint64(max(n.Age, 0)), Witnessed: n.Observed,
 		})
 	}
 	return out, nil
@@ -85,7 +85,7 @@
 	if err != nil {
 		return nil, toStatus(ctx, err)
 	}
-	if err = h.HandleTellNews(ctx, n); err != nil {
+	if err = h.HandleSendUpdate(ctx, n); err != nil {
 		return nil, toStatus(ctx, err)
 	}
 	return &pb.TellNewsResponse{}, nil
@@ -107,24 +107,24 @@
 	return out
 }
 
-func encodeNews(n wasabiridge.News) *pb.News {
+func encodeNews(n wasabiridge.StateUpdate) *pb.News {
 	out := &pb.News{From: string(n.From), Changed: n.Changed}
-	for _, r := range n.Rests {
+	for _, r := range n.Backoffs {
 		out.Rests = append(out.Rests, &pb.RestNews{
-			Backend: string(r.Backend), RestingMs: uint64(max(r.Resting, 0)), EasingMs: uint64(max(r.Easing, 0)), Model: string(r.Model), Weights: uint64(r.Weights),
+			Backend: string(r.Backend), RestingMs: uint64(max(r.Backoff, 0)), EasingMs: uint64(max(r.Drain, 0)), Model: string(r.Model), Weights: uint64(r.Weights),
 			Incarnation: uint64(r.Incarnation),
 		})
 	}
 	for _, l := range n.Loads {
 		out.Loads = append(out.Loads, &pb.LoadNews{
-			Backend: string(l.Backend), Inside: uint32(max(l.Inside, 0)), WorkMs: uint32(max(l.Work, 0)),
+			Backend: string(l.Backend), Inside: uint32(max(l.InFlight, 0)), WorkMs: uint32(max(l.Work, 0)),
 			Tokens: uint32(min(max(l.Tokens, 0), maxInsideTokens)), Limit: encodeLimit(l.Limit),
 		})
 	}
-	for _, p := range n.Parts {
+	for _, p := range n.Segments {
 		out.Parts = append(out.Parts, &pb.PartNews{
-			Backend: string(p.Backend), Key: p.Key, Tokens: uint32(max(p.Tokens, 0)), Own: uint32(max(p.Own, 0)), Ready: p.Ready, Saved: p.Saved,
-			WorkMs: uint32(max(p.Work, 0)), Kept: p.Kept, Priority: int32(min(max(p.Priority, -maxPriority), maxPriority)),
+			Backend: string(p.Backend), Key: p.Key, Tokens: uint32(max(p.Tokens, 0)), Own: uint32(max(p.RemainingTokens, 0)), Ready: p.Ready, Saved: p.Exported,
+			WorkMs: uint32(max(p.Work, 0)), Kept: p.Imported, Priority: int32(min(max(p.Priority, -maxPriority), maxPriority)),
 			Incarnation: uint64(p.Incarnation),
 		})
 	}
@@ -135,30 +135,30 @@
 	return out
 }
 
-func decodeNews(in *pb.News) (wasabiridge.News, error) {
+func decodeNews(in *pb.News) (wasabiridge.StateUpdate, error) {
 	if len(in.Rests) > maxUpdateEntries || len(in.Loads) > maxUpdateEntries || len(in.Parts) > maxUpdateEntries || len(in.Crashes) > maxUpdateEntries || len(in.Uses) > maxUpdateEntries {
-		return wasabiridge.News{}, wasabiridge.ErrInvalid.New("peer: a list of the state update has too many entries")
+		return wasabiridge.StateUpdate{}, wasabiridge.ErrInvalid.New("peer: a list of the state update has too many entries")
 	}
-	n := wasabiridge.News{From: wasabiridge.InstanceID(in.From), Changed: in.Changed}
+	n := wasabiridge.StateUpdate{From: wasabiridge.InstanceID(in.From), Changed: in.Changed}
 	for _, r := range in.Rests {
-		n.Rests = append(n.Rests, wasabiridge.RestNews{
+		n.Backoffs = append(n.Backoffs, wasabiridge.BackoffUpdate{
 			Backend: wasabiridge.BackendServerID(r.Backend), Model: wasabiridge.ModelID(r.Model),
-			Resting: wasabiridge.Millis(min(r.RestingMs, uint64(wasabiridge.Minute))),
-			Easing:  wasabiridge.Millis(min(r.EasingMs, uint64(wasabiridge.Minute))), Weights: wasabiridge.WeightsVersion(r.Weights),
+			Backoff: wasabiridge.Millis(min(r.RestingMs, uint64(wasabiridge.Minute))),
+			Drain:   wasabiridge.Millis(min(r.EasingMs, uint64(wasabiridge.Minute))), Weights: wasabiridge.WeightsVersion(r.Weights),
 			Incarnation: wasabiridge.Incarnation(r.Incarnation),
 		})
 	}
 	for _, l := range in.Loads {
-		n.Loads = append(n.Loads, wasabiridge.LoadNews{
-			Backend: wasabiridge.BackendServerID(l.Backend), Inside: int(min(l.Inside, maxUpdateEntries)),
+		n.Loads = append(n.Loads, wasabiridge.LoadUpdate{
+			Backend: wasabiridge.BackendServerID(l.Backend), InFlight: int(min(l.Inside, maxUpdateEntries)),
 			Work: wasabiridge.Millis(min(uint64(l.WorkMs), uint64(wasabiridge.Minute))), Tokens: int(min(l.Tokens, maxInsideTokens)),
 			Limit: decodeLimit(l.Limit),
 		})
 	}
 	for _, p := range in.Parts {
-		n.Parts = append(n.Parts, wasabiridge.PartNews{
+		n.Segments = append(n.Segments, wasabiridge.SegmentUpdate{
 			Backend: wasabiridge.BackendServerID(p.Backend), Key: p.Key, Tokens: int(min(p.Tokens, maxTokens)),
-			Own: int(min(p.Own, maxTokens)), Ready: p.Ready, Saved: p.Saved, Kept: p.Kept,
+			RemainingTokens: int(min(p.Own, maxTokens)), Ready: p.Ready, Exported: p.Saved, Imported: p.Kept,
 			Work:     wasabiridge.Millis(min(uint64(p.WorkMs), uint64(wasabiridge.Minute))),
 			Priority: wasabiridge.Priority(min(max(p.Priority, -maxPriority), maxPriority)), Incarnation: wasabiridge.Incarnation(p.Incarnation),
 		})
@@ -166,7 +166,7 @@
 	for _, c := range in.Crashes {
 		crash, err := decodeCrash(c)
 		if err != nil {
-			return wasabiridge.News{}, err
+			return wasabiridge.StateUpdate{}, err
 		}
 		n.Crashes = append(n.Crashes, crash)
 	}
--- a/internal/wasabipeer/codec.go
+++ b/internal/wasabipeer/codec.go
@@ -25,7 +25,7 @@
 		Leaving:     m.Leaving,
 		Suspect:     m.Suspect,
 		Dead:        m.Dead,
-		Vouched:     m.Vouched,
+		Vouched:     m.ConfirmedAlive,
 		AgeMs:       uint64(max(m.Age, 0)),
 		PeerAddress: m.PeerAddress,
 		CallerUrl:   m.CallerURL,
@@ -60,7 +60,7 @@
 	out.Config = wasabiridge.ConfigVersion(m.Config)
 	out.Suspect = m.Suspect
 	out.Dead = m.Dead
-	out.Vouched = m.Vouched
+	out.ConfirmedAlive = m.Vouched
 	out.Age = wasabiridge.Millis(m.AgeMs)
 	out.Capacity = float64(m.CapacityMilli) / milli
 	return out, nil
--- a/internal/wasabipeer/codec_crash.go
+++ b/internal/wasabipeer/codec_crash.go
@@ -12,11 +12,11 @@
 	maxEpoch = 1 << 24
 )
 
-func encodeCrash(c wasabiridge.CrashNews) *pb.CrashNews {
+func encodeCrash(c wasabiridge.CrashUpdate) *pb.CrashNews {
 	out := &pb.CrashNews{Fingerprint: uint64(c.Fingerprint), Account: string(c.Account), Model: string(c.Model), Epoch: c.Epoch}
-	for _, e := range c.Ends {
+	for _, e := range c.Crashes {
 		out.Ends = append(out.Ends, &pb.ServerEnd{
-			Backend: string(e.Backend), Incarnation: uint64(e.Incarnation), RanMs: uint64(max(e.Ran, 0)),
+			Backend: string(e.Backend), Incarnation: uint64(e.Incarnation), RanMs: uint64(max(e.RunTime, 0)),
 			Weights: uint64(e.Weights), AgeMs: uint64(max(e.Age, 0)),
 		})
 	}
@@ -26,8 +26,8 @@
 // decodeCrash validates the record of a request during which servers crashed. A
 // record with a higher epoch supersedes all others, so an implausibly high
 // epoch is rejected: no instance could ever clear it.
-func decodeCrash(in *pb.CrashNews) (wasabiridge.CrashNews, error) {
-	out := wasabiridge.CrashNews{
+func decodeCrash(in *pb.CrashNews) (wasabiridge.CrashUpdate, error) {
+	out := wasabiridge.CrashUpdate{
 		Fingerprint: wasabiridge.Fingerprint(in.GetFingerprint()), Account: wasabiridge.ClientAccountID(in.GetAccount()),
 		Model: wasabiridge.ModelID(in.GetModel()), Epoch: in.GetEpoch(),
 	}
@@ -38,9 +38,9 @@
 		if e.GetBackend() == "" {
 			return out, wasabiridge.ErrInvalid.New("peer: crash record names no backend server")
 		}
-		out.Ends = append(out.Ends, wasabiridge.ServerEnd{
+		out.Crashes = append(out.Crashes, wasabiridge.ServerCrash{
 			Backend: wasabiridge.BackendServerID(e.GetBackend()), Incarnation: wasabiridge.Incarnation(e.GetIncarnation()),
-			Ran: wasabiridge.Millis(min(e.GetRanMs(), uint64(wasabiridge.Day))), Weights: wasabiridge.WeightsVersion(e.GetWeights()),
+			RunTime: wasabiridge.Millis(min(e.GetRanMs(), uint64(wasabiridge.Day))), Weights: wasabiridge.WeightsVersion(e.GetWeights()),
 			Age: wasabiridge.Millis(min(e.GetAgeMs(), uint64(wasabiridge.Day))),
 		})
 	}
--- a/internal/wasabipeer/codec_limit.go
+++ b/internal/wasabipeer/codec_limit.go
@@ -8,7 +8,7 @@
 )
 
 // encodeLimit returns nil when the update contains no limit.
-func encodeLimit(l wasabiridge.LimitNews) *pb.LimitNews {
+func encodeLimit(l wasabiridge.LimitUpdate) *pb.LimitNews {
 	if !l.Known {
 		return nil
 	}
@@ -17,11 +17,11 @@
 
 // decodeLimit treats a missing limit, or one whose rate is negative, infinite
 // or NaN, as unknown.
-func decodeLimit(in *pb.LimitNews) wasabiridge.LimitNews {
+func decodeLimit(in *pb.LimitNews) wasabiridge.LimitUpdate {
 	rate := in.GetRate()
 	if in == nil || rate < 0 || math.IsNaN(rate) || math.IsInf(rate, 0) {
-		return wasabiridge.LimitNews{}
+		return wasabiridge.LimitUpdate{}
 	}
 	age := wasabiridge.Millis(min(uint64(in.GetAgeMs()), uint64(wasabiridge.Minute)))
-	return wasabiridge.LimitNews{Known: true, Limited: in.GetLimited(), Rate: rate, Age: age}
+	return wasabiridge.LimitUpdate{Known: true, Limited: in.GetLimited(), Rate: rate, Age: age}
 }
--- a/internal/wasabipeer/crash_test.go
+++ b/internal/wasabipeer/crash_test.go
@@ -17,14 +17,14 @@
 // updateHandler records the last state update that it received.
 type updateHandler struct {
 	handler
-	got wasabiridge.News
+	got wasabiridge.StateUpdate
 }
 
-func (h *updateHandler) HandleAskCatalog(context.Context, wasabiridge.CatalogQuery) (wasabiridge.CatalogAnswer, error) {
-	return wasabiridge.CatalogAnswer{}, h.err
+func (h *updateHandler) HandleQueryCatalog(context.Context, wasabiridge.CatalogQuery) (wasabiridge.CatalogResponse, error) {
+	return wasabiridge.CatalogResponse{}, h.err
 }
 
-func (h *updateHandler) HandleTellNews(_ context.Context, n wasabiridge.News) error {
+func (h *updateHandler) HandleSendUpdate(_ context.Context, n wasabiridge.StateUpdate) error {
 	h.got = n
 	return h.err
 }
@@ -35,11 +35,11 @@
 		h := &updateHandler{}
 		o := wasabipeer.Options{Clock: wasabiclock.System(), Key: key}
 		server := serve(h, o)
-		want := wasabiridge.News{
-			From: "i", Life: 7, Sequence: 3, Part: 0.875, Whole: true, Change: 300, View: 1 << 63,
-			Uses: []wasabiridge.UseNews{{Account: "a", Spent: 1 << 40, Level: -5, LevelKnown: true}, {Account: "b", Spent: 2}},
+		want := wasabiridge.StateUpdate{
+			From: "i", Incarnation: 7, Sequence: 3, Share: 0.875, Complete: true, OwnersEpoch: 300, OwnersDigest: 1 << 63,
+			Usage: []wasabiridge.UsageUpdate{{Account: "a", Spent: 1 << 40, Level: -5, LevelKnown: true}, {Account: "b", Spent: 2}},
 		}
-		Expect(connect(o).TellNews(context.Background(), server.Address(), want)).To(Succeed())
+		Expect(connect(o).SendUpdate(context.Background(), server.Address(), want)).To(Succeed())
 		Expect(h.got).To(Equal(want))
 	})
 })
@@ -47,29 +47,29 @@
 // A faulty instance sends implausible crash records. Accepted, they would
 // supersede the records of all other instances for ever, or fill their memory.
 var _ = Describe("Crash records of requests", func() {
-	end := wasabiridge.ServerEnd{Backend: "e1", Incarnation: 7, Ran: 120, Weights: 3, Age: 40}
-	many := make([]wasabiridge.ServerEnd, 65)
+	end := wasabiridge.ServerCrash{Backend: "e1", Incarnation: 7, RunTime: 120, Weights: 3, Age: 40}
+	many := make([]wasabiridge.ServerCrash, 65)
 	for i := range many {
-		many[i] = wasabiridge.ServerEnd{Backend: wasabiridge.BackendServerID(fmt.Sprint("e", i))}
+		many[i] = wasabiridge.ServerCrash{Backend: wasabiridge.BackendServerID(fmt.Sprint("e", i))}
 	}
 	cases := map[string]struct {
-		crash    wasabiridge.CrashNews
+		crash    wasabiridge.CrashUpdate
 		accepted bool
 	}{
-		"arrive complete":       {wasabiridge.CrashNews{Fingerprint: 9, Account: "a", Model: "m", Epoch: 2, Ends: []wasabiridge.ServerEnd{end}}, true},
-		"without crashes clear": {wasabiridge.CrashNews{Fingerprint: 9, Account: "a", Epoch: 3}, true},
-		"must name a request":   {wasabiridge.CrashNews{Account: "a", Ends: []wasabiridge.ServerEnd{end}}, false},
-		"must name a server":    {wasabiridge.CrashNews{Fingerprint: 9, Ends: []wasabiridge.ServerEnd{{Ran: 1}}}, false},
-		"have a bounded epoch":  {wasabiridge.CrashNews{Fingerprint: 9, Epoch: 1 << 30}, false},
-		"have few crashes":      {wasabiridge.CrashNews{Fingerprint: 9, Ends: many}, false},
-		"have a bounded age":    {wasabiridge.CrashNews{Fingerprint: 9, Ends: []wasabiridge.ServerEnd{{Backend: "e1", Age: 1 << 40}}}, true},
+		"arrive complete":       {wasabiridge.CrashUpdate{Fingerprint: 9, Account: "a", Model: "m", Epoch: 2, Crashes: []wasabiridge.ServerCrash{end}}, true},
+		"without crashes clear": {wasabiridge.CrashUpdate{Fingerprint: 9, Account: "a", Epoch: 3}, true},
+		"must name a request":   {wasabiridge.CrashUpdate{Account: "a", Crashes: []wasabiridge.ServerCrash{end}}, false},
+		"must name a server":    {wasabiridge.CrashUpdate{Fingerprint: 9, Crashes: []wasabiridge.ServerCrash{{RunTime: 1}}}, false},
+		"have a bounded epoch":  {wasabiridge.CrashUpdate{Fingerprint: 9, Epoch: 1 << 30}, false},
+		"have few crashes":      {wasabiridge.CrashUpdate{Fingerprint: 9, Crashes: many}, false},
+		"have a bounded age":    {wasabiridge.CrashUpdate{Fingerprint: 9, Crashes: []wasabiridge.ServerCrash{{Backend: "e1", Age: 1 << 40}}}, true},
 	}
 	for _, name := range wasabitest.Names(cases) {
 		It(name, func() {
 			h := &updateHandler{}
 			o := wasabipeer.Options{Clock: wasabiclock.System(), Key: key}
 			server := serve(h, o)
-			err := connect(o).TellNews(context.Background(), server.Address(), wasabiridge.News{From: "i", Crashes: []wasabiridge.CrashNews{cases[name].crash}})
+			err := connect(o).SendUpdate(context.Background(), server.Address(), wasabiridge.StateUpdate{From: "i", Crashes: []wasabiridge.CrashUpdate{cases[name].crash}})
 			if !cases[name].accepted {
 				Expect(errorx.IsOfType(err, wasabiridge.ErrInvalid)).To(BeTrue(), "%v", err)
 				Expect(h.got.Crashes).To(BeEmpty())
@@ -77,10 +77,10 @@
 			}
 			Expect(err).NotTo(HaveOccurred())
 			want := cases[name].crash
-			for i := range want.Ends {
-				want.Ends[i].Age = min(want.Ends[i].Age, wasabiridge.Day)
+			for i := range want.Crashes {
+				want.Crashes[i].Age = min(want.Crashes[i].Age, wasabiridge.Day)
 			}
-			Expect(h.got.Crashes).To(Equal([]wasabiridge.CrashNews{want}))
+			Expect(h.got.Crashes).To(Equal([]wasabiridge.CrashUpdate{want}))
 		})
 	}
 })
--- a/internal/wasabipeer/limit_test.go
+++ b/internal/wasabipeer/limit_test.go
@@ -16,22 +16,22 @@
 // Guards against server limits that change on the wire, and against rates that
 // are no valid number.
 var _ = Describe("The limit of a backend server in an update", func() {
-	cases := map[string]struct{ sent, want wasabiridge.LimitNews }{
-		"arrives complete":       {wasabiridge.LimitNews{Known: true, Limited: true, Rate: 5.9, Age: 40}, wasabiridge.LimitNews{Known: true, Limited: true, Rate: 5.9, Age: 40}},
-		"may have ended":         {wasabiridge.LimitNews{Known: true, Age: 3}, wasabiridge.LimitNews{Known: true, Age: 3}},
+	cases := map[string]struct{ sent, want wasabiridge.LimitUpdate }{
+		"arrives complete":       {wasabiridge.LimitUpdate{Known: true, Limited: true, Rate: 5.9, Age: 40}, wasabiridge.LimitUpdate{Known: true, Limited: true, Rate: 5.9, Age: 40}},
+		"may have ended":         {wasabiridge.LimitUpdate{Known: true, Age: 3}, wasabiridge.LimitUpdate{Known: true, Age: 3}},
 		"may be left out":        {},
-		"is unknown if NaN":      {sent: wasabiridge.LimitNews{Known: true, Limited: true, Rate: math.NaN()}},
-		"is unknown if negative": {sent: wasabiridge.LimitNews{Known: true, Limited: true, Rate: -1}},
-		"is unknown if infinite": {sent: wasabiridge.LimitNews{Known: true, Limited: true, Rate: math.Inf(1)}},
+		"is unknown if NaN":      {sent: wasabiridge.LimitUpdate{Known: true, Limited: true, Rate: math.NaN()}},
+		"is unknown if negative": {sent: wasabiridge.LimitUpdate{Known: true, Limited: true, Rate: -1}},
+		"is unknown if infinite": {sent: wasabiridge.LimitUpdate{Known: true, Limited: true, Rate: math.Inf(1)}},
 	}
 	for _, name := range wasabitest.Names(cases) {
 		It(name, func() {
 			h := &updateHandler{}
 			o := wasabipeer.Options{Clock: wasabiclock.System(), Key: key}
 			server := serve(h, o)
-			update := wasabiridge.News{From: "i", Loads: []wasabiridge.LoadNews{{Backend: "e1", Inside: 2, Tokens: 9, Limit: cases[name].sent}}}
-			Expect(connect(o).TellNews(context.Background(), server.Address(), update)).To(Succeed())
-			Expect(h.got.Loads).To(Equal([]wasabiridge.LoadNews{{Backend: "e1", Inside: 2, Tokens: 9, Limit: cases[name].want}}))
+			update := wasabiridge.StateUpdate{From: "i", Loads: []wasabiridge.LoadUpdate{{Backend: "e1", InFlight: 2, Tokens: 9, Limit: cases[name].sent}}}
+			Expect(connect(o).SendUpdate(context.Background(), server.Address(), update)).To(Succeed())
+			Expect(h.got.Loads).To(Equal([]wasabiridge.LoadUpdate{{Backend: "e1", InFlight: 2, Tokens: 9, Limit: cases[name].want}}))
 		})
 	}
 })
--- a/internal/wasabipeer/peer_test.go
+++ b/internal/wasabipeer/peer_test.go
@@ -29,7 +29,7 @@
 	},
 	Others: []wasabiridge.Member{{
 		InstanceEntry: wasabiridge.InstanceEntry{ID: "sfo-1"},
-		Incarnation:   1, Suspect: true, Dead: true, Vouched: true, Age: 250,
+		Incarnation:   1, Suspect: true, Dead: true, ConfirmedAlive: true, Age: 250,
 	}},
 	LeavingBackends: []wasabiridge.BackendServerID{"dispatch-2"},
 	SentAt:          1234567890123,
--- a/internal/wasabiplace/claim_test.go
+++ b/internal/wasabiplace/claim_test.go
@@ -71,7 +71,7 @@
 func (m *claimModel) report(id wasabiridge.BackendServerID, leaving bool) {
 	e := m.engines[id]
 	event := wasabiridge.LoadReported{Report: wasabiridge.LoadReport{
-		Backend: id, Incarnation: e.incarnation, Weights: e.weights, Taken: m.now, Leaving: leaving,
+		Backend: id, Incarnation: e.incarnation, Weights: e.weights, MeasuredAt: m.now, Leaving: leaving,
 	}}
 	m.pastEvents = append(m.pastEvents, event)
 	m.announcedWeights[id] = e.weights
--- a/internal/wasabiplace/doc.go
+++ b/internal/wasabiplace/doc.go
@@ -28,7 +28,7 @@
 // From the moment when a request is sent, its levels count as held by its
 // server. Later requests with the same prefix follow it into the same queue and
 // find the prefix computed when they are started. For engines that look up
-// their cache before a request reaches the head of the queue, Options.JoinLimit
+// their cache before a request reaches the head of the queue, Options.MaxPrefixWait
 // delays such requests until the prefix is computed.
 //
 // # Usage
--- a/internal/wasabiplace/load.go
+++ b/internal/wasabiplace/load.go
@@ -80,22 +80,22 @@
 // report applies a load report. Reports are delayed, so the attempts sent after
 // the report was taken are added.
 func (l *load) report(r wasabiridge.LoadReport, cost, avgComputed float64) {
-	if l.reported && r.Taken < l.taken {
+	if l.reported && r.MeasuredAt < l.taken {
 		return
 	}
 	tokens := float64(r.WaitingTokens)
 	if tokens == 0 {
 		tokens = float64(r.Waiting) * avgComputed
 	}
-	l.learnInflow(r.Taken, tokens*cost, cost)
-	l.taken, l.reported = r.Taken, true
+	l.learnInflow(r.MeasuredAt, tokens*cost, cost)
+	l.taken, l.reported = r.MeasuredAt, true
 	l.running = r.Running + r.Waiting
 	queued := r.Waiting
-	l.idleAt = float64(r.Taken) + tokens*cost
+	l.idleAt = float64(r.MeasuredAt) + tokens*cost
 	kept := min(l.sent, sendLogSize)
 	for i := l.sent - kept; i < l.sent; i++ {
 		s := l.sends[i%sendLogSize]
-		if s.at > r.Taken {
+		if s.at > r.MeasuredAt {
 			l.add(s.at, s.tokens*cost)
 			l.running++
 			queued++
--- a/internal/wasabiplace/observe.go
+++ b/internal/wasabiplace/observe.go
@@ -43,7 +43,7 @@
 	if before != 0 && r.Incarnation > before {
 		l.leaving, l.drainAnnounced, l.lost = false, false, false
 	}
-	if l.lost && r.Taken > l.lostAt {
+	if l.lost && r.MeasuredAt > l.lostAt {
 		l.lost = false
 		// Without an incarnation it is unknown whether the cache survived the
 		// loss.
@@ -60,7 +60,7 @@
 }
 
 // backendLost excludes a server until it reports its load again. A server that
-// never reported its load is retried after Options.LostRetry, with its cache
+// never reported its load is retried after Options.LostRetryInterval, with its cache
 // assumed empty.
 func (p *Placer) backendLost(now wasabiridge.Millis, id wasabiridge.BackendServerID) {
 	s := p.server(id)
--- a/internal/wasabiplace/options.go
+++ b/internal/wasabiplace/options.go
@@ -50,13 +50,13 @@
 	FirstTokenPrice float64
 	RecomputePrice  float64
 	// Near is the difference in score up to which scores count as equal. Zero
-	// means DefaultNear.
+	// means DefaultScoreTolerance.
 	Near wasabiridge.Millis
 	// JoinLimit is the maximum time for which a request is held back while its
 	// prefix is being computed. Zero means that it is sent at once.
 	JoinLimit wasabiridge.Millis
 	// LostRetry is when a lost server that never reported its load is retried.
-	// Zero means DefaultLostRetry.
+	// Zero means DefaultLostRetryInterval.
 	LostRetry wasabiridge.Millis
 	// Cache configures the estimate of the servers' caches.
 	Cache wasabicache.Options
--- a/internal/wasabiplace/place.go
+++ b/internal/wasabiplace/place.go
@@ -102,7 +102,7 @@
 	t := p.table(q.Pool)
 	p.round++
 	p.candidates = p.candidates[:0]
-	if q.Isolate != 0 {
+	if q.IsolationKey != 0 {
 		return p.isolate(now, t, q)
 	}
 	p.gather(now, t, q)
@@ -121,7 +121,9 @@
 	if len(p.candidates) == 0 {
 		return wasabiridge.Placement{}, false
 	}
-	value := func(c candidate) uint64 { return wasabiquarantine.Isolation(q.Isolate, t.members[c.member].backend.ID) }
+	value := func(c candidate) uint64 {
+		return wasabiquarantine.Isolation(q.IsolationKey, t.members[c.member].backend.ID)
+	}
 	best := slices.MaxFunc(p.candidates, func(a, b candidate) int { return cmp.Compare(value(a), value(b)) })
 	p.score(now, t, q.Request, &best)
 	return p.placement(now, t, q.Request, best), true
@@ -237,7 +239,7 @@
 	case c.homeLevel >= 0:
 		out.Why = WhyHome
 	}
-	out.Join = p.join(now, m.server, r.Chain)
+	out.WaitUntil = p.join(now, m.server, r.Chain)
 	return out
 }
 
--- a/internal/wasabiplace/place_test.go
+++ b/internal/wasabiplace/place_test.go
@@ -41,7 +41,7 @@
 		return p
 	}
 	report := func(b wasabiridge.BackendServerID, incarnation wasabiridge.Incarnation, change func(*wasabiridge.LoadReport)) {
-		r := wasabiridge.LoadReport{Backend: b, Incarnation: incarnation, Taken: now}
+		r := wasabiridge.LoadReport{Backend: b, Incarnation: incarnation, MeasuredAt: now}
 		change(&r)
 		placer.Observe(now, wasabiridge.LoadReported{Report: r})
 	}
@@ -92,9 +92,9 @@
 	It("holds requests back while their prefix is computed, if JoinLimit is set", func() {
 		setUp(9, wasabiplace.Options{Seed: 1, JoinLimit: 300})
 		placer.Sent(now, manual, 1, place(manual))
-		Expect(place(manual).Join).To(And(BeNumerically(">", now), BeNumerically("<=", now+300)))
+		Expect(place(manual).WaitUntil).To(And(BeNumerically(">", now), BeNumerically("<=", now+300)))
 		placer.Observe(now, wasabiridge.AttemptFirstToken{Attempt: 1})
-		Expect(place(manual).Join).To(BeZero())
+		Expect(place(manual).WaitUntil).To(BeZero())
 	})
 
 	// Guards against a first choice that depends on more than the document and
@@ -132,7 +132,7 @@
 		}),
 		Entry("that is lost, even if an older report arrives late", func(b wasabiridge.BackendServerID) {
 			placer.Observe(now, wasabiridge.BackendLost{Backend: b})
-			report(b, 1, func(r *wasabiridge.LoadReport) { r.Taken = now - 1 })
+			report(b, 1, func(r *wasabiridge.LoadReport) { r.MeasuredAt = now - 1 })
 		}),
 		Entry("with a long queue", func(b wasabiridge.BackendServerID) {
 			report(b, 1, func(r *wasabiridge.LoadReport) { r.Waiting, r.WaitingTokens = 4, 100*blockTokens })
@@ -172,7 +172,7 @@
 		}
 		late := now - 100
 		for _, b := range pool.Backends {
-			report(b.ID, 1, func(r *wasabiridge.LoadReport) { r.Taken = late })
+			report(b.ID, 1, func(r *wasabiridge.LoadReport) { r.MeasuredAt = late })
 		}
 		Expect(place(document()).ExpectedWait).To(BeNumerically("<", 10))
 		var waits []wasabiridge.Millis
--- a/internal/wasabiprefix/prefix.go
+++ b/internal/wasabiprefix/prefix.go
@@ -14,7 +14,7 @@
 // # Usage
 //
 //	root := wasabiridge.CacheRoot{Account: "liftwell", Model: "answer"}
-//	chain := wasabiprefix.Of(root, prompt, 2048)
+//	chain := wasabiprefix.NewChain(root, prompt, 2048)
 //	body.CacheSalt = wasabiprefix.Salt(root)
 package wasabiprefix
 
--- a/internal/wasabiquarantine/blocks.go
+++ b/internal/wasabiquarantine/blocks.go
@@ -36,7 +36,7 @@
 // writes a block, and a few others check that it did. A lifted block is deleted by the
 // instance that lifted it.
 func (k *Keeper) queueBlock(note Note) {
-	written := note.Kind == NoteBarred || note.Kind == NoteLifted && len(note.Mark.Ends) >= maxEnds
+	written := note.Kind == NoteBarred || note.Kind == NoteLifted && len(note.Mark.Crashes) >= maxEnds
 	if k.options.Rows == nil || !written || note.From == storeID {
 		return
 	}
@@ -97,7 +97,7 @@
 
 func (k *Keeper) applyRows(ctx context.Context, rows []wasabiridge.Row) {
 	now := wallClock()
-	var crashes []wasabiridge.CrashNews
+	var crashes []wasabiridge.CrashUpdate
 	for _, row := range rows {
 		c, err := DecodeRow(now, row)
 		if err != nil || IsOver(c) {
@@ -109,7 +109,7 @@
 	}
 	k.options.Log.Info().Int("bars", len(crashes)).Msg("Bars read.")
 	if len(crashes) > 0 {
-		k.loop.Post(wasabiridge.CrashesHeard{From: storeID, Crashes: crashes})
+		k.loop.Post(wasabiridge.CrashesReceived{From: storeID, Crashes: crashes})
 	}
 }
 
--- a/internal/wasabiquarantine/fleet_test.go
+++ b/internal/wasabiquarantine/fleet_test.go
@@ -135,7 +135,7 @@
 	})
 }
 
-func (n *instance) send(to []*instance, records []wasabiridge.CrashNews) {
+func (n *instance) send(to []*instance, records []wasabiridge.CrashUpdate) {
 	if n.offline || len(records) == 0 {
 		return
 	}
@@ -148,7 +148,7 @@
 
 // sendOne sends an update to another instance, and retries when the message is lost or not
 // answered.
-func (n *instance) sendOne(other *instance, records []wasabiridge.CrashNews, attempts int) {
+func (n *instance) sendOne(other *instance, records []wasabiridge.CrashUpdate, attempts int) {
 	f := n.fleet
 	if n.offline || attempts == 0 {
 		return
@@ -161,7 +161,7 @@
 			f.agenda.Add(f.now+sendRetryDelay, func() { n.sendOne(other, records, attempts-1) })
 			return
 		}
-		other.table.Observe(f.now, wasabiridge.CrashesHeard{From: n.id, Crashes: records})
+		other.table.Observe(f.now, wasabiridge.CrashesReceived{From: n.id, Crashes: records})
 	})
 }
 
@@ -227,19 +227,19 @@
 	if n.killed || n.paused {
 		return
 	}
-	standing := n.table.Judge(f.now, r)
+	standing := n.table.Check(f.now, r)
 	switch standing {
-	case wasabiridge.StandingBarred:
+	case wasabiridge.QuarantineBlocked:
 		f.refused[r.Fingerprint]++
 		return
-	case wasabiridge.StandingDeferred:
+	case wasabiridge.QuarantineDeferred:
 		f.deferred[r.Fingerprint]++
 		if back {
 			f.agenda.Add(f.now+deferredRetry, func() { f.request(f.anyInstance(), r, fatal, false, retries) })
 		}
 		return
 	}
-	s := f.choose(r.Fingerprint, standing == wasabiridge.StandingSuspect && !f.design.noIsolation)
+	s := f.choose(r.Fingerprint, standing == wasabiridge.QuarantineSuspect && !f.design.noIsolation)
 	if s == nil {
 		return
 	}
@@ -253,7 +253,7 @@
 		}
 		e.Attempt = id
 		n.table.Observe(f.now, e)
-		if e.ServerEnded && retries > 0 {
+		if e.ServerCrashed && retries > 0 {
 			f.request(n, r, fatal, back, retries-1)
 		}
 	}
--- a/internal/wasabiquarantine/handler.go
+++ b/internal/wasabiquarantine/handler.go
@@ -37,7 +37,7 @@
 		s := entryJSON{
 			Fingerprint: e.Fingerprint.String(), Account: string(e.Account), Model: string(e.Model), Barred: e.Barred, LeftMillis: int64(e.Left),
 		}
-		for _, end := range e.Ends {
+		for _, end := range e.Crashes {
 			s.Ended = append(s.Ended, string(end.Backend))
 			s.AgesMillis = append(s.AgesMillis, int64(end.Age))
 		}
--- a/internal/wasabiquarantine/judge.go
+++ b/internal/wasabiquarantine/judge.go
@@ -4,24 +4,24 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Judge implements wasabiridge.Quarantine.
-func (t *Table) Judge(now wasabiridge.Millis, r wasabiridge.Request) wasabiridge.Standing {
+// Check implements wasabiridge.Quarantine.
+func (t *Table) Check(now wasabiridge.Millis, r wasabiridge.Request) wasabiridge.QuarantineVerdict {
 	m := t.records[r.Fingerprint]
 	if m == nil || len(m.ends) == 0 {
-		return wasabiridge.StandingFree
+		return wasabiridge.QuarantineFree
 	}
 	switch {
 	case m.count() < maxEnds:
-		return wasabiridge.StandingSuspect
+		return wasabiridge.QuarantineSuspect
 	case t.isBlocked(now, m):
 		t.counts.Refused++
-		return wasabiridge.StandingBarred
+		return wasabiridge.QuarantineBlocked
 	case !t.isProven(m) && now < m.ends[maxEnds-1].At+unprovenGrace:
 	case m.running > 0 || !t.mayTry(m.fingerprint):
 		t.counts.Deferred++
-		return wasabiridge.StandingDeferred
+		return wasabiridge.QuarantineDeferred
 	}
-	return wasabiridge.StandingSuspect
+	return wasabiridge.QuarantineSuspect
 }
 
 // isBlocked reports whether a request must not be sent to any server now.
--- a/internal/wasabiquarantine/keeper.go
+++ b/internal/wasabiquarantine/keeper.go
@@ -25,7 +25,7 @@
 	sendTimeout    = 400 * time.Millisecond
 )
 
-// KeeperOptions are the dependencies and settings of a Keeper. Clock is required.
+// KeeperOptions are the dependencies and settings of a Controller. Clock is required.
 type KeeperOptions struct {
 	Self        wasabiridge.InstanceID
 	Incarnation wasabiridge.Incarnation
@@ -39,7 +39,7 @@
 	Active  func() []wasabiridge.InstanceEntry
 	// Tell sends an update to the instance at an address. Nil means that no updates are
 	// sent.
-	Tell func(ctx context.Context, address string, n wasabiridge.News) error
+	Tell func(ctx context.Context, address string, n wasabiridge.StateUpdate) error
 	// Rows stores blocks so that they survive a restart of all instances. Nil means that
 	// they are not stored.
 	Rows wasabiridge.Table
@@ -66,7 +66,7 @@
 }
 
 // Table returns the quarantine table. It may be used only in the loop that is given to
-// Join.
+// SetLoop.
 func (k *Keeper) Table() *Table { return k.table }
 
 // Join sets the loop that owns the table. It must be called once, before any other method
@@ -171,11 +171,11 @@
 //
 // The failure it guards against: a message is lost. Its receiver would send the request to
 // further servers, or keep suspecting one that was answered elsewhere.
-func (k *Keeper) send(ctx context.Context, to []wasabiridge.InstanceEntry, crashes []wasabiridge.CrashNews) {
+func (k *Keeper) send(ctx context.Context, to []wasabiridge.InstanceEntry, crashes []wasabiridge.CrashUpdate) {
 	if k.options.Tell == nil || len(crashes) == 0 {
 		return
 	}
-	update := wasabiridge.News{From: k.options.Self, Crashes: crashes}
+	update := wasabiridge.StateUpdate{From: k.options.Self, Crashes: crashes}
 	for _, e := range to {
 		if e.PeerAddress != "" {
 			go k.sendOne(ctx, e.PeerAddress, update)
@@ -183,7 +183,7 @@
 	}
 }
 
-func (k *Keeper) sendOne(ctx context.Context, address string, update wasabiridge.News) {
+func (k *Keeper) sendOne(ctx context.Context, address string, update wasabiridge.StateUpdate) {
 	for range sendAttempts {
 		timed, cancel := context.WithTimeout(ctx, sendTimeout)
 		err := k.options.Tell(timed, address, update)
@@ -202,27 +202,27 @@
 
 // Hear takes an update received from another instance. It is dropped while the loop's queue
 // is full; the sender repeats it.
-func (k *Keeper) Hear(n wasabiridge.News) {
+func (k *Keeper) Hear(n wasabiridge.StateUpdate) {
 	if len(n.Crashes) > 0 {
-		k.loop.Observe(wasabiridge.CrashesHeard{From: n.From, Crashes: n.Crashes})
+		k.loop.Observe(wasabiridge.CrashesReceived{From: n.From, Crashes: n.Crashes})
 	}
 }
 
 // log logs a suspicion or a block, or that it was lifted.
 func (k *Keeper) log(note Note) {
 	m := note.Mark
-	line := k.options.Log.Info().Stringer("fingerprint", m.Fingerprint).Str("account", string(m.Account)).Int("ends", len(m.Ends)).
+	line := k.options.Log.Info().Stringer("fingerprint", m.Fingerprint).Str("account", string(m.Account)).Int("ends", len(m.Crashes)).
 		Uint64("epoch", uint64(m.Epoch)).Str("from", string(note.From))
-	if len(m.Ends) > 0 {
-		last := m.Ends[len(m.Ends)-1]
-		line = line.Str(wasabilog.BackendField, string(last.Backend)).Int64("ran_ms", int64(last.Ran)).Int64("age_ms", int64(last.Age))
+	if len(m.Crashes) > 0 {
+		last := m.Crashes[len(m.Crashes)-1]
+		line = line.Str(wasabilog.BackendField, string(last.Backend)).Int64("ran_ms", int64(last.RunTime)).Int64("age_ms", int64(last.Age))
 	}
 	switch note.Kind {
 	case NoteEnd:
 		line.Msg("Server ended under a request.")
 	case NoteBarred:
 		var ended []string
-		for _, e := range m.Ends {
+		for _, e := range m.Crashes {
 			ended = append(ended, string(e.Backend))
 		}
 		line.Strs("ended", ended).Int64("for_ms", int64(note.For)).Msg("Request blocked.")
--- a/internal/wasabiquarantine/keeper_test.go
+++ b/internal/wasabiquarantine/keeper_test.go
@@ -47,12 +47,12 @@
 // updateRecorder records the updates that are sent to other instances.
 type updateRecorder struct {
 	mu      sync.Mutex
-	updates []wasabiridge.News
+	updates []wasabiridge.StateUpdate
 	// rejected is how many of the next messages are rejected.
 	rejected int
 }
 
-func (t *updateRecorder) send(_ context.Context, _ string, n wasabiridge.News) error {
+func (t *updateRecorder) send(_ context.Context, _ string, n wasabiridge.StateUpdate) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.rejected > 0 {
@@ -94,11 +94,11 @@
 	t.Cleanup(cancel)
 	go k.Run(ctx)
 	const fingerprint = wasabiridge.Fingerprint(0xabc)
-	blocked := wasabiridge.CrashNews{Fingerprint: fingerprint, Account: "shop", Model: "m"}
+	blocked := wasabiridge.CrashUpdate{Fingerprint: fingerprint, Account: "shop", Model: "m"}
 	for i := range 3 {
-		blocked.Ends = append(blocked.Ends, wasabiridge.ServerEnd{Backend: wasabiridge.BackendServerID(fmt.Sprint("e", i)), Ran: 50, Age: wasabiridge.Millis(1000 * (i + 1))})
+		blocked.Crashes = append(blocked.Crashes, wasabiridge.ServerCrash{Backend: wasabiridge.BackendServerID(fmt.Sprint("e", i)), RunTime: 50, Age: wasabiridge.Millis(1000 * (i + 1))})
 	}
-	k.Hear(wasabiridge.News{From: "i2", Crashes: []wasabiridge.CrashNews{blocked}})
+	k.Hear(wasabiridge.StateUpdate{From: "i2", Crashes: []wasabiridge.CrashUpdate{blocked}})
 	server := httptest.NewServer(k.Handler())
 	t.Cleanup(server.Close)
 	list := func() string {
--- a/internal/wasabiquarantine/merge.go
+++ b/internal/wasabiquarantine/merge.go
@@ -8,7 +8,7 @@
 )
 
 // receive merges what another instance has sent.
-func (t *Table) receive(now wasabiridge.Millis, from wasabiridge.InstanceID, c wasabiridge.CrashNews) {
+func (t *Table) receive(now wasabiridge.Millis, from wasabiridge.InstanceID, c wasabiridge.CrashUpdate) {
 	if c.Fingerprint == 0 {
 		return
 	}
@@ -17,8 +17,8 @@
 
 // merge merges evidence into the table. from is empty for a server end that this instance
 // saw itself.
-func (t *Table) merge(now wasabiridge.Millis, from wasabiridge.InstanceID, c wasabiridge.CrashNews) {
-	for _, e := range c.Ends {
+func (t *Table) merge(now wasabiridge.Millis, from wasabiridge.InstanceID, c wasabiridge.CrashUpdate) {
+	for _, e := range c.Crashes {
 		t.endings[e.Backend] = max(t.endings[e.Backend], now-e.Age)
 	}
 	m := t.records[c.Fingerprint]
@@ -38,7 +38,7 @@
 		m.wasWide = m.isWide()
 		m.epoch, m.ends, changed = c.Epoch, nil, true
 	}
-	for _, e := range c.Ends {
+	for _, e := range c.Crashes {
 		e.At, e.Age = now-e.Age, 0
 		changed = m.add(e) || changed
 	}
@@ -71,7 +71,7 @@
 
 // newRecord adds a record, and evicts another one if there is no room. An account that has
 // used up its share gives up one of its own.
-func (t *Table) newRecord(now wasabiridge.Millis, c wasabiridge.CrashNews) *record {
+func (t *Table) newRecord(now wasabiridge.Millis, c wasabiridge.CrashUpdate) *record {
 	if t.recordsPerAccount[c.Account] >= maxAccountRecords {
 		t.evict(func(m *record) bool { return m.account == c.Account })
 	}
--- a/internal/wasabiquarantine/note.go
+++ b/internal/wasabiquarantine/note.go
@@ -17,7 +17,7 @@
 	LiftedByTime     Lifted = "forgotten"
 )
 
-// NoteKind is the kind of event that a Note reports.
+// NoteKind is the kind of event that a LogEvent reports.
 type NoteKind uint8
 
 // Kinds of notes.
@@ -33,7 +33,7 @@
 // Note is an event for the log.
 type Note struct {
 	Kind NoteKind
-	Mark wasabiridge.CrashNews
+	Mark wasabiridge.CrashUpdate
 	// From is the instance that sent the update. Empty means that this instance saw the
 	// event itself.
 	From wasabiridge.InstanceID
@@ -44,17 +44,17 @@
 
 // Counts are totals since the start of the process.
 type Counts struct {
-	// Ends counts attempts during which a server ended, Barred requests that were blocked,
-	// Lifted suspicions and blocks that were lifted, Refused the requests that were refused
-	// because of a block, Deferred those that were deferred because other instances may try
-	// them.
+	// Ends counts attempts during which a server ended, Blocked requests that were
+	// blocked, Lifted suspicions and blocks that were lifted, Refused the requests that
+	// were refused because of a block, Deferred those that were deferred because other
+	// instances may try them.
 	Ends, Barred, Lifted, Refused, Deferred int
 }
 
 func (t *Table) note(_ wasabiridge.Millis, n Note) {
 	if n.Kind == NoteLifted {
 		t.counts.Lifted++
-		if len(n.Mark.Ends) == 1 {
+		if len(n.Mark.Crashes) == 1 {
 			// Every request that ran beside one that ends a server is suspected once.
 			// These are too many to log.
 			return
@@ -97,7 +97,7 @@
 
 // Entry is a suspect or blocked request.
 type Entry struct {
-	wasabiridge.CrashNews
+	wasabiridge.CrashUpdate
 	Barred bool
 	// Left is how long the block still lasts at this instance.
 	Left wasabiridge.Millis
@@ -111,7 +111,7 @@
 		if m.count() == 0 {
 			continue
 		}
-		e := Entry{CrashNews: m.snapshot(now), Barred: t.isBlocked(now, m)}
+		e := Entry{CrashUpdate: m.snapshot(now), Barred: t.isBlocked(now, m)}
 		if e.Barred {
 			e.Left = max(0, m.newest()+t.blockDuration(m)-now)
 		}
--- a/internal/wasabiquarantine/quarantine.go
+++ b/internal/wasabiquarantine/quarantine.go
@@ -30,13 +30,13 @@
 //
 // Instances send each other what they know. The result of merging does not depend on the
 // order or the number of updates: a complete answer raises the epoch of a request, and
-// within an epoch the ends form a set. See Spread for the choice of receivers.
+// within an epoch the ends form a set. See RecipientSelector for the choice of receivers.
 //
 // # Usage
 //
 //	table := wasabiquarantine.New(wasabiquarantine.Options{Seed: 1})
 //	core := wasabicore.New(wasabicore.Options{Quarantine: table, ...})
-//	news := table.TakeNews(now)
+//	news := table.TakeUpdates(now)
 //
 // A Table is deterministic for a seed and not safe for concurrent use.
 package wasabiquarantine
@@ -177,7 +177,7 @@
 	switch e := e.(type) {
 	case wasabiridge.AttemptEnded:
 		t.ended(now, e)
-	case wasabiridge.CrashesHeard:
+	case wasabiridge.CrashesReceived:
 		for _, c := range e.Crashes {
 			t.receive(now, e.From, c)
 		}
@@ -185,7 +185,7 @@
 		if m := t.records[e.Fingerprint]; m != nil && len(m.ends) > 0 {
 			t.clear(now, m, LiftedByOperator)
 		}
-	case wasabiridge.WeightsNamed:
+	case wasabiridge.TargetWeightsSet:
 		t.latestWeights[e.Model] = max(t.latestWeights[e.Model], e.Weights)
 	case wasabiridge.Ticked:
 		t.sweep(now)
@@ -205,12 +205,12 @@
 		m.running--
 	}
 	switch {
-	case e.ServerEnded:
+	case e.ServerCrashed:
 		t.counts.Ends++
-		t.merge(now, "", wasabiridge.CrashNews{
+		t.merge(now, "", wasabiridge.CrashUpdate{
 			Fingerprint: s.fingerprint, Account: s.account, Model: s.model, Epoch: s.epoch,
-			Ends: []wasabiridge.ServerEnd{{
-				Backend: s.backend.ID, Incarnation: s.backend.Incarnation, Ran: now - s.at, Weights: s.weights,
+			Crashes: []wasabiridge.ServerCrash{{
+				Backend: s.backend.ID, Incarnation: s.backend.Incarnation, RunTime: now - s.at, Weights: s.weights,
 			}},
 		})
 	case m != nil && len(m.ends) > 0 && (e.Result == wasabiridge.AttemptCompleted || e.Failed):
--- a/internal/wasabiquarantine/quarantine_test.go
+++ b/internal/wasabiquarantine/quarantine_test.go
@@ -42,7 +42,7 @@
 }
 
 var (
-	crashed  = wasabiridge.AttemptEnded{Result: wasabiridge.AttemptBroken, ServerEnded: true}
+	crashed  = wasabiridge.AttemptEnded{Result: wasabiridge.AttemptBroken, ServerCrashed: true}
 	broken   = wasabiridge.AttemptEnded{Result: wasabiridge.AttemptBroken}
 	answered = wasabiridge.AttemptEnded{Result: wasabiridge.AttemptCompleted}
 	failed   = wasabiridge.AttemptEnded{Result: wasabiridge.AttemptBroken, Failed: true}
@@ -59,8 +59,8 @@
 	}
 }
 
-func (b *tableDriver) receive(c ...wasabiridge.CrashNews) {
-	b.table.Observe(b.now, wasabiridge.CrashesHeard{From: "other", Crashes: c})
+func (b *tableDriver) receive(c ...wasabiridge.CrashUpdate) {
+	b.table.Observe(b.now, wasabiridge.CrashesReceived{From: "other", Crashes: c})
 }
 
 func (b *tableDriver) wait(d wasabiridge.Millis) {
@@ -74,23 +74,23 @@
 // distinguished from one that ran beside it, whose connection broke, or that reached
 // servers that failed for other reasons.
 func TestStandingFollowsTheEvidence(t *testing.T) {
-	const free, suspect, deferred, blocked = wasabiridge.StandingFree, wasabiridge.StandingSuspect, wasabiridge.StandingDeferred, wasabiridge.StandingBarred
-	received := func(epoch uint32, ages ...wasabiridge.Millis) wasabiridge.CrashNews {
-		c := wasabiridge.CrashNews{Fingerprint: 1, Account: "a", Model: "m", Epoch: epoch}
+	const free, suspect, deferred, blocked = wasabiridge.QuarantineFree, wasabiridge.QuarantineSuspect, wasabiridge.QuarantineDeferred, wasabiridge.QuarantineBlocked
+	received := func(epoch uint32, ages ...wasabiridge.Millis) wasabiridge.CrashUpdate {
+		c := wasabiridge.CrashUpdate{Fingerprint: 1, Account: "a", Model: "m", Epoch: epoch}
 		for i, age := range ages {
-			c.Ends = append(c.Ends, wasabiridge.ServerEnd{Backend: wasabiridge.BackendServerID(fmt.Sprint("h", i)), Ran: 50, Age: age, Weights: 1})
+			c.Crashes = append(c.Crashes, wasabiridge.ServerCrash{Backend: wasabiridge.BackendServerID(fmt.Sprint("h", i)), RunTime: 50, Age: age, Weights: 1})
 		}
 		return c
 	}
 	// others ends n servers under other requests at the present moment.
 	others := func(b *tableDriver, n int) {
 		for i := range n {
-			b.receive(wasabiridge.CrashNews{Fingerprint: wasabiridge.Fingerprint(50 + i), Account: "a", Ends: []wasabiridge.ServerEnd{{Backend: wasabiridge.BackendServerID(fmt.Sprint("o", i)), Ran: 50}}})
+			b.receive(wasabiridge.CrashUpdate{Fingerprint: wasabiridge.Fingerprint(50 + i), Account: "a", Crashes: []wasabiridge.ServerCrash{{Backend: wasabiridge.BackendServerID(fmt.Sprint("o", i)), RunTime: 50}}})
 		}
 	}
 	cases := map[string]struct {
 		do   func(b *tableDriver)
-		want wasabiridge.Standing
+		want wasabiridge.QuarantineVerdict
 	}{
 		"nothing happened": {func(*tableDriver) {}, free},
 		"connections broke, servers still listen": {func(b *tableDriver) {
@@ -213,20 +213,20 @@
 		}, blocked},
 		"removed after the retention": {func(b *tableDriver) { b.endServers(1, "s1", "s2", "s3"); b.wait(15 * wasabiridge.Minute) }, free},
 		"newer weights": {func(b *tableDriver) {
-			b.table.Observe(b.now, wasabiridge.WeightsNamed{Model: "m", Weights: 1})
+			b.table.Observe(b.now, wasabiridge.TargetWeightsSet{Model: "m", Weights: 1})
 			b.endServers(1, "s1", "s2", "s3")
-			b.table.Observe(b.now, wasabiridge.WeightsNamed{Model: "m", Weights: 2})
+			b.table.Observe(b.now, wasabiridge.TargetWeightsSet{Model: "m", Weights: 2})
 		}, suspect},
 		"newer weights of another model": {func(b *tableDriver) {
-			b.table.Observe(b.now, wasabiridge.WeightsNamed{Model: "m", Weights: 1})
+			b.table.Observe(b.now, wasabiridge.TargetWeightsSet{Model: "m", Weights: 1})
 			b.endServers(1, "s1", "s2", "s3")
-			b.table.Observe(b.now, wasabiridge.WeightsNamed{Model: "n", Weights: 2})
+			b.table.Observe(b.now, wasabiridge.TargetWeightsSet{Model: "n", Weights: 2})
 		}, blocked},
 	}
 	for _, name := range wasabitest.Names(cases) {
 		b := newTableDriver()
 		cases[name].do(b)
-		NewWithT(t).Expect(b.table.Judge(b.now, requestWith(1))).To(Equal(cases[name].want), name)
+		NewWithT(t).Expect(b.table.Check(b.now, requestWith(1))).To(Equal(cases[name].want), name)
 	}
 }
 
@@ -236,9 +236,9 @@
 	g, b := NewWithT(t), newTableDriver()
 	ended := 0
 	for version := range 20 {
-		b.table.Observe(b.now, wasabiridge.WeightsNamed{Model: "m", Weights: wasabiridge.WeightsVersion(version + 1)})
+		b.table.Observe(b.now, wasabiridge.TargetWeightsSet{Model: "m", Weights: wasabiridge.WeightsVersion(version + 1)})
 		for i := range 5 {
-			if b.table.Judge(b.now, requestWith(1)) == wasabiridge.StandingBarred {
+			if b.table.Check(b.now, requestWith(1)) == wasabiridge.QuarantineBlocked {
 				break
 			}
 			b.endServers(1, wasabiridge.BackendServerID(fmt.Sprint(version, "/", i)))
@@ -253,28 +253,28 @@
 func TestRecordsAreBounded(t *testing.T) {
 	g, b := NewWithT(t), newTableDriver()
 	b.endServers(1, "s1", "s2", "s3")
-	other := wasabiridge.CrashNews{Fingerprint: 7, Account: "b", Ends: []wasabiridge.ServerEnd{{Backend: "s9"}}}
+	other := wasabiridge.CrashUpdate{Fingerprint: 7, Account: "b", Crashes: []wasabiridge.ServerCrash{{Backend: "s9"}}}
 	b.receive(other)
 	for i := range 10000 {
-		b.receive(wasabiridge.CrashNews{Fingerprint: wasabiridge.Fingerprint(100 + i), Account: "a", Ends: []wasabiridge.ServerEnd{{Backend: "s"}}})
+		b.receive(wasabiridge.CrashUpdate{Fingerprint: wasabiridge.Fingerprint(100 + i), Account: "a", Crashes: []wasabiridge.ServerCrash{{Backend: "s"}}})
 	}
 	g.Expect(len(b.table.Entries(b.now))).To(BeNumerically("<=", 65))
-	g.Expect(b.table.Judge(b.now, requestWith(1))).To(Equal(wasabiridge.StandingBarred))
+	g.Expect(b.table.Check(b.now, requestWith(1))).To(Equal(wasabiridge.QuarantineBlocked))
 	g.Expect(b.table.Holds(7)).To(BeTrue())
 	g.Expect(b.table.Holds(10099)).To(BeTrue(), "the newest is kept")
 	for i := range 200 {
 		// An account with blocked requests only evicts its oldest record for the newest.
 		b.now += 10000
 		b.endServers(wasabiridge.Fingerprint(20000+i), "s1", "s2", "s3")
-		g.Expect(b.table.Judge(b.now, requestWith(wasabiridge.Fingerprint(20000+i)))).To(Equal(wasabiridge.StandingBarred))
+		g.Expect(b.table.Check(b.now, requestWith(wasabiridge.Fingerprint(20000+i)))).To(Equal(wasabiridge.QuarantineBlocked))
 	}
 	g.Expect(b.table.Holds(7)).To(BeTrue(), "a record of another account")
 	b.endServers(1, "s1", "s2", "s3")
 	for account := range 10000 {
-		b.receive(wasabiridge.CrashNews{Fingerprint: wasabiridge.Fingerprint(1e6 + account), Account: wasabiridge.ClientAccountID(fmt.Sprint(account)), Ends: []wasabiridge.ServerEnd{{Backend: "s"}}})
+		b.receive(wasabiridge.CrashUpdate{Fingerprint: wasabiridge.Fingerprint(1e6 + account), Account: wasabiridge.ClientAccountID(fmt.Sprint(account)), Crashes: []wasabiridge.ServerCrash{{Backend: "s"}}})
 	}
 	g.Expect(len(b.table.Entries(b.now))).To(BeNumerically("<=", 4096))
-	g.Expect(b.table.Judge(b.now, requestWith(1))).To(Equal(wasabiridge.StandingBarred))
+	g.Expect(b.table.Check(b.now, requestWith(1))).To(Equal(wasabiridge.QuarantineBlocked))
 	g.Expect(len(b.table.Repeated(b.now).Wide)).To(BeNumerically("<=", 32))
 }
 
@@ -282,27 +282,27 @@
 // order, some of them twice, must end up with the same records.
 func TestUpdatesMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var all []wasabiridge.CrashNews
+		var all []wasabiridge.CrashUpdate
 		for range rapid.IntRange(1, 12).Draw(t, "news") {
-			c := wasabiridge.CrashNews{Fingerprint: wasabiridge.Fingerprint(rapid.IntRange(1, 3).Draw(t, "request")), Account: "a", Epoch: uint32(rapid.IntRange(0, 2).Draw(t, "epoch"))}
+			c := wasabiridge.CrashUpdate{Fingerprint: wasabiridge.Fingerprint(rapid.IntRange(1, 3).Draw(t, "request")), Account: "a", Epoch: uint32(rapid.IntRange(0, 2).Draw(t, "epoch"))}
 			for range rapid.IntRange(0, 4).Draw(t, "ends") {
 				server := rapid.IntRange(1, 5).Draw(t, "server")
-				c.Ends = append(c.Ends, wasabiridge.ServerEnd{
-					Backend: wasabiridge.BackendServerID(fmt.Sprint("s", server)), Incarnation: 1, Ran: wasabiridge.Millis(rapid.IntRange(1, 3).Draw(t, "ran")),
+				c.Crashes = append(c.Crashes, wasabiridge.ServerCrash{
+					Backend: wasabiridge.BackendServerID(fmt.Sprint("s", server)), Incarnation: 1, RunTime: wasabiridge.Millis(rapid.IntRange(1, 3).Draw(t, "ran")),
 					Age: wasabiridge.Millis(100 * server),
 				})
 			}
 			all = append(all, c)
 		}
-		seen := func(order []wasabiridge.CrashNews) map[wasabiridge.Fingerprint]string {
+		seen := func(order []wasabiridge.CrashUpdate) map[wasabiridge.Fingerprint]string {
 			b := newTableDriver()
 			for _, c := range order {
 				b.receive(c)
 			}
 			out := map[wasabiridge.Fingerprint]string{}
 			for _, e := range b.table.Entries(b.now) {
-				slices.SortFunc(e.Ends, func(x, y wasabiridge.ServerEnd) int { return int(x.At-y.At)*100 + len(x.Backend) - len(y.Backend) })
-				out[e.Fingerprint] = fmt.Sprint(e.Epoch, e.Barred, e.Ends)
+				slices.SortFunc(e.Crashes, func(x, y wasabiridge.ServerCrash) int { return int(x.At-y.At)*100 + len(x.Backend) - len(y.Backend) })
+				out[e.Fingerprint] = fmt.Sprint(e.Epoch, e.Barred, e.Crashes)
 			}
 			return out
 		}
--- a/internal/wasabiquarantine/record.go
+++ b/internal/wasabiquarantine/record.go
@@ -15,7 +15,7 @@
 	epoch       uint32
 	// ends are the server ends of the present epoch, the oldest first. One end of a server
 	// is listed once.
-	ends []wasabiridge.ServerEnd
+	ends []wasabiridge.ServerCrash
 	// changed is when the record last changed at this instance.
 	changed wasabiridge.Millis
 	// ownEndAt is when this instance last saw a server end itself.
@@ -36,17 +36,17 @@
 const wideThreshold = 2
 
 // add adds an end. It reports whether the record has changed.
-func (m *record) add(e wasabiridge.ServerEnd) bool {
+func (m *record) add(e wasabiridge.ServerCrash) bool {
 	for i := range m.ends {
 		known := &m.ends[i]
 		if known.Backend != e.Backend || !isSameEnd(*known, e) {
 			continue
 		}
-		if e.Ran <= known.Ran {
+		if e.RunTime <= known.RunTime {
 			return false
 		}
 		// The server may have ended under the earliest of several attempts.
-		known.Ran = e.Ran
+		known.RunTime = e.RunTime
 		return true
 	}
 	if len(m.ends) >= maxKeptEnds {
@@ -56,14 +56,14 @@
 		m.ends = m.ends[1:]
 	}
 	m.ends = append(m.ends, e)
-	slices.SortStableFunc(m.ends, func(a, b wasabiridge.ServerEnd) int { return int(a.At - b.At) })
+	slices.SortStableFunc(m.ends, func(a, b wasabiridge.ServerCrash) int { return int(a.At - b.At) })
 	return true
 }
 
 // isSameEnd reports whether two reports on one server are of the same end: they have the
 // same incarnation, or are so close in time that the server cannot have restarted in
 // between.
-func isSameEnd(a, b wasabiridge.ServerEnd) bool {
+func isSameEnd(a, b wasabiridge.ServerCrash) bool {
 	if a.Incarnation != 0 && a.Incarnation == b.Incarnation {
 		return true
 	}
@@ -92,7 +92,7 @@
 func (m *record) moments(hasOthers func(at wasabiridge.Millis) bool) int {
 	count, next := 0, wasabiridge.Millis(0)
 	for _, e := range m.ends {
-		if count > 0 && e.At-e.Ran < next {
+		if count > 0 && e.At-e.RunTime < next {
 			continue
 		}
 		count++
@@ -106,7 +106,7 @@
 
 // hasEnded reports whether a server ended while it ran the request.
 func (m *record) hasEnded(b wasabiridge.BackendServerID) bool {
-	return slices.ContainsFunc(m.ends, func(e wasabiridge.ServerEnd) bool { return e.Backend == b })
+	return slices.ContainsFunc(m.ends, func(e wasabiridge.ServerCrash) bool { return e.Backend == b })
 }
 
 // weights returns the newest weights version that was announced when a server ended.
@@ -130,10 +130,10 @@
 }
 
 // snapshot returns the record in the form that is sent to other instances.
-func (m *record) snapshot(now wasabiridge.Millis) wasabiridge.CrashNews {
-	out := wasabiridge.CrashNews{Fingerprint: m.fingerprint, Account: m.account, Model: m.model, Epoch: m.epoch, Ends: slices.Clone(m.ends)}
-	for i := range out.Ends {
-		out.Ends[i].Age = max(0, now-out.Ends[i].At)
+func (m *record) snapshot(now wasabiridge.Millis) wasabiridge.CrashUpdate {
+	out := wasabiridge.CrashUpdate{Fingerprint: m.fingerprint, Account: m.account, Model: m.model, Epoch: m.epoch, Crashes: slices.Clone(m.ends)}
+	for i := range out.Crashes {
+		out.Crashes[i].Age = max(0, now-out.Crashes[i].At)
 	}
 	return out
 }
--- a/internal/wasabiquarantine/row.go
+++ b/internal/wasabiquarantine/row.go
@@ -35,11 +35,11 @@
 func RowKey(f wasabiridge.Fingerprint) string { return RowPrefix + f.String() }
 
 // EncodeRow encodes a block as it is stored, at a time of day.
-func EncodeRow(now wasabiridge.Millis, c wasabiridge.CrashNews) ([]byte, error) {
+func EncodeRow(now wasabiridge.Millis, c wasabiridge.CrashUpdate) ([]byte, error) {
 	out := row{Account: string(c.Account), Model: string(c.Model), Epoch: c.Epoch}
-	for _, e := range c.Ends {
+	for _, e := range c.Crashes {
 		out.Ends = append(out.Ends, rowEnd{
-			Backend: string(e.Backend), Incarnation: uint64(e.Incarnation), RanMillis: int64(e.Ran), Weights: uint64(e.Weights), AtMillis: int64(now - e.Age),
+			Backend: string(e.Backend), Incarnation: uint64(e.Incarnation), RanMillis: int64(e.RunTime), Weights: uint64(e.Weights), AtMillis: int64(now - e.Age),
 		})
 	}
 	return json.Marshal(out)
@@ -47,16 +47,16 @@
 
 // DecodeRow decodes a stored block at a time of day. It reports ErrInvalid for a key that
 // names no request, or a value that is not a block.
-func DecodeRow(now wasabiridge.Millis, r wasabiridge.Row) (wasabiridge.CrashNews, error) {
+func DecodeRow(now wasabiridge.Millis, r wasabiridge.Row) (wasabiridge.CrashUpdate, error) {
 	id, err := strconv.ParseUint(strings.TrimPrefix(r.Key, RowPrefix), 16, 64)
 	if err != nil || id == 0 {
-		return wasabiridge.CrashNews{}, wasabiridge.ErrInvalid.New("quarantine: row key %q contains no fingerprint", r.Key)
+		return wasabiridge.CrashUpdate{}, wasabiridge.ErrInvalid.New("quarantine: row key %q contains no fingerprint", r.Key)
 	}
 	var in row
 	if err = json.Unmarshal(r.Value, &in); err != nil {
-		return wasabiridge.CrashNews{}, wasabiridge.ErrInvalid.Wrap(err, "quarantine: decoding row %q", r.Key)
+		return wasabiridge.CrashUpdate{}, wasabiridge.ErrInvalid.Wrap(err, "quarantine: decoding row %q", r.Key)
 	}
-	out := wasabiridge.CrashNews{
+	out := wasabiridge.CrashUpdate{
 		Fingerprint: wasabiridge.Fingerprint(id), Account: wasabiridge.ClientAccountID(in.Account), Model: wasabiridge.ModelID(in.Model), Epoch: in.Epoch,
 	}
 	ends := in.Ends[:min(len(in.Ends), maxKeptEnds)]
@@ -65,17 +65,17 @@
 		now = max(now, wasabiridge.Millis(e.AtMillis))
 	}
 	for _, e := range ends {
-		out.Ends = append(out.Ends, wasabiridge.ServerEnd{
+		out.Crashes = append(out.Crashes, wasabiridge.ServerCrash{
 			Backend: wasabiridge.BackendServerID(e.Backend), Incarnation: wasabiridge.Incarnation(e.Incarnation),
-			Ran: max(0, wasabiridge.Millis(e.RanMillis)), Weights: wasabiridge.WeightsVersion(e.Weights), Age: now - wasabiridge.Millis(e.AtMillis),
+			RunTime: max(0, wasabiridge.Millis(e.RanMillis)), Weights: wasabiridge.WeightsVersion(e.Weights), Age: now - wasabiridge.Millis(e.AtMillis),
 		})
 	}
 	return out, nil
 }
 
 // IsOver reports whether a stored block has expired.
-func IsOver(c wasabiridge.CrashNews) bool {
-	for _, e := range c.Ends {
+func IsOver(c wasabiridge.CrashUpdate) bool {
+	for _, e := range c.Crashes {
 		if e.Age < RowLife {
 			return false
 		}
--- a/internal/wasabiquarantine/row_test.go
+++ b/internal/wasabiquarantine/row_test.go
@@ -22,20 +22,20 @@
 	value, err := wasabiquarantine.EncodeRow(written, stored[0])
 	g.Expect(err).NotTo(HaveOccurred())
 	row := wasabiridge.Row{Key: wasabiquarantine.RowKey(1), Value: value}
-	for after, want := range map[wasabiridge.Millis]wasabiridge.Standing{
-		10 * wasabiridge.Second: wasabiridge.StandingBarred,
+	for after, want := range map[wasabiridge.Millis]wasabiridge.QuarantineVerdict{
+		10 * wasabiridge.Second: wasabiridge.QuarantineBlocked,
 		// The clock of the instance that loads the row is behind that of the writer.
-		-5 * wasabiridge.Second:   wasabiridge.StandingBarred,
-		100 * wasabiridge.Second:  wasabiridge.StandingSuspect,
-		90 * wasabiridge.Minute:   wasabiridge.StandingSuspect,
-		1000 * wasabiridge.Minute: wasabiridge.StandingSuspect,
+		-5 * wasabiridge.Second:   wasabiridge.QuarantineBlocked,
+		100 * wasabiridge.Second:  wasabiridge.QuarantineSuspect,
+		90 * wasabiridge.Minute:   wasabiridge.QuarantineSuspect,
+		1000 * wasabiridge.Minute: wasabiridge.QuarantineSuspect,
 	} {
 		other := newTableDriver()
 		decoded, err := wasabiquarantine.DecodeRow(written+after, row)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(wasabiquarantine.IsOver(decoded)).To(Equal(after > wasabiquarantine.RowLife))
 		other.receive(decoded)
-		g.Expect(other.table.Judge(other.now, requestWith(1))).To(Equal(want), "after %d", after)
+		g.Expect(other.table.Check(other.now, requestWith(1))).To(Equal(want), "after %d", after)
 	}
 }
 
--- a/internal/wasabiquarantine/spread.go
+++ b/internal/wasabiquarantine/spread.go
@@ -23,7 +23,7 @@
 // News are the records to send. Narrow goes to the instances that callers are routed to,
 // Wide to all instances.
 type News struct {
-	Narrow, Wide []wasabiridge.CrashNews
+	Narrow, Wide []wasabiridge.CrashUpdate
 	// Corrections go to single instances that have sent records of an earlier epoch.
 	Corrections []Correction
 }
@@ -31,7 +31,7 @@
 // Correction is the reply to an instance that has sent records of an earlier epoch.
 type Correction struct {
 	To    wasabiridge.InstanceID
-	Marks []wasabiridge.CrashNews
+	Marks []wasabiridge.CrashUpdate
 }
 
 // TakeNews returns the updates to send at once, and clears them.
@@ -118,7 +118,7 @@
 	incarnations map[wasabiridge.InstanceID]wasabiridge.Incarnation
 }
 
-// NewSpread returns a Spread that has not seen any members.
+// NewSpread returns a RecipientSelector that has not seen any members.
 func NewSpread(seed uint64) *Spread {
 	return &Spread{random: rand.New(rand.NewPCG(seed, 2)), incarnations: map[wasabiridge.InstanceID]wasabiridge.Incarnation{}}
 }
--- a/internal/wasabiquarantine/spread_test.go
+++ b/internal/wasabiquarantine/spread_test.go
@@ -171,7 +171,7 @@
 			if f.served[e.Fingerprint] > 0 && e.Fingerprint <= wasabiridge.Fingerprint(popular) {
 				held++
 				if held < 20 {
-					fmt.Println("HELD", f.now-1e6, n.id, e.Fingerprint, e.Epoch, e.Ends)
+					fmt.Println("HELD", f.now-1e6, n.id, e.Fingerprint, e.Epoch, e.Crashes)
 				}
 			}
 		}
--- a/internal/wasabiquota/bench_test.go
+++ b/internal/wasabiquota/bench_test.go
@@ -20,7 +20,7 @@
 	t.Observe(1000, wasabiridge.ConfigAdopted{Config: wasabiridge.Config{Accounts: list}})
 	t.Observe(1000, wasabiridge.ActiveKnown{Instances: instanceIDs[:62], Known: 374})
 	for i := 1; i < 62; i++ {
-		t.Observe(1000, wasabiridge.PeerHeard{From: instanceID(i)})
+		t.Observe(1000, wasabiridge.PeerReachable{From: instanceID(i)})
 	}
 	for now := wasabiridge.Millis(1000); now < 4000; now += 20 {
 		t.Observe(now, wasabiridge.Ticked{})
@@ -35,7 +35,7 @@
 		id++
 		r := wasabiridge.Request{Account: accounts[int(id)%len(accounts)].ID, Chain: wasabiridge.Chain{Tokens: 383}}
 		now := 4000 + wasabiridge.Millis(id/100)
-		t.Judge(now, r)
+		t.Check(now, r)
 		t.Sent(now, r, id)
 		t.Observe(now, wasabiridge.AttemptSent{Attempt: id})
 		t.Observe(now, wasabiridge.AttemptEnded{Attempt: id, Result: wasabiridge.AttemptCompleted})
@@ -47,8 +47,8 @@
 	n := uint64(0)
 	for b.Loop() {
 		n++
-		use := wasabiridge.UseNews{Account: accounts[n%1000].ID, Spent: int64(n)}
-		t.Observe(4000+wasabiridge.Millis(n/100), wasabiridge.UsesHeard{From: instanceID(int(n)%61 + 1), Life: 2, Sequence: n, Part: 1, Uses: []wasabiridge.UseNews{use}})
+		use := wasabiridge.UsageUpdate{Account: accounts[n%1000].ID, Spent: int64(n)}
+		t.Observe(4000+wasabiridge.Millis(n/100), wasabiridge.UsageReceived{From: instanceID(int(n)%61 + 1), Incarnation: 2, Sequence: n, Share: 1, Usage: []wasabiridge.UsageUpdate{use}})
 	}
 }
 
@@ -63,8 +63,8 @@
 			t, list := busyTable(accounts)
 			for i := range 1000 {
 				for j := 1; j < 62; j++ {
-					use := wasabiridge.UseNews{Account: list[i].ID, Spent: 1}
-					t.Observe(4000, wasabiridge.UsesHeard{From: instanceID(j), Life: 2, Sequence: uint64(i + 1), Part: 1, Uses: []wasabiridge.UseNews{use}})
+					use := wasabiridge.UsageUpdate{Account: list[i].ID, Spent: 1}
+					t.Observe(4000, wasabiridge.UsageReceived{From: instanceID(j), Incarnation: 2, Sequence: uint64(i + 1), Share: 1, Usage: []wasabiridge.UsageUpdate{use}})
 				}
 			}
 			runtime.GC()
--- a/internal/wasabiquota/handler.go
+++ b/internal/wasabiquota/handler.go
@@ -22,12 +22,12 @@
 // Quotas implements wasabiridge.QuotaReader.
 func (k *Keeper) Quotas() wasabiridge.QuotaReport {
 	s := k.Snapshot()
-	out := wasabiridge.QuotaReport{Instance: k.options.Self, Part: s.Part, Accounts: []wasabiridge.QuotaStatus{}}
+	out := wasabiridge.QuotaReport{Instance: k.options.Self, Share: s.Part, Accounts: []wasabiridge.QuotaStatus{}}
 	for _, e := range s.Entries {
 		status := wasabiridge.QuotaStatus{Account: e.Account, Limit: e.Limit, Left: e.Level, Known: e.Known, Refused: e.Refused}
 		status.Used = append(status.Used, wasabiridge.QuotaUse{Instance: k.options.Self, Used: int64(e.Own)})
 		for _, t := range e.Totals {
-			status.Used = append(status.Used, wasabiridge.QuotaUse{Instance: t.Instance, Used: t.Spent, Silent: t.Silent})
+			status.Used = append(status.Used, wasabiridge.QuotaUse{Instance: t.Instance, Used: t.Spent, Unresponsive: t.Silent})
 		}
 		out.Accounts = append(out.Accounts, status)
 	}
--- a/internal/wasabiquota/idle_test.go
+++ b/internal/wasabiquota/idle_test.go
@@ -27,7 +27,7 @@
 		t.Observe(1000, wasabiridge.ActiveKnown{Instances: instanceIDs[:4], Known: 4})
 		answer := func(now wasabiridge.Millis) {
 			for _, id := range t.Strangers(now) {
-				t.Observe(now, wasabiridge.PeerHeard{From: id})
+				t.Observe(now, wasabiridge.PeerReachable{From: id})
 			}
 		}
 		pass(t, 1000, 4000, answer)
@@ -48,7 +48,7 @@
 		t.Observe(1000, wasabiridge.ActiveKnown{Instances: instanceIDs[:4], Known: 4})
 		answer := func(now wasabiridge.Millis) {
 			for _, id := range t.Strangers(now) {
-				t.Observe(now, wasabiridge.PeerHeard{From: id})
+				t.Observe(now, wasabiridge.PeerReachable{From: id})
 			}
 		}
 		pass(t, 1000, 4000, answer)
--- a/internal/wasabiquota/keeper.go
+++ b/internal/wasabiquota/keeper.go
@@ -24,7 +24,7 @@
 	sendTimeout = 500 * time.Millisecond
 )
 
-// KeeperOptions are the dependencies and settings of a Keeper. Clock is required.
+// KeeperOptions are the dependencies and settings of a Controller. Clock is required.
 type KeeperOptions struct {
 	Self        wasabiridge.InstanceID
 	Incarnation wasabiridge.Incarnation
@@ -38,7 +38,7 @@
 	Active  func() []wasabiridge.InstanceEntry
 	// Tell sends an update to the instance at an address. Nil means that there are no other
 	// instances.
-	Tell func(ctx context.Context, address string, n wasabiridge.News) error
+	Tell func(ctx context.Context, address string, n wasabiridge.StateUpdate) error
 	// Rows stores which instances own a share of the limits. Nil means that this is not
 	// stored.
 	Rows wasabiridge.Table
@@ -82,7 +82,8 @@
 	}
 }
 
-// Table returns the quota table. It may be used only in the loop that is given to Join.
+// Table returns the quota table. It may be used only in the loop that is given to
+// SetLoop.
 func (k *Keeper) Table() *Table { return k.table }
 
 // Join sets the loop that owns the table. It must be called once, before any other method
@@ -106,11 +107,11 @@
 
 func (k *Keeper) poll(ctx context.Context) {
 	k.updateActive()
-	var update wasabiridge.News
+	var update wasabiridge.StateUpdate
 	var notes []Note
 	var silent, unconfirmed, snapshotTargets, owners []wasabiridge.InstanceID
 	limited := false
-	var hello, snapshot wasabiridge.News
+	var hello, snapshot wasabiridge.StateUpdate
 	var ownership Owners
 	k.loop.Inspect(func() {
 		now := k.options.Clock.Now()
@@ -184,30 +185,30 @@
 // Add adds what the other instances need to know of the limits to an update, if the update
 // is sent anyway or one on the limits is due. It must be called in the goroutine of the
 // loop.
-func (k *Keeper) Add(now wasabiridge.Millis, update *wasabiridge.News) {
+func (k *Keeper) Add(now wasabiridge.Millis, update *wasabiridge.StateUpdate) {
 	k.mu.Lock()
 	for id := range k.answered {
-		k.table.Observe(now, wasabiridge.PeerHeard{From: id})
+		k.table.Observe(now, wasabiridge.PeerReachable{From: id})
 	}
 	clear(k.answered)
 	k.mu.Unlock()
-	if len(update.Loads) == 0 && len(update.Parts) == 0 && !k.table.IsDue(now) {
+	if len(update.Loads) == 0 && len(update.Segments) == 0 && !k.table.IsDue(now) {
 		return
 	}
 	own := k.table.TakeNews(now)
-	if len(own.Uses) == 0 {
+	if len(own.Usage) == 0 {
 		return
 	}
-	update.Uses, update.Life, update.Sequence, update.Part = own.Uses, own.Life, own.Sequence, own.Part
-	update.Change, update.View = own.Change, own.View
+	update.Usage, update.Incarnation, update.Sequence, update.Share = own.Usage, own.Incarnation, own.Sequence, own.Share
+	update.OwnersEpoch, update.OwnersDigest = own.OwnersEpoch, own.OwnersDigest
 	for _, id := range k.table.Others() {
-		k.table.Observe(now, wasabiridge.PeerTold{To: id})
+		k.table.Observe(now, wasabiridge.PeerUpdateSent{To: id})
 	}
 }
 
 // Tell sends an update in full to some instances, and its part on the limits to all other
 // instances that own a share of them. It does not wait for answers.
-func (k *Keeper) Tell(ctx context.Context, update wasabiridge.News, full []wasabiridge.InstanceEntry) {
+func (k *Keeper) Tell(ctx context.Context, update wasabiridge.StateUpdate, full []wasabiridge.InstanceEntry) {
 	if k.options.Tell == nil {
 		return
 	}
@@ -219,17 +220,17 @@
 			go k.sendOne(ctx, e.ID, e.PeerAddress, update)
 		}
 	}
-	if len(update.Uses) == 0 {
+	if len(update.Usage) == 0 {
 		return
 	}
-	update.Loads, update.Parts = nil, nil
+	update.Loads, update.Segments = nil, nil
 	var others []wasabiridge.InstanceID
 	k.loop.Inspect(func() { others = k.table.Others() })
 	others = slices.DeleteFunc(others, func(id wasabiridge.InstanceID) bool { return sent[id] })
 	k.sendEach(ctx, others, update)
 }
 
-func (k *Keeper) sendEach(ctx context.Context, to []wasabiridge.InstanceID, update wasabiridge.News) {
+func (k *Keeper) sendEach(ctx context.Context, to []wasabiridge.InstanceID, update wasabiridge.StateUpdate) {
 	for _, id := range to {
 		if address := k.addressOf(id); address != "" && k.options.Tell != nil {
 			go k.sendOne(ctx, id, address, update)
@@ -243,7 +244,7 @@
 	return k.addresses[id]
 }
 
-func (k *Keeper) sendOne(ctx context.Context, id wasabiridge.InstanceID, address string, update wasabiridge.News) {
+func (k *Keeper) sendOne(ctx context.Context, id wasabiridge.InstanceID, address string, update wasabiridge.StateUpdate) {
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	if err := k.options.Tell(ctx, address, update); err != nil {
@@ -262,10 +263,10 @@
 
 // Hear takes an update received from another instance. Its part on the limits is dropped
 // while the loop's queue is full; the sender repeats it.
-func (k *Keeper) Hear(n wasabiridge.News) {
+func (k *Keeper) Hear(n wasabiridge.StateUpdate) {
 	k.noteAnswer(n.From)
-	if n.Life > 0 {
-		k.loop.Observe(n.UsesHeard())
+	if n.Incarnation > 0 {
+		k.loop.Observe(n.UsageReceived())
 	}
 }
 
--- a/internal/wasabiquota/keeper_test.go
+++ b/internal/wasabiquota/keeper_test.go
@@ -64,7 +64,7 @@
 		Members: func() []wasabiridge.Member {
 			return []wasabiridge.Member{{InstanceEntry: wasabiridge.InstanceEntry{ID: "z", PeerAddress: "127.0.0.1:1"}}}
 		},
-		Tell: func(context.Context, string, wasabiridge.News) error {
+		Tell: func(context.Context, string, wasabiridge.StateUpdate) error {
 			if !answers {
 				return wasabiridge.ErrUnavailable.New("test: instance does not answer")
 			}
--- a/internal/wasabiquota/note.go
+++ b/internal/wasabiquota/note.go
@@ -26,9 +26,9 @@
 	Request wasabiridge.RequestID
 	Account wasabiridge.ClientAccountID
 	Limit   wasabiridge.AccountLimit
-	// Cost is the units of the request, Level what was left in the bucket, Part the share
-	// of the limit that this instance could use, Known whether the level accounted for all
-	// instances.
+	// Cost is the units of the request, Level what was left in the bucket, UsableShare
+	// the share of the limit that this instance could use, Known whether the level
+	// accounted for all instances.
 	Cost, Level, Part float64
 	Known             bool
 	RetryAfter        wasabiridge.Millis
@@ -79,9 +79,9 @@
 type Entry struct {
 	Account wasabiridge.ClientAccountID
 	Limit   wasabiridge.AccountLimit
-	// Level is what is left of the burst, negative for a debt. Own is the number of units
-	// spent at this instance since its start, Refused the number of requests that this
-	// instance refused. Known says that Level accounts for all instances.
+	// Level is what is left of the burst, negative for a debt. SpentHere is the number
+	// of units spent at this instance since its start, Refused the number of requests
+	// that this instance refused. Known says that Level accounts for all instances.
 	Level, Own float64
 	Refused    uint64
 	Known      bool
@@ -89,8 +89,8 @@
 	Totals []Total
 }
 
-// Total is the number of units that another instance has spent since its start. Silent says
-// that the instance has not answered in time.
+// Total is the number of units that another instance has spent since its start.
+// Unresponsive says that the instance has not answered in time.
 type Total struct {
 	Instance wasabiridge.InstanceID
 	Spent    int64
--- a/internal/wasabiquota/shares_test.go
+++ b/internal/wasabiquota/shares_test.go
@@ -241,7 +241,7 @@
 		f.runUntil(f.now + detectionSpan)
 		owner := f.instances[2].limiter.(*runningTotals).table
 		for _, id := range instanceIDs[5:15] {
-			owner.Observe(f.now, wasabiridge.UsesHeard{From: id, Life: 1})
+			owner.Observe(f.now, wasabiridge.UsageReceived{From: id, Incarnation: 1})
 		}
 		Expect(owner.Newcomers()).To(Equal(instanceIDs[5:15]))
 	})
--- a/internal/wasabiquota/table.go
+++ b/internal/wasabiquota/table.go
@@ -38,13 +38,13 @@
 //
 // # Usage
 //
-//	keeper := wasabiquota.NewKeeper(wasabiquota.KeeperOptions{Self: "pos-1", Clock: clock, ...})
+//	keeper := wasabiquota.NewController(wasabiquota.ControllerOptions{Self: "pos-1", Clock: clock, ...})
 //	core := wasabicore.New(wasabicore.Options{Quota: keeper.Table(), ...})
-//	keeper.Join(wasabiloop.New(wasabiloop.Options{Decider: core, Clock: clock}))
+//	keeper.SetLoop(wasabiloop.New(wasabiloop.Options{Decider: core, Clock: clock}))
 //	go keeper.Run(ctx)
 //
 // A Table makes the decisions; it is deterministic and not safe for concurrent use. A
-// Keeper connects it to the other instances.
+// Controller connects it to the other instances.
 package wasabiquota
 
 import (
@@ -85,7 +85,7 @@
 
 // Options configure a Table. The zero value works.
 type Options struct {
-	// Self names this instance, Life is the incarnation of its process.
+	// Self names this instance, Incarnation is the incarnation of its process.
 	Self wasabiridge.InstanceID
 	Life wasabiridge.Incarnation
 	// Started is when the process started.
@@ -174,8 +174,8 @@
 	}
 }
 
-// Judge implements wasabiridge.Quota.
-func (t *Table) Judge(now wasabiridge.Millis, r wasabiridge.Request) wasabiridge.QuotaVerdict {
+// Check implements wasabiridge.Quota.
+func (t *Table) Check(now wasabiridge.Millis, r wasabiridge.Request) wasabiridge.QuotaVerdict {
 	a := t.accounts[r.Account]
 	if a == nil {
 		return wasabiridge.QuotaVerdict{Allowed: true}
@@ -224,7 +224,7 @@
 		t.ended(now, e)
 	case wasabiridge.ConfigAdopted:
 		t.adopt(now, e.Config.Accounts)
-	case wasabiridge.UsesHeard, wasabiridge.PeerHeard, wasabiridge.PeerTold, wasabiridge.PeerEnded, wasabiridge.ActiveKnown:
+	case wasabiridge.UsageReceived, wasabiridge.PeerReachable, wasabiridge.PeerUpdateSent, wasabiridge.PeerEnded, wasabiridge.ActiveKnown:
 		t.advance(now)
 		t.observePeer(now, e)
 		// The event may have changed which owners are reachable.
@@ -240,11 +240,11 @@
 // observePeer handles an event that concerns other instances.
 func (t *Table) observePeer(now wasabiridge.Millis, e wasabiridge.Event) {
 	switch e := e.(type) {
-	case wasabiridge.UsesHeard:
+	case wasabiridge.UsageReceived:
 		t.receiveUses(now, e)
-	case wasabiridge.PeerHeard:
+	case wasabiridge.PeerReachable:
 		t.markAnswered(now, e.From)
-	case wasabiridge.PeerTold:
+	case wasabiridge.PeerUpdateSent:
 		if p := t.peers[e.To]; p != nil && p.awaitingSince == 0 {
 			p.awaitingSince = now
 		}
--- a/internal/wasabiquota/table_test.go
+++ b/internal/wasabiquota/table_test.go
@@ -38,7 +38,7 @@
 // request sends a request. It reports whether it was admitted.
 func (a *standalone) request(r wasabiridge.Request) bool {
 	r.Account = "a"
-	if !a.table.Judge(a.now, r).Allowed {
+	if !a.table.Check(a.now, r).Allowed {
 		return false
 	}
 	a.attempt++
@@ -83,7 +83,7 @@
 	It("does not apply to other accounts, nor with a rate of zero", func() {
 		a := newStandalone(perToken)
 		a.exhaust(tokens(500))
-		Expect(a.table.Judge(a.now, wasabiridge.Request{Account: "free"}).Allowed).To(BeTrue())
+		Expect(a.table.Check(a.now, wasabiridge.Request{Account: "free"}).Allowed).To(BeTrue())
 		a.adopt(wasabiridge.AccountLimit{})
 		Expect(a.request(tokens(5000))).To(BeTrue())
 	})
@@ -91,7 +91,7 @@
 	It("admits its rate, and tells a refused request when to retry", func() {
 		a := newStandalone(perToken)
 		Expect(a.exhaust(tokens(500))).To(Equal(4))
-		v := a.table.Judge(a.now, wasabiridge.Request{Account: "a", Chain: wasabiridge.Chain{Tokens: 500}})
+		v := a.table.Check(a.now, wasabiridge.Request{Account: "a", Chain: wasabiridge.Chain{Tokens: 500}})
 		Expect(v.Allowed).To(BeFalse())
 		Expect(v.RetryAfter).To(BeNumerically("~", 1000, 20), "after the request that was refused before")
 		Expect(v.State).To(Equal(wasabiridge.QuotaState{Unit: wasabiridge.LimitTokens, Limit: 2000, Reset: 2000}))
@@ -104,7 +104,7 @@
 		a.exhaust(tokens(500))
 		var last wasabiridge.Millis
 		for range 4 {
-			v := a.table.Judge(a.now, wasabiridge.Request{Account: "a", Chain: wasabiridge.Chain{Tokens: 300}})
+			v := a.table.Check(a.now, wasabiridge.Request{Account: "a", Chain: wasabiridge.Chain{Tokens: 300}})
 			Expect(v.RetryAfter).To(BeNumerically(">", last))
 			last = v.RetryAfter
 		}
--- a/internal/wasabiquota/totals_test.go
+++ b/internal/wasabiquota/totals_test.go
@@ -43,7 +43,7 @@
 }
 
 func (w *runningTotals) decide(now wasabiridge.Millis, r wasabiridge.Request, done func(wasabiridge.Millis, bool)) {
-	if !w.table.Judge(now, r).Allowed {
+	if !w.table.Check(now, r).Allowed {
 		done(now, false)
 		return
 	}
@@ -89,30 +89,30 @@
 	}
 	for _, id := range w.table.Newcomers() {
 		all := w.table.All(now)
-		w.fleet.send(w.self, slices.Index(instanceIDs[:], id), entryBytes*len(all.Uses), all)
+		w.fleet.send(w.self, slices.Index(instanceIDs[:], id), entryBytes*len(all.Usage), all)
 	}
 }
 
 func (w *runningTotals) sendUpdate(now wasabiridge.Millis) {
 	update := w.table.TakeNews(now)
-	if len(update.Uses) == 0 {
+	if len(update.Usage) == 0 {
 		return
 	}
 	for i := range w.fleet.instances {
 		if i == w.self {
 			continue
 		}
-		w.table.Observe(now, wasabiridge.PeerTold{To: instanceID(i)})
-		w.fleet.send(w.self, i, entryBytes*len(update.Uses), update)
+		w.table.Observe(now, wasabiridge.PeerUpdateSent{To: instanceID(i)})
+		w.fleet.send(w.self, i, entryBytes*len(update.Usage), update)
 	}
 }
 
 func (w *runningTotals) receive(now wasabiridge.Millis, from int, message any) any {
-	update := message.(wasabiridge.News)
-	w.table.Observe(now, update.UsesHeard())
+	update := message.(wasabiridge.StateUpdate)
+	w.table.Observe(now, update.UsageReceived())
 	return nil
 }
 
 func (w *runningTotals) receiveAnswer(now wasabiridge.Millis, from int, _ any) {
-	w.table.Observe(now, wasabiridge.PeerHeard{From: instanceID(from)})
+	w.table.Observe(now, wasabiridge.PeerReachable{From: instanceID(from)})
 }
--- a/internal/wasabiquota/update.go
+++ b/internal/wasabiquota/update.go
@@ -139,18 +139,18 @@
 
 // All returns the answer to a request for the levels of all accounts: every account of
 // which some use is known.
-func (t *Table) All(now wasabiridge.Millis) wasabiridge.News {
+func (t *Table) All(now wasabiridge.Millis) wasabiridge.StateUpdate {
 	t.advance(now)
 	t.sequence++
 	update := t.Hello(now)
-	update.Whole = true
+	update.Complete = true
 	for _, id := range slices.Sorted(maps.Keys(t.accounts)) {
 		a := t.accounts[id]
 		a.refill(t, now)
 		// The receiver must not assume an account to be unspent if its level is unknown here.
-		update.Whole = update.Whole && a.levelKnown
+		update.Complete = update.Complete && a.levelKnown
 		if a.levelKnown && (a.spentHere != 0 || len(a.peerTotals) > 0) {
-			update.Uses = append(update.Uses, wasabiridge.UseNews{Account: id, Spent: int64(math.Ceil(a.spentHere)), Level: int64(a.level), LevelKnown: true})
+			update.Usage = append(update.Usage, wasabiridge.UsageUpdate{Account: id, Spent: int64(math.Ceil(a.spentHere)), Level: int64(a.level), LevelKnown: true})
 		}
 	}
 	return update
@@ -158,15 +158,15 @@
 
 // Hello returns an update without uses. It tells the receiver that this instance is
 // running, and which owners it assumes.
-func (t *Table) Hello(now wasabiridge.Millis) wasabiridge.News {
-	return wasabiridge.News{
-		From: t.options.Self, Life: t.options.Life, Sequence: t.sequence, Part: t.shareToAnnounce(now), Change: t.change, View: t.view,
+func (t *Table) Hello(now wasabiridge.Millis) wasabiridge.StateUpdate {
+	return wasabiridge.StateUpdate{
+		From: t.options.Self, Incarnation: t.options.Life, Sequence: t.sequence, Share: t.shareToAnnounce(now), OwnersEpoch: t.change, OwnersDigest: t.view,
 	}
 }
 
 // TakeNews returns the update that is due for the other instances. It has no uses when
 // nothing has run for a while.
-func (t *Table) TakeNews(now wasabiridge.Millis) wasabiridge.News {
+func (t *Table) TakeNews(now wasabiridge.Millis) wasabiridge.StateUpdate {
 	t.advance(now)
 	ownShare := t.ownShare(now)
 	update := t.Hello(now)
@@ -182,16 +182,16 @@
 		if a.isAnnounced() {
 			delete(t.unannounced, id)
 		}
-		use := wasabiridge.UseNews{Account: id, Spent: int64(math.Ceil(a.spentHere))}
+		use := wasabiridge.UsageUpdate{Account: id, Spent: int64(math.Ceil(a.spentHere))}
 		if a.levelKnown {
 			use.Level, use.LevelKnown = int64(a.level), true
 		}
-		update.Uses = append(update.Uses, use)
+		update.Usage = append(update.Usage, use)
 	}
-	if len(update.Uses) > 0 && now-t.announcedAt >= urgentInterval {
+	if len(update.Usage) > 0 && now-t.announcedAt >= urgentInterval {
 		t.announcedAt = now
 	}
-	if len(update.Uses) > 0 {
+	if len(update.Usage) > 0 {
 		t.sequence++
 		update.Sequence = t.sequence
 	}
@@ -199,46 +199,46 @@
 }
 
 // receiveUses applies what another instance has spent.
-func (t *Table) receiveUses(now wasabiridge.Millis, e wasabiridge.UsesHeard) {
-	if len(e.Uses) == 0 && !e.Whole && e.Part == 0 {
+func (t *Table) receiveUses(now wasabiridge.Millis, e wasabiridge.UsageReceived) {
+	if len(e.Usage) == 0 && !e.Complete && e.Share == 0 {
 		t.snapshotRequests[e.From] = true
 	}
-	if len(e.Uses) == 0 && t.peers[e.From] == nil {
+	if len(e.Usage) == 0 && t.peers[e.From] == nil {
 		// An instance that spends nothing owns no share.
 		return
 	}
 	p := t.peerFor(now, e.From)
-	if !p.acceptIncarnation(e.Life, e.Sequence) {
+	if !p.acceptIncarnation(e.Incarnation, e.Sequence) {
 		return
 	}
-	t.membershipDirty = t.membershipDirty || e.Change > p.change
+	t.membershipDirty = t.membershipDirty || e.OwnersEpoch > p.change
 	p.receiveView(e)
-	p.announcedShare = e.Part
-	t.ownerContacted = t.ownerContacted || e.Part > 0
-	if len(e.Uses) > 0 {
+	p.announcedShare = e.Share
+	t.ownerContacted = t.ownerContacted || e.Share > 0
+	if len(e.Usage) > 0 {
 		p.usedAt = now
 	}
-	for _, use := range e.Uses {
+	for _, use := range e.Usage {
 		a := t.accounts[use.Account]
 		if a == nil {
 			continue
 		}
 		a.refill(t, now)
-		a.applyPeerTotal(e.From, peerTotal{incarnation: e.Life, sequence: e.Sequence, spent: use.Spent, withheld: p.withheld}, p.receivedFromStart)
+		a.applyPeerTotal(e.From, peerTotal{incarnation: e.Incarnation, sequence: e.Sequence, spent: use.Spent, withheld: p.withheld}, p.receivedFromStart)
 		if !a.levelKnown && use.LevelKnown {
 			// The sender may not have received this instance's latest uses yet.
 			a.setLevel(t, now, min(float64(use.Level)-(a.spentHere-a.announced), a.burst()*t.usableShare(now)))
 		}
 	}
 	t.markAnswered(now, e.From)
-	if e.Whole {
-		t.assumeUnspent(now, e.Uses)
+	if e.Complete {
+		t.assumeUnspent(now, e.Usage)
 	}
 }
 
 // assumeUnspent assumes that the burst is unspent for all accounts with an unknown level
 // that a complete update does not name.
-func (t *Table) assumeUnspent(now wasabiridge.Millis, named []wasabiridge.UseNews) {
+func (t *Table) assumeUnspent(now wasabiridge.Millis, named []wasabiridge.UsageUpdate) {
 	touched := map[wasabiridge.ClientAccountID]bool{}
 	for _, use := range named {
 		touched[use.Account] = true
--- a/internal/wasabiquota/view.go
+++ b/internal/wasabiquota/view.go
@@ -13,13 +13,14 @@
 
 // Owners is the set of owners of the limits as one instance knows it.
 type Owners struct {
-	// Change numbers the present set. Members is the number of instances in it, Divided the
-	// number by which limits are divided, Open the number of other members that are not
-	// known to have the same set. Agreed says that all members have the same set.
+	// Change numbers the present set. Members is the number of instances in it, Divisor
+	// the number by which limits are divided, Unconfirmed the number of other members
+	// that are not known to have the same set. Agreed says that all members have the
+	// same set.
 	Change                 uint64
 	Members, Divided, Open int
 	Agreed                 bool
-	// Own says that this instance owns a share, Part is the share that it can use.
+	// Own says that this instance owns a share, UsableShare is the share that it can use.
 	Own  bool
 	Part float64
 }
@@ -72,9 +73,9 @@
 
 // receiveView records the set of owners that a peer announced, unless a newer one was
 // received before.
-func (p *peer) receiveView(e wasabiridge.UsesHeard) {
-	if e.Change >= p.change {
-		p.change, p.view = e.Change, e.View
+func (p *peer) receiveView(e wasabiridge.UsageReceived) {
+	if e.OwnersEpoch >= p.change {
+		p.change, p.view = e.OwnersEpoch, e.OwnersDigest
 	}
 }
 
--- a/internal/wasabirate/group.go
+++ b/internal/wasabirate/group.go
@@ -21,9 +21,9 @@
 	self wasabiridge.InstanceID
 	// departedAt is when an instance was last seen. Zero means that it is seen now.
 	departedAt map[wasabiridge.InstanceID]wasabiridge.Millis
-	// firstSetAt is when Set was first called. alone is set while no other instance is
-	// known and others may merely not have been seen yet. version changes with the
-	// shares.
+	// firstSetAt is when SetInstances was first called. alone is set while no other
+	// instance is known and others may merely not have been seen yet. version changes
+	// with the shares.
 	firstSetAt wasabiridge.Millis
 	alone      bool
 	version    uint64
--- a/internal/wasabirate/limit.go
+++ b/internal/wasabirate/limit.go
@@ -15,11 +15,11 @@
 // # Usage
 //
 //	group := wasabirate.NewGroup("router-1")
-//	group.Set(now, instances)
+//	group.SetInstances(now, instances)
 //	var limit wasabirate.Limit
-//	limit.Name(now, sentAt, 5.9)
+//	limit.Report(now, sentAt, 5.9)
 //	if limit.Wait(now, "server-1", group) == 0 {
-//		limit.Take(now, "server-1", group)
+//		limit.RecordSent(now, "server-1", group)
 //		send()
 //	}
 //
--- a/internal/wasabiregression/regression.go
+++ b/internal/wasabiregression/regression.go
@@ -13,16 +13,16 @@
 //	if err != nil {
 //		return err
 //	}
-//	sites, err := floors.Chosen(names)
+//	sites, err := floors.Select(names)
 //	if err != nil {
 //		return err
 //	}
 //	for _, site := range sites {
 //		var score wasabiregression.Score
-//		if score, err = wasabiregression.Read(output); err != nil {
+//		if score, err = wasabiregression.ParseScore(output); err != nil {
 //			return err
 //		}
-//		fmt.Println(floors.Judge(site, score))
+//		fmt.Println(floors.Check(site, score))
 //	}
 package wasabiregression
 
--- a/internal/wasabirelay/body.go
+++ b/internal/wasabirelay/body.go
@@ -32,7 +32,7 @@
 	}
 	c.w.Header().Set("Connection", "close")
 	if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
-		return &wasabiridge.Refusal{Kind: wasabiridge.RefusalBodyTooLarge, Cause: "body too large"}
+		return &wasabiridge.Refusal{Kind: wasabiridge.RefusalBodyTooLarge, Reason: "body too large"}
 	}
-	return &wasabiridge.Refusal{Kind: wasabiridge.RefusalInvalid, Cause: "body ended early"}
+	return &wasabiridge.Refusal{Kind: wasabiridge.RefusalInvalid, Reason: "body ended early"}
 }
--- a/internal/wasabirelay/exchange.go
+++ b/internal/wasabirelay/exchange.go
@@ -21,7 +21,7 @@
 	finalMargin = 15 * wasabiridge.Millis(1)
 )
 
-var errSilent = wasabiridge.ErrSilent.New("relay: backend server sent no byte within the time limit")
+var errSilent = wasabiridge.ErrFirstByteTimeout.New("relay: backend server sent no byte within the time limit")
 
 // exchange processes one request from its submission to the decider until it is
 // answered. It is owned by the goroutine of the request.
@@ -196,7 +196,7 @@
 		Method: x.r.Method, Path: x.r.URL.RequestURI(), Header: x.header, Body: x.body, Host: x.r.Host, Model: x.request.Model,
 		Stream: x.request.Stream, NonIdempotent: x.request.Action.NonIdempotent, Priority: x.request.Action.Priority,
 		Weights: d.Weights, ResumeFrom: d.ResumeFrom, LastEvent: x.lastEvent,
-		FetchFrom: d.FetchFrom, SaveTo: d.SaveTo, MemoryFrom: d.MemoryFrom, Until: x.until,
+		ImportFrom: d.ImportFrom, ExportTo: d.ExportTo, CacheHandle: d.CacheHandle, Deadline: x.until,
 	}
 	if x.account.ID != "" {
 		a.MaySend = x.keyInForce
@@ -241,13 +241,13 @@
 		x.finish()
 	case x.disposition == wasabiridge.NotRun && e.Reason == wasabiridge.RefusedQuarantined:
 		// No Retry-After time: a repeat would be refused as well.
-		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalNotRun, Cause: string(e.Reason)})
+		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalNotRun, Reason: string(e.Reason)})
 	case x.disposition == wasabiridge.NotRun && e.Reason == wasabiridge.RefusedQuota:
-		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalLimited, Cause: string(e.Reason), RetryAfter: x.cappedRetryAfter(e.RetryAfter)})
+		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalLimited, Reason: string(e.Reason), RetryAfter: x.cappedRetryAfter(e.RetryAfter)})
 	case x.disposition == wasabiridge.NotRun:
-		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalNotRun, Cause: string(e.Reason), RetryAfter: x.retryAfter(e.RetryAfter)})
+		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalNotRun, Reason: string(e.Reason), RetryAfter: x.retryAfter(e.RetryAfter)})
 	default:
-		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalBroken, Cause: string(e.Reason)})
+		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalBroken, Reason: string(e.Reason)})
 	}
 }
 
@@ -264,9 +264,9 @@
 	case x.status > 0:
 		x.finish()
 	case x.disposition == wasabiridge.NotRun:
-		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalNotRun, Cause: "deadline", RetryAfter: x.retryAfter(0)})
+		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalNotRun, Reason: "deadline", RetryAfter: x.retryAfter(0)})
 	default:
-		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalTimeout, Cause: "deadline"})
+		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalTimeout, Reason: "deadline"})
 	}
 }
 
--- a/internal/wasabirelay/log.go
+++ b/internal/wasabirelay/log.go
@@ -32,8 +32,8 @@
 		Int("shared_tokens", shared).
 		Str("part_key", strconv.FormatUint(key, 16)).
 		Uint64("weights", uint64(d.Weights)).
-		Bool("fetch", d.FetchFrom != "").
-		Bool("save", d.SaveTo != "").
+		Bool("fetch", d.ImportFrom != "").
+		Bool("save", d.ExportTo != "").
 		Int("priority", int(x.request.Action.Priority)).
 		Int64("left_ms", int64(x.until-x.relay.options.Clock.Now())).
 		Uint64("config_version", uint64(x.view.Config.Version)).
@@ -52,11 +52,11 @@
 		Str(wasabilog.BackendField, string(end.Backend)).
 		Stringer("result", end.Result).
 		Bool("unreachable", end.Unreachable).
-		Bool("silent", end.Silent).
+		Bool("silent", end.FirstByteTimeout).
 		Bool("overloaded", end.Overloaded).
 		Bool("other_server", end.Misdirected).
 		Bool("other_weights", end.OtherWeights).
-		Bool("server_ended", end.ServerEnded).
+		Bool("server_ended", end.ServerCrashed).
 		Int("events", end.Delivered).
 		Int64("took_ms", int64(x.relay.options.Clock.Now()-started)).
 		Msg("Attempt failed.")
--- a/internal/wasabirelay/move.go
+++ b/internal/wasabirelay/move.go
@@ -55,7 +55,7 @@
 // value means that the move failed.
 type pendingMove struct {
 	done  chan struct{}
-	moved wasabiridge.Moved
+	moved wasabiridge.MigrationResult
 }
 
 func newActiveRuns() *activeRuns { return &activeRuns{attempts: map[wasabiridge.AttemptID]*run{}} }
@@ -173,15 +173,15 @@
 }
 
 // move moves one answer, and counts and logs the outcome. It returns the errors of
-// wasabiridge.RunMover.
+// wasabiridge.RequestMigrator.
 func (l *Relay) move(ctx context.Context, r *run, to wasabiridge.BackendServer) error {
 	started := l.options.Clock.Now()
 	timed, cancel := context.WithTimeout(ctx, moveTimeout.Duration())
 	defer cancel()
-	memory, err := l.options.Mover.MoveRun(timed, wasabiridge.RunMove{Request: r.request.ID, From: r.dispatch.Backend, To: to})
+	memory, err := l.options.Mover.Migrate(timed, wasabiridge.RequestMigration{Request: r.request.ID, From: r.dispatch.Backend, To: to})
 	outcome := moveOutcome(err)
 	if err == nil {
-		r.move.moved = wasabiridge.Moved{To: to, Memory: memory}
+		r.move.moved = wasabiridge.MigrationResult{To: to, Handle: memory}
 		time.AfterFunc(oldStreamTimeout.Duration(), func() { r.cancel(errSilent) })
 	}
 	l.counts.addMove(outcome)
@@ -214,22 +214,22 @@
 // takeMove waits for the move of an attempt that has ended, if there is one. It returns
 // where a broken answer continues. If the answer is not broken or the request has ended,
 // the moved KV cache is released.
-func (x *exchange) takeMove(d wasabiridge.Dispatch, end wasabiridge.AttemptEnded) wasabiridge.Moved {
+func (x *exchange) takeMove(d wasabiridge.Dispatch, end wasabiridge.AttemptEnded) wasabiridge.MigrationResult {
 	m := x.relay.running.remove(d.Attempt)
 	if m == nil {
-		return wasabiridge.Moved{}
+		return wasabiridge.MigrationResult{}
 	}
 	select {
 	case <-m.done:
 	case <-x.ctx.Done():
-		return wasabiridge.Moved{}
+		return wasabiridge.MigrationResult{}
 	}
-	if m.moved.Memory == "" {
-		return wasabiridge.Moved{}
+	if m.moved.Handle == "" {
+		return wasabiridge.MigrationResult{}
 	}
 	if end.Result != wasabiridge.AttemptBroken || x.ctx.Err() != nil {
-		go x.relay.dropRun(d.Backend, m.moved.Memory)
-		return wasabiridge.Moved{}
+		go x.relay.dropRun(d.Backend, m.moved.Handle)
+		return wasabiridge.MigrationResult{}
 	}
 	return m.moved
 }
@@ -239,7 +239,7 @@
 func (l *Relay) dropRun(from wasabiridge.BackendServer, memory string) {
 	ctx, cancel := context.WithTimeout(context.Background(), moveTimeout.Duration())
 	defer cancel()
-	if err := l.options.Mover.DropRun(ctx, from, memory); err != nil {
+	if err := l.options.Mover.DropCache(ctx, from, memory); err != nil {
 		l.options.Log.Debug().Err(err).Str(wasabilog.BackendField, string(from.ID)).Msg("Release of a moved KV cache failed.")
 	}
 }
