--- a/internal/wasabirelay/move_test.go
+++ b/internal/wasabirelay/move_test.go
@@ -14,18 +14,18 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// mover is a scripted wasabiridge.RunMover.
+// mover is a scripted wasabiridge.RequestMigrator.
 type mover struct {
 	mu  sync.Mutex
 	err error
 	// refuses lists the engines that do not accept a move.
 	refuses []wasabiridge.BackendServerID
 	stops   func()
-	moves   []wasabiridge.RunMove
+	moves   []wasabiridge.RequestMigration
 	dropped []string
 }
 
-func (m *mover) MoveRun(_ context.Context, r wasabiridge.RunMove) (string, error) {
+func (m *mover) Migrate(_ context.Context, r wasabiridge.RequestMigration) (string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.moves = append(m.moves, r)
@@ -41,7 +41,7 @@
 	return "s:1/h1", nil
 }
 
-func (m *mover) DropRun(_ context.Context, _ wasabiridge.BackendServer, memory string) error {
+func (m *mover) DropCache(_ context.Context, _ wasabiridge.BackendServer, memory string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.dropped = append(m.dropped, memory)
@@ -107,7 +107,7 @@
 		Expect(m.moves).To(HaveLen(1))
 		second := g.runner.attempts[1]
 		Expect(second.Backend.ID).To(Equal(other.ID))
-		Expect(second.MemoryFrom).To(Equal("s:1/h1"))
+		Expect(second.CacheHandle).To(Equal("s:1/h1"))
 		Expect(second.LastEvent).To(Equal("2"))
 		Expect(m.drops()).To(BeEmpty())
 	})
@@ -204,7 +204,7 @@
 				return
 			}
 			Expect(a.body).To(Equal("id:1 \n\nid:2 \n\nid:3 \n\n"))
-			Expect(g.runner.attempts[1].MemoryFrom).To(BeEmpty())
+			Expect(g.runner.attempts[1].CacheHandle).To(BeEmpty())
 		})
 	}
 
--- a/internal/wasabirelay/refusal.go
+++ b/internal/wasabirelay/refusal.go
@@ -11,7 +11,7 @@
 // within the caller's remaining time and is randomized, so that callers that are refused
 // at the same time do not retry at the same time.
 func (c *call) notRun(cause string) *wasabiridge.Refusal {
-	return &wasabiridge.Refusal{Kind: wasabiridge.RefusalNotRun, Cause: cause, RetryAfter: c.retryAfter(0)}
+	return &wasabiridge.Refusal{Kind: wasabiridge.RefusalNotRun, Reason: cause, RetryAfter: c.retryAfter(0)}
 }
 
 // notRunSince returns a refusal of a request that has not run, because some information
@@ -24,7 +24,7 @@
 // not retry a third time.
 func (c *call) notRunSince(cause string, since wasabiridge.Millis) *wasabiridge.Refusal {
 	lasted := max(0, c.relay.options.Clock.Now()-since)
-	return &wasabiridge.Refusal{Kind: wasabiridge.RefusalNotRun, Cause: cause, RetryAfter: c.retryAfter(lasted)}
+	return &wasabiridge.Refusal{Kind: wasabiridge.RefusalNotRun, Reason: cause, RetryAfter: c.retryAfter(lasted)}
 }
 
 // retryAfter returns a random Retry-After time. It is at least minRetryAfter and at least
@@ -56,14 +56,14 @@
 	if f.Kind != wasabiridge.RefusalBroken && f.Kind != wasabiridge.RefusalTimeout {
 		outcome = OutcomeRefused
 	}
-	c.relay.counts.add(outcome, f.Cause, c.relay.options.Clock.Now()-c.arrived)
+	c.relay.counts.add(outcome, f.Reason, c.relay.options.Clock.Now()-c.arrived)
 	c.relay.options.Log.Info().
 		Str(wasabilog.RequestField, string(c.parsed.ID)).
 		Str("account", string(c.account.ID)).
 		Str("rule", string(c.rule.ID)).
 		Stringer("fingerprint", c.fingerprint).
 		Str("kind", string(f.Kind)).
-		Str("cause", f.Cause).
+		Str("cause", f.Reason).
 		Int64("retry_after_ms", int64(f.RetryAfter)).
 		Uint64("config_version", uint64(c.view.Config.Version)).
 		Int64("config_age_ms", int64(c.arrived-c.view.Proven)).
--- a/internal/wasabirelay/relay.go
+++ b/internal/wasabirelay/relay.go
@@ -25,7 +25,7 @@
 // # Usage
 //
 //	relay := wasabirelay.New(wasabirelay.Options{
-//		Clock: clock, Loop: loop, Runner: runner, Protocol: protocol, View: view, KeyLife: keyLife, DenyLife: denyLife,
+//		Clock: clock, Loop: loop, Runner: runner, Protocol: protocol, View: view, MaxKeyAge: keyLife, MaxDenyAge: denyLife,
 //	})
 //	server := &http.Server{Handler: relay}
 package wasabirelay
@@ -72,8 +72,8 @@
 	Sharing string
 }
 
-// Options configures a Relay. Clock, Loop, Runner, Protocol, View, KeyLife and DenyLife
-// are required.
+// Options configures a Relay. Clock, Loop, Runner, Protocol, View, MaxKeyAge and
+// MaxDenyAge are required.
 type Options struct {
 	Instance wasabiridge.InstanceID
 	Clock    wasabiridge.Clock
@@ -83,16 +83,16 @@
 	Protocol wasabiridge.CallerProtocol
 	// View returns the current snapshot. It must be safe for concurrent use.
 	View func() View
-	// KeyLife returns the maximum age of View.Proven for requests with a key. It
-	// must be safe for concurrent use, like DenyLife.
+	// KeyLife returns the maximum age of View.ConfirmedAt for requests with a key. It
+	// must be safe for concurrent use, like MaxDenyAge.
 	KeyLife func() wasabiridge.Millis
-	// DenyLife returns the maximum age of View.Proven at which a request is
+	// DenyLife returns the maximum age of View.ConfirmedAt at which a request is
 	// rejected because its route or key does not exist. With an older
 	// configuration, the route or key may have been added since, so the request
 	// is refused as not run instead and may be retried.
 	DenyLife func() wasabiridge.Millis
 	// Mover moves running answers between engines. Nil disables moves.
-	Mover wasabiridge.RunMover
+	Mover wasabiridge.RequestMigrator
 	// Names computes the fingerprints of requests. The zero value uses an empty key.
 	Names wasabifingerprint.Namer
 	// Leaving reports whether the instance is shutting down. Nil means never.
@@ -147,7 +147,7 @@
 	r       *http.Request
 	arrived wasabiridge.Millis
 	view    View
-	parsed  wasabiridge.Asked
+	parsed  wasabiridge.CallerRequest
 	rule    wasabiridge.Rule
 	account wasabiridge.ClientAccount
 	body    []byte
@@ -175,12 +175,12 @@
 func (c *call) read() *wasabiridge.Refusal {
 	var err error
 	if c.parsed, err = c.relay.options.Protocol.Read(c.r); err != nil {
-		return &wasabiridge.Refusal{Kind: wasabiridge.RefusalInvalid, Cause: "unreadable request"}
+		return &wasabiridge.Refusal{Kind: wasabiridge.RefusalInvalid, Reason: "unreadable request"}
 	}
-	if c.parsed.Patience == 0 {
-		c.parsed.Patience = defaultTimeLimit
+	if c.parsed.Timeout == 0 {
+		c.parsed.Timeout = defaultTimeLimit
 	}
-	c.until = c.arrived + c.parsed.Patience
+	c.until = c.arrived + c.parsed.Timeout
 	return nil
 }
 
@@ -196,11 +196,11 @@
 	limits := c.view.Config.CallerLimits
 	if headerBytes(c.r) > orDefault(limits.HeaderBytes, defaultHeaderBytes) {
 		c.w.Header().Set("Connection", "close")
-		return &wasabiridge.Refusal{Kind: wasabiridge.RefusalHeaderTooLarge, Cause: "header too large"}
+		return &wasabiridge.Refusal{Kind: wasabiridge.RefusalHeaderTooLarge, Reason: "header too large"}
 	}
 	if c.r.ContentLength > c.bodyLimit() {
 		c.w.Header().Set("Connection", "close")
-		return &wasabiridge.Refusal{Kind: wasabiridge.RefusalBodyTooLarge, Cause: "body too large"}
+		return &wasabiridge.Refusal{Kind: wasabiridge.RefusalBodyTooLarge, Reason: "body too large"}
 	}
 	return nil
 }
@@ -256,12 +256,12 @@
 }
 
 // deny rejects a request whose route or key is not in the configuration. If the
-// configuration is older than DenyLife, the request is refused as not run instead.
+// configuration is older than MaxDenyAge, the request is refused as not run instead.
 func (c *call) deny(kind wasabiridge.RefusalKind, cause string) *wasabiridge.Refusal {
 	if c.arrived-c.view.Proven > c.relay.options.DenyLife() {
 		return c.notRun(cause + ", by a configuration that may be old")
 	}
-	return &wasabiridge.Refusal{Kind: kind, Cause: cause}
+	return &wasabiridge.Refusal{Kind: kind, Reason: cause}
 }
 
 // checkKeyFreshness refuses requests whose key may have been revoked meanwhile.
--- a/internal/wasabirelay/relay_test.go
+++ b/internal/wasabirelay/relay_test.go
@@ -65,8 +65,8 @@
 // protocol is a caller protocol that uses plain headers.
 type protocol struct{}
 
-func (protocol) Read(r *http.Request) (wasabiridge.Asked, error) {
-	return wasabiridge.Asked{ID: wasabiridge.RequestID(r.Header.Get("Id")), Key: r.Header.Get("Key"), Patience: 2000}, nil
+func (protocol) Read(r *http.Request) (wasabiridge.CallerRequest, error) {
+	return wasabiridge.CallerRequest{ID: wasabiridge.RequestID(r.Header.Get("Id")), Key: r.Header.Get("Key"), Timeout: 2000}, nil
 }
 func (protocol) Forward(h http.Header) http.Header { return h.Clone() }
 func (protocol) Refuse(w http.ResponseWriter, f wasabiridge.Refusal) {
@@ -96,9 +96,9 @@
 }
 
 // fixedVerdict is a quarantine that reports the same standing for every request.
-type fixedVerdict struct{ standing wasabiridge.Standing }
+type fixedVerdict struct{ standing wasabiridge.QuarantineVerdict }
 
-func (v *fixedVerdict) Judge(wasabiridge.Millis, wasabiridge.Request) wasabiridge.Standing {
+func (v *fixedVerdict) Check(wasabiridge.Millis, wasabiridge.Request) wasabiridge.QuarantineVerdict {
 	return v.standing
 }
 
@@ -107,10 +107,10 @@
 func (*fixedVerdict) Observe(wasabiridge.Millis, wasabiridge.Event) {}
 
 // moverOf forwards moves to the mover that a test sets.
-type moverOf struct{ wasabiridge.RunMover }
+type moverOf struct{ wasabiridge.RequestMigrator }
 
 // move sets the mover of the relay.
-func (g *rig) move(m wasabiridge.RunMover) { g.mover.RunMover = m }
+func (g *rig) move(m wasabiridge.RequestMigrator) { g.mover.RequestMigrator = m }
 
 // first returns the first attempt.
 func (g *rig) first() wasabiridge.Attempt {
@@ -301,7 +301,7 @@
 	// Retry-After time its caller would send it again and be refused each time.
 	It("that is blocked by the quarantine gets no Retry-After time", func() {
 		g := newRig(wasabiridge.Action{}, answers(200, "ok"))
-		g.judge.standing = wasabiridge.StandingBarred
+		g.judge.standing = wasabiridge.QuarantineBlocked
 		got := g.send("/x", "k")
 		Expect(got.kind).To(Equal(string(wasabiridge.RefusalNotRun)))
 		Expect(got.back).To(BeEmpty())
--- a/internal/wasabireplica/attempt.go
+++ b/internal/wasabireplica/attempt.go
@@ -73,11 +73,11 @@
 // for the other instances.
 func (p *Placer) recordSegments(now wasabiridge.Millis, rep *replica, a *attempt, pl wasabiridge.Placement) {
 	for i, key := range a.keys {
-		n := wasabiridge.PartNews{
-			Backend: rep.server.ID, Incarnation: rep.server.Incarnation, Key: key, Tokens: a.prompt.lengths[i], Saved: pl.SaveTo != "", Kept: pl.Why == whyStored,
+		n := wasabiridge.SegmentUpdate{
+			Backend: rep.server.ID, Incarnation: rep.server.Incarnation, Key: key, Tokens: a.prompt.lengths[i], Exported: pl.ExportTo != "", Imported: pl.Why == whyStored,
 		}
 		if i == len(a.keys)-1 {
-			n.Own, n.Work, n.Priority = a.prompt.own, wasabiridge.Millis(a.work), a.prompt.priority
+			n.RemainingTokens, n.Work, n.Priority = a.prompt.own, wasabiridge.Millis(a.work), a.prompt.priority
 		}
 		p.recordSegment(now, rep, n)
 		p.peerUpdates.add(n)
@@ -85,13 +85,13 @@
 }
 
 // recordSegment applies a segment that was sent to the estimated caches.
-func (p *Placer) recordSegment(now wasabiridge.Millis, rep *replica, n wasabiridge.PartNews) {
+func (p *Placer) recordSegment(now wasabiridge.Millis, rep *replica, n wasabiridge.SegmentUpdate) {
 	rep.cache.touch(n.Key, n.Tokens)
-	rep.cache.addUnshared(n.Own)
+	rep.cache.addUnshared(n.RemainingTokens)
 	switch {
-	case n.Saved:
-		p.kvStores.recordSave(now, n.Key, n.Tokens, n.Own)
-	case n.Kept:
+	case n.Exported:
+		p.kvStores.recordSave(now, n.Key, n.Tokens, n.RemainingTokens)
+	case n.Imported:
 		p.kvStores.recordFetch(now, n.Key, n.Tokens)
 	}
 }
--- a/internal/wasabireplica/budget_test.go
+++ b/internal/wasabireplica/budget_test.go
@@ -279,7 +279,7 @@
 		for range 100 {
 			r.limiter.Offer(f.now, wasabiridge.Request{Action: wasabiridge.Action{Pool: "p"}})
 		}
-		moved := wasabiridge.Placement{Backend: f.pool.Backends[0], Why: wasabiridge.WhyMoved, MemoryFrom: "s:1/1"}
+		moved := wasabiridge.Placement{Backend: f.pool.Backends[0], Why: wasabiridge.WhyMoved, CacheHandle: "s:1/1"}
 		for id := range wasabiridge.AttemptID(16) {
 			r.placer.Sent(f.now, wasabiridge.Request{Action: wasabiridge.Action{Pool: "p"}}, id+1, moved)
 		}
--- a/internal/wasabireplica/deadline.go
+++ b/internal/wasabireplica/deadline.go
@@ -7,7 +7,7 @@
 )
 
 // weightsAllowed reports whether replicas may still answer with version v of a model's
-// weights: no newer version was announced Options.WeightsBound ago or earlier.
+// weights: no newer version was announced Options.WeightsDeadline ago or earlier.
 func (p *Placer) weightsAllowed(now wasabiridge.Millis, m wasabiridge.ModelID, v wasabiridge.WeightsVersion) bool {
 	age, older := p.announced.supersededFor(now, m, v)
 	return !older || age < p.options.WeightsBound
--- a/internal/wasabireplica/kvstore.go
+++ b/internal/wasabireplica/kvstore.go
@@ -20,7 +20,7 @@
 
 // kvStore is one KV cache store.
 type kvStore struct {
-	wasabiridge.KeptCache
+	wasabiridge.CacheStore
 	// seed is hashed with the key of a prompt to rank the stores.
 	seed  uint64
 	cache cache
@@ -39,12 +39,12 @@
 func (k *kvStores) adopt(c wasabiridge.Config) {
 	known := k.stores
 	k.stores = map[string]*kvStore{}
-	for _, config := range c.KeptCaches {
+	for _, config := range c.CacheStores {
 		s := known[config.Address]
 		if s == nil {
 			s = &kvStore{seed: xxhash.Sum64String(config.Address), cache: newCache()}
 		}
-		s.KeptCache, s.cache.limit = config, config.CacheTokens
+		s.CacheStore, s.cache.limit = config, config.CacheTokens
 		for _, pool := range c.Pools {
 			if pool.TokenBytes > 0 && config.LinkMegabits > 0 {
 				s.tokenMillis = transfer(pool.TokenBytes, config.LinkMegabits)
@@ -103,7 +103,7 @@
 
 // setReachable records whether a store can be reached. A store that was unreachable is
 // assumed to return empty.
-func (k *kvStores) setReachable(e wasabiridge.KeptCacheSeen) {
+func (k *kvStores) setReachable(e wasabiridge.CacheStoreChecked) {
 	s := k.stores[e.Address]
 	if s == nil {
 		return
@@ -124,12 +124,12 @@
 }
 
 // addListed records the segments that a store reports.
-func (k *kvStores) addListed(e wasabiridge.KeptCacheListed) {
+func (k *kvStores) addListed(e wasabiridge.CacheStoreListed) {
 	s := k.stores[e.Address]
 	if s == nil {
 		return
 	}
-	for _, segment := range e.Parts {
+	for _, segment := range e.Segments {
 		s.cache.touch(segment.Key, segment.Tokens)
 	}
 }
--- a/internal/wasabireplica/kvstore_test.go
+++ b/internal/wasabireplica/kvstore_test.go
@@ -10,13 +10,13 @@
 
 // withStores configures several KV cache stores, all of them reachable.
 func (g *rig) withStores(addresses ...string) {
-	var stores []wasabiridge.KeptCache
+	var stores []wasabiridge.CacheStore
 	for _, a := range addresses {
-		stores = append(stores, wasabiridge.KeptCache{ID: wasabiridge.PoolID(a), Address: a, Zone: "z", CacheTokens: 100000, LinkMegabits: 54000})
+		stores = append(stores, wasabiridge.CacheStore{ID: wasabiridge.PoolID(a), Address: a, Zone: "z", CacheTokens: 100000, LinkMegabits: 54000})
 	}
-	g.observe(wasabiridge.ConfigAdopted{Config: wasabiridge.Config{Version: 2, Pools: []wasabiridge.Pool{g.pool}, KeptCaches: stores}})
+	g.observe(wasabiridge.ConfigAdopted{Config: wasabiridge.Config{Version: 2, Pools: []wasabiridge.Pool{g.pool}, CacheStores: stores}})
 	for _, a := range addresses {
-		g.observe(wasabiridge.KeptCacheSeen{Address: a, Up: true})
+		g.observe(wasabiridge.CacheStoreChecked{Address: a, Up: true})
 	}
 }
 
@@ -28,7 +28,7 @@
 		pl, id := g.place(long(segment))
 		g.now += 150
 		g.answer(id)
-		saved[segment] = pl.SaveTo
+		saved[segment] = pl.ExportTo
 	}
 	return saved
 }
@@ -53,7 +53,7 @@
 		for segment, address := range saved {
 			Expect(address).NotTo(BeEmpty())
 			if pl, _ := g.place(long(segment)); pl.Why == "kept" {
-				Expect(pl.FetchFrom).To(Equal(address))
+				Expect(pl.ImportFrom).To(Equal(address))
 				fetched++
 			}
 		}
@@ -75,7 +75,7 @@
 		before := g.saveTargets(40)
 		restarted := newRig(4)
 		restarted.withStores(addresses...)
-		restarted.observe(wasabiridge.KeptCacheSeen{Address: "kv:2"})
+		restarted.observe(wasabiridge.CacheStoreChecked{Address: "kv:2"})
 		for segment, address := range restarted.saveTargets(40) {
 			Expect(address).NotTo(Equal("kv:2"))
 			if before[segment] != "kv:2" {
@@ -89,13 +89,13 @@
 		g.withStores(addresses...)
 		root := wasabiridge.CacheRoot{Model: model, Weights: 1}
 		for _, a := range addresses {
-			g.observe(wasabiridge.KeptCacheListed{Address: a, Parts: []wasabiridge.PartNews{
+			g.observe(wasabiridge.CacheStoreListed{Address: a, Segments: []wasabiridge.SegmentUpdate{
 				{Key: wasabiprefix.PartKey(wasabiprefix.ShortSalt(root), 7), Tokens: 13000, Ready: true},
 			}})
 		}
 		pl, _ := g.place(long(7))
 		Expect(pl.Why).To(Equal("kept"))
-		Expect(addresses).To(ContainElement(pl.FetchFrom))
+		Expect(addresses).To(ContainElement(pl.ImportFrom))
 	})
 
 	It("are not used after the configuration has removed them", func() {
@@ -107,7 +107,7 @@
 		}
 		g.withStores()
 		pl, _ := g.place(long(77))
-		Expect(pl.SaveTo).To(BeEmpty())
-		Expect(pl.FetchFrom).To(BeEmpty())
+		Expect(pl.ExportTo).To(BeEmpty())
+		Expect(pl.ImportFrom).To(BeEmpty())
 	})
 })
--- a/internal/wasabireplica/limit.go
+++ b/internal/wasabireplica/limit.go
@@ -8,16 +8,16 @@
 const limitUpdateInterval = wasabiridge.Second
 
 // limitReported applies what an answer reports about the limit of its replica.
-func (p *Placer) limitReported(now wasabiridge.Millis, e wasabiridge.LimitNamed) {
+func (p *Placer) limitReported(now wasabiridge.Millis, e wasabiridge.LimitAnnounced) {
 	r := p.replicas[e.Backend]
 	if r == nil || e.Fault != "" {
 		return
 	}
 	changed := false
 	if e.Limited {
-		changed = r.limit.Name(now, e.Asked, e.Rate)
+		changed = r.limit.Name(now, e.RequestSentAt, e.Rate)
 	} else {
-		changed = r.limit.Lift(e.Asked)
+		changed = r.limit.Lift(e.RequestSentAt)
 	}
 	if changed {
 		r.limitSentAt = 0
@@ -29,17 +29,17 @@
 
 // takeLimitUpdate returns the limit of a replica if it has to be sent to the other
 // instances now, and the zero value otherwise.
-func (r *replica) takeLimitUpdate(now wasabiridge.Millis) wasabiridge.LimitNews {
+func (r *replica) takeLimitUpdate(now wasabiridge.Millis) wasabiridge.LimitUpdate {
 	e := r.pendingLimit
 	if e.Backend == "" || r.limitSentAt > 0 && now-r.limitSentAt < limitUpdateInterval {
-		return wasabiridge.LimitNews{}
+		return wasabiridge.LimitUpdate{}
 	}
-	r.limitSentAt, r.pendingLimit = now, wasabiridge.LimitNamed{}
-	return wasabiridge.LimitNews{Known: true, Limited: e.Limited, Rate: e.Rate, Age: max(0, now-e.Asked)}
+	r.limitSentAt, r.pendingLimit = now, wasabiridge.LimitAnnounced{}
+	return wasabiridge.LimitUpdate{Known: true, Limited: e.Limited, Rate: e.Rate, Age: max(0, now-e.RequestSentAt)}
 }
 
 // applyPeerLimit applies the limit of a replica that another instance has received.
-func (r *replica) applyPeerLimit(now wasabiridge.Millis, n wasabiridge.LimitNews) {
+func (r *replica) applyPeerLimit(now wasabiridge.Millis, n wasabiridge.LimitUpdate) {
 	switch {
 	case n.Limited:
 		r.limit.Hear(now, now-n.Age, n.Rate)
--- a/internal/wasabireplica/limit_test.go
+++ b/internal/wasabireplica/limit_test.go
@@ -80,7 +80,7 @@
 		loads, segments := g.placer.TakeNews(f.now)
 		for j, other := range f.instances {
 			if i != j && !f.silent && (!f.partitioned || i%2 == j%2) {
-				other.observe(wasabiridge.PeerPlaced{From: f.names[i], Loads: loads, Parts: segments})
+				other.observe(wasabiridge.PeerPlaced{From: f.names[i], Loads: loads, Segments: segments})
 			}
 		}
 	}
@@ -122,7 +122,7 @@
 	s := f.servers[at]
 	s.arrivals = append(s.arrivals, f.now)
 	f.agenda.Add(f.now+answerTime, func() {
-		g.observe(wasabiridge.LimitNamed{Backend: pl.Backend.ID, Limited: s.limited, Rate: s.rate, Asked: sentAt})
+		g.observe(wasabiridge.LimitAnnounced{Backend: pl.Backend.ID, Limited: s.limited, Rate: s.rate, RequestSentAt: sentAt})
 		g.answer(id)
 	})
 }
@@ -232,7 +232,7 @@
 	// more.
 	It("receives requests again when its limit has expired", func() {
 		g := newRig(1)
-		g.observe(wasabiridge.LimitNamed{Backend: "e0", Limited: true, Rate: 1e-9, Asked: g.now - 1})
+		g.observe(wasabiridge.LimitAnnounced{Backend: "e0", Limited: true, Rate: 1e-9, RequestSentAt: g.now - 1})
 		g.now += 11 * wasabiridge.Second
 		for range 5 {
 			Expect(g.limiter.Offer(g.now, short()).Verdict).To(Equal(wasabiridge.Admitted))
@@ -242,13 +242,13 @@
 	// Guards against answers that arrive out of order.
 	It("keeps its limit when a request sent before the limit is answered without one", func() {
 		g := newRig(1)
-		g.observe(wasabiridge.LimitNamed{Backend: "e0", Limited: true, Rate: 1, Asked: g.now - 50})
-		g.observe(wasabiridge.LimitNamed{Backend: "e0", Asked: g.now - 20})
+		g.observe(wasabiridge.LimitAnnounced{Backend: "e0", Limited: true, Rate: 1, RequestSentAt: g.now - 50})
+		g.observe(wasabiridge.LimitAnnounced{Backend: "e0", RequestSentAt: g.now - 20})
 		Expect(g.limiter.Offer(g.now, short()).Verdict).To(Equal(wasabiridge.Rejected))
 		g.now += 20
-		g.observe(wasabiridge.LimitNamed{Backend: "e0", Asked: g.now - 10})
+		g.observe(wasabiridge.LimitAnnounced{Backend: "e0", RequestSentAt: g.now - 10})
 		Expect(g.limiter.Offer(g.now, short()).Verdict).To(Equal(wasabiridge.Admitted))
-		g.observe(wasabiridge.LimitNamed{Backend: "e0", Limited: true, Rate: 1, Asked: g.now - 15})
+		g.observe(wasabiridge.LimitAnnounced{Backend: "e0", Limited: true, Rate: 1, RequestSentAt: g.now - 15})
 		Expect(g.limiter.Offer(g.now, short()).Verdict).To(Equal(wasabiridge.Admitted), "the request was sent before the limit ended")
 	})
 
@@ -256,12 +256,12 @@
 	// arrived later than the request was sent whose answer ended it.
 	It("loses its limit when another instance reports the end, however late the limit was received", func() {
 		g := newRig(1)
-		observe := func(l wasabiridge.LimitNews) {
-			g.observe(wasabiridge.PeerPlaced{From: "i", Loads: []wasabiridge.LoadNews{{Backend: "e0", Limit: l}}})
+		observe := func(l wasabiridge.LimitUpdate) {
+			g.observe(wasabiridge.PeerPlaced{From: "i", Loads: []wasabiridge.LoadUpdate{{Backend: "e0", Limit: l}}})
 		}
-		observe(wasabiridge.LimitNews{Known: true, Limited: true, Rate: 1, Age: 900})
+		observe(wasabiridge.LimitUpdate{Known: true, Limited: true, Rate: 1, Age: 900})
 		Expect(g.limiter.Offer(g.now, short()).Verdict).To(Equal(wasabiridge.Rejected))
-		observe(wasabiridge.LimitNews{Known: true, Age: 300})
+		observe(wasabiridge.LimitUpdate{Known: true, Age: 300})
 		Expect(g.limiter.Offer(g.now, short()).Verdict).To(Equal(wasabiridge.Admitted))
 	})
 
@@ -271,7 +271,7 @@
 		g := newRig(1)
 		sent := 0
 		for i := range 50 {
-			g.observe(wasabiridge.LimitNamed{Backend: "e0", Limited: true, Rate: float64(1 + i), Asked: g.now - 10})
+			g.observe(wasabiridge.LimitAnnounced{Backend: "e0", Limited: true, Rate: float64(1 + i), RequestSentAt: g.now - 10})
 			loads, _ := g.placer.TakeNews(g.now)
 			sent += len(loads)
 			g.now += 100
@@ -284,7 +284,7 @@
 		g := newRig(1)
 		g.pool.Backends[0].Incarnation = 1
 		g.adopt()
-		g.observe(wasabiridge.LimitNamed{Backend: "e0", Limited: true, Rate: 1, Asked: g.now})
+		g.observe(wasabiridge.LimitAnnounced{Backend: "e0", Limited: true, Rate: 1, RequestSentAt: g.now})
 		Expect(g.limiter.Offer(g.now, short()).Verdict).To(Equal(wasabiridge.Rejected))
 		g.pool.Backends[0].Incarnation = 2
 		g.adopt()
--- a/internal/wasabireplica/migration.go
+++ b/internal/wasabireplica/migration.go
@@ -18,11 +18,11 @@
 
 // Refuge chooses the replica to which a running answer is migrated when it has to leave
 // its own. The target serves version w of the weights, has room and is not excluded.
-// Refuge reports false when there is none, when w is zero, or when the engines of the
-// pool cannot migrate answers.
+// MigrationTarget reports false when there is none, when w is zero, or when the engines
+// of the pool cannot migrate answers.
 func (p *Placer) Refuge(now wasabiridge.Millis, r wasabiridge.Request, w wasabiridge.WeightsVersion, excluded []wasabiridge.BackendServerID) (wasabiridge.BackendServer, bool) {
 	pl := p.pools[r.Action.Pool]
-	if pl == nil || !pl.config.MovesRuns || w == 0 {
+	if pl == nil || !pl.config.MigratesRequests || w == 0 {
 		return wasabiridge.BackendServer{}, false
 	}
 	pr := pl.promptOf(pl.normalizeRequest(r))
--- a/internal/wasabireplica/migration_test.go
+++ b/internal/wasabireplica/migration_test.go
@@ -22,14 +22,14 @@
 			g.observe(wasabiridge.WeightsReported{Backend: "e1", Model: model, Weights: 2})
 		}, "e2"},
 		"is no replica in backoff": {func(g *rig) {
-			g.observe(wasabiridge.BackendResting{Backend: "e1", Until: g.now + 100})
+			g.observe(wasabiridge.BackendInBackoff{Backend: "e1", Until: g.now + 100})
 		}, "e2"},
 		"is a draining replica if there is no other": {func(g *rig) {
-			g.observe(wasabiridge.BackendEasing{Backend: "e1", Until: g.now + 100})
+			g.observe(wasabiridge.BackendDraining{Backend: "e1", Until: g.now + 100})
 			g.observe(wasabiridge.BackendLost{Backend: "e2"})
 		}, "e1"},
 		"is preferably a replica that is not draining": {func(g *rig) {
-			g.observe(wasabiridge.BackendEasing{Backend: "e1", Until: g.now + 100})
+			g.observe(wasabiridge.BackendDraining{Backend: "e1", Until: g.now + 100})
 		}, "e2"},
 		"is no failing replica": {func(g *rig) {
 			g.observe(wasabiridge.BackendLost{Backend: "e1"})
@@ -39,13 +39,13 @@
 			g.now += 5000
 		}, "e2"},
 		"is no replica without free memory": {func(g *rig) {
-			g.observe(wasabiridge.PeerPlaced{From: "i2", Loads: []wasabiridge.LoadNews{{Backend: "e1", Inside: 1, Tokens: 180000}}})
+			g.observe(wasabiridge.PeerPlaced{From: "i2", Loads: []wasabiridge.LoadUpdate{{Backend: "e1", InFlight: 1, Tokens: 180000}}})
 		}, "e2"},
 		"is no replica without a free slot": {func(g *rig) {
-			g.observe(wasabiridge.PeerPlaced{From: "i2", Loads: []wasabiridge.LoadNews{{Backend: "e1", Inside: 8}}})
+			g.observe(wasabiridge.PeerPlaced{From: "i2", Loads: []wasabiridge.LoadUpdate{{Backend: "e1", InFlight: 8}}})
 		}, "e2"},
 		"does not exist when the engines cannot migrate answers": {func(g *rig) {
-			g.pool.MovesRuns = false
+			g.pool.MigratesRequests = false
 			g.adopt()
 		}, ""},
 		"does not exist when all replicas have loaded other weights": {func(g *rig) {
@@ -56,7 +56,7 @@
 	for _, name := range slices.Sorted(maps.Keys(cases)) {
 		It(name, func() {
 			g := newRig(3)
-			g.pool.MovesRuns = true
+			g.pool.MigratesRequests = true
 			g.adopt()
 			cases[name].change(g)
 			to, ok := g.placer.Refuge(g.now, long(1), 1, []wasabiridge.BackendServerID{"e0"})
--- a/internal/wasabireplica/observe.go
+++ b/internal/wasabireplica/observe.go
@@ -17,25 +17,25 @@
 		p.detectSilence(now)
 		p.reviewIncarnations(now)
 		p.rateGroup.Tick(now)
-	case wasabiridge.LimitNamed:
+	case wasabiridge.LimitAnnounced:
 		p.limitReported(now, e)
 	case wasabiridge.ConfigAdopted:
 		p.adopt(now, e.Config)
-	case wasabiridge.WeightsNamed:
+	case wasabiridge.TargetWeightsSet:
 		p.announced.add(e.Model, announcedVersion{weights: e.Weights, at: e.At})
 	case wasabiridge.WeightsReported:
 		p.weightsReported(now, e)
-	case wasabiridge.BackendResting:
+	case wasabiridge.BackendInBackoff:
 		if r := p.replicas[e.Backend]; r != nil {
 			r.backoffUntil = e.Until
 		}
-	case wasabiridge.BackendEasing:
+	case wasabiridge.BackendDraining:
 		if r := p.replicas[e.Backend]; r != nil {
 			r.drainUntil = e.Until
 		}
-	case wasabiridge.KeptCacheSeen:
+	case wasabiridge.CacheStoreChecked:
 		p.kvStores.setReachable(e)
-	case wasabiridge.KeptCacheListed:
+	case wasabiridge.CacheStoreListed:
 		p.kvStores.addListed(e)
 	case wasabiridge.PeerPlaced:
 		p.peerPlaced(now, e)
@@ -144,7 +144,7 @@
 	a.replica.prefillQueue.markStarted(now, func(w queuedPrompt) bool { return w.attempt == id })
 	for i, key := range a.keys {
 		a.replica.cache.markReady(key)
-		p.peerUpdates.add(wasabiridge.PartNews{Backend: a.replica.server.ID, Key: key, Tokens: a.prompt.lengths[i], Ready: true, Incarnation: a.replica.server.Incarnation})
+		p.peerUpdates.add(wasabiridge.SegmentUpdate{Backend: a.replica.server.ID, Key: key, Tokens: a.prompt.lengths[i], Ready: true, Incarnation: a.replica.server.Incarnation})
 	}
 	p.attempts[id] = a
 }
@@ -191,14 +191,14 @@
 // observeResult updates the state of a replica with the result of an attempt.
 func (p *Placer) observeResult(now wasabiridge.Millis, r *replica, firstByteSeen bool, e wasabiridge.AttemptEnded) {
 	switch {
-	case e.Moved.Memory != "":
+	case e.Moved.Handle != "":
 	case e.Misdirected:
 		// Another replica now has this address.
 		r.gone = true
 	case e.Failed:
 		r.observeFailure(true)
 		r.clearFailures()
-	case e.Unreachable || e.Silent:
+	case e.Unreachable || e.FirstByteTimeout:
 		r.recordFailure(now)
 		r.observeFailure(true)
 	case e.OtherWeights, e.Overloaded:
--- a/internal/wasabireplica/placer.go
+++ b/internal/wasabireplica/placer.go
@@ -148,8 +148,8 @@
 			continue
 		}
 		switch {
-		case q.Isolate != 0:
-			if !found || wasabiquarantine.Isolation(q.Isolate, r.server.ID) > wasabiquarantine.Isolation(q.Isolate, best.replica.server.ID) {
+		case q.IsolationKey != 0:
+			if !found || wasabiquarantine.Isolation(q.IsolationKey, r.server.ID) > wasabiquarantine.Isolation(q.IsolationKey, best.replica.server.ID) {
 				best, found = c, true
 			}
 		case !found || c.score < best.score-tieMargin:
@@ -162,7 +162,7 @@
 		}
 	}
 	if !found {
-		return wasabiridge.Placement{Never: p.isUnresumable(now, pl, q)}, false
+		return wasabiridge.Placement{Unplaceable: p.isUnresumable(now, pl, q)}, false
 	}
 	return p.placement(now, pl, best, q.Request, &pr), true
 }
@@ -245,14 +245,14 @@
 	if !pr.worthFetching() {
 		return out
 	}
-	out.Why, out.FetchFrom, out.ClaimedTokens = c.source.why, c.source.fetchFrom, c.source.held
+	out.Why, out.ImportFrom, out.ClaimedTokens = c.source.why, c.source.fetchFrom, c.source.held
 	keys := pr.keysFor(out.Weights)
 	if s := p.kvStores.storeOf(keys[len(keys)-1]); s != nil && pr.own <= pr.shared && !s.holds(keys[len(keys)-1]) {
 		// The store receives the whole prompt, including the tokens that no other
 		// request shares. They occupy the store's link and memory and evict shared
 		// segments before these are used again, so prompts that are mostly unshared are
 		// not saved.
-		out.SaveTo = s.Address
+		out.ExportTo = s.Address
 	}
 	return out
 }
--- a/internal/wasabireplica/pool.go
+++ b/internal/wasabireplica/pool.go
@@ -84,8 +84,8 @@
 type Learned struct {
 	Pool  wasabiridge.PoolID
 	Model wasabiridge.ModelID
-	// FirstToken is the time to the first token of an empty prompt, and Thousand the
-	// additional time for a thousand tokens.
+	// FirstToken is the time to the first token of an empty prompt, and
+	// PerThousandTokens the additional time for a thousand tokens.
 	FirstToken, Thousand float64
 	// Overrun is the ratio of actual to expected time that nearly all first bytes stay
 	// below. Answers is the number of answers behind the estimate.
--- a/internal/wasabireplica/prefillqueue_test.go
+++ b/internal/wasabireplica/prefillqueue_test.go
@@ -120,7 +120,7 @@
 
 	It("includes the load of other instances, as long as they report it", func() {
 		g := newRig(2)
-		g.observe(wasabiridge.PeerPlaced{From: "i2", Loads: []wasabiridge.LoadNews{{Backend: "e0", Inside: 2, Tokens: 400000}}})
+		g.observe(wasabiridge.PeerPlaced{From: "i2", Loads: []wasabiridge.LoadUpdate{{Backend: "e0", InFlight: 2, Tokens: 400000}}})
 		for i := range 6 {
 			pl, id := g.place(long(uint64(i)))
 			Expect(pl.Backend.ID).To(BeEquivalentTo("e1"))
@@ -144,7 +144,7 @@
 		Expect(ok).To(BeTrue())
 		loads, _ := g.placer.TakeNews(g.now)
 		for _, l := range loads {
-			Expect(l.Inside).To(BeZero())
+			Expect(l.InFlight).To(BeZero())
 			Expect(l.Tokens).To(BeZero())
 		}
 	})
--- a/internal/wasabireplica/replica.go
+++ b/internal/wasabireplica/replica.go
@@ -106,7 +106,7 @@
 	// that was not sent to the other instances yet, and limitSentAt is when a report
 	// was last sent.
 	limit        wasabirate.Limit
-	pendingLimit wasabiridge.LimitNamed
+	pendingLimit wasabiridge.LimitAnnounced
 	limitSentAt  wasabiridge.Millis
 }
 
@@ -146,7 +146,7 @@
 	r.backoffUntil, r.drainUntil = 0, 0
 	r.clearFailures()
 	r.failures, r.delay, r.samples = 0, 0, 0
-	r.limit, r.pendingLimit, r.limitSentAt = wasabirate.Limit{}, wasabiridge.LimitNamed{}, 0
+	r.limit, r.pendingLimit, r.limitSentAt = wasabirate.Limit{}, wasabiridge.LimitAnnounced{}, 0
 	maps.Copy(r.weights, r.unconfirmedWeights)
 	r.unconfirmedWeights = nil
 }
--- a/internal/wasabireplica/replica_test.go
+++ b/internal/wasabireplica/replica_test.go
@@ -51,7 +51,7 @@
 func (g *rig) adopt() {
 	g.observe(wasabiridge.ConfigAdopted{Config: wasabiridge.Config{
 		Version: 1, Pools: []wasabiridge.Pool{g.pool},
-		KeptCaches: []wasabiridge.KeptCache{{ID: "kv", Address: "kv:1", Zone: "z", CacheTokens: 2000000, LinkMegabits: 54000}},
+		CacheStores: []wasabiridge.CacheStore{{ID: "kv", Address: "kv:1", Zone: "z", CacheTokens: 2000000, LinkMegabits: 54000}},
 	}})
 }
 
@@ -107,15 +107,15 @@
 
 	It("is fetched from the KV cache store that lists it", func() {
 		g := newRig(5)
-		g.observe(wasabiridge.KeptCacheSeen{Address: "kv:1", Up: true})
+		g.observe(wasabiridge.CacheStoreChecked{Address: "kv:1", Up: true})
 		root := wasabiridge.CacheRoot{Model: model, Weights: 1}
-		g.observe(wasabiridge.KeptCacheListed{Address: "kv:1", Parts: []wasabiridge.PartNews{
+		g.observe(wasabiridge.CacheStoreListed{Address: "kv:1", Segments: []wasabiridge.SegmentUpdate{
 			{Key: wasabiprefix.PartKey(wasabiprefix.ShortSalt(root), 7), Tokens: 13000, Ready: true},
 		}})
 		pl, _ := g.place(long(7))
 		Expect(pl.Why).To(Equal("kept"))
-		Expect(pl.FetchFrom).To(Equal("kv:1"))
-		Expect(pl.SaveTo).To(BeEmpty())
+		Expect(pl.ImportFrom).To(Equal("kv:1"))
+		Expect(pl.ExportTo).To(BeEmpty())
 	})
 
 	It("is sent to the replica that holds it, or fetched from there when that one is busy", func() {
@@ -133,7 +133,7 @@
 		third, _ := g.place(long(7))
 		Expect(third.Backend.ID).NotTo(Equal(first.Backend.ID))
 		Expect(third.Why).To(Equal("fetched"))
-		Expect(third.FetchFrom).To(Equal(string(first.Backend.ID) + ":1"))
+		Expect(third.ImportFrom).To(Equal(string(first.Backend.ID) + ":1"))
 	})
 
 	// Guards against six instances that each send the first prompt of the same manual
@@ -143,30 +143,30 @@
 		first, _ := g.place(long(7))
 		_, segments := g.placer.TakeNews(g.now)
 		other := newRig(5)
-		other.observe(wasabiridge.PeerPlaced{From: "i2", Parts: segments})
+		other.observe(wasabiridge.PeerPlaced{From: "i2", Segments: segments})
 		second, _ := other.place(long(7))
 		Expect(second.Backend.ID).To(Equal(first.Backend.ID))
 	})
 
 	It("is saved once, and fetched from the store when no replica holds it", func() {
 		g := newRig(3)
-		g.observe(wasabiridge.KeptCacheSeen{Address: "kv:1", Up: true})
+		g.observe(wasabiridge.CacheStoreChecked{Address: "kv:1", Up: true})
 		first, id := g.place(long(7))
-		Expect(first.SaveTo).To(Equal("kv:1"))
+		Expect(first.ExportTo).To(Equal("kv:1"))
 		g.answer(id)
 		second, id := g.place(long(7))
-		Expect(second.SaveTo).To(BeEmpty())
+		Expect(second.ExportTo).To(BeEmpty())
 		g.answer(id)
 		g.pool.Backends = slices.DeleteFunc(slices.Clone(g.pool.Backends), func(b wasabiridge.BackendServer) bool { return b.ID == first.Backend.ID })
 		g.adopt()
 		g.now += 5000
 		third, _ := g.place(long(7))
 		Expect(third.Why).To(Equal("kept"))
-		Expect(third.FetchFrom).To(Equal("kv:1"))
+		Expect(third.ImportFrom).To(Equal("kv:1"))
 		By("assuming that a store that was unreachable is empty")
-		g.observe(wasabiridge.KeptCacheSeen{Address: "kv:1"})
+		g.observe(wasabiridge.CacheStoreChecked{Address: "kv:1"})
 		fourth, _ := g.place(long(8))
-		Expect(fourth.FetchFrom).To(BeEmpty())
+		Expect(fourth.ImportFrom).To(BeEmpty())
 	})
 
 	// Guards against unshared tokens that fill a store and its link. When half of the
@@ -174,13 +174,13 @@
 	// before they were requested again.
 	It("is saved only if it is mostly shared", func() {
 		g := newRig(3)
-		g.observe(wasabiridge.KeptCacheSeen{Address: "kv:1", Up: true})
+		g.observe(wasabiridge.CacheStoreChecked{Address: "kv:1", Up: true})
 		first, id := g.place(sized(7, 5000, 6000))
-		Expect(first.SaveTo).To(BeEmpty())
+		Expect(first.ExportTo).To(BeEmpty())
 		g.now += 150
 		g.answer(id)
 		second, _ := g.place(sized(7, 5000, 4000))
-		Expect(second.SaveTo).To(Equal("kv:1"))
+		Expect(second.ExportTo).To(Equal("kv:1"))
 	})
 
 	It("shares no segments across cache roots", func() {
@@ -219,7 +219,7 @@
 		g := newRig(1)
 		announced := g.now
 		for v := range 4 {
-			g.observe(wasabiridge.WeightsNamed{Model: model, Weights: wasabiridge.WeightsVersion(2 + v), At: announced + wasabiridge.Millis(v)*3000})
+			g.observe(wasabiridge.TargetWeightsSet{Model: model, Weights: wasabiridge.WeightsVersion(2 + v), At: announced + wasabiridge.Millis(v)*3000})
 		}
 		g.now = announced + 9999
 		pl, id := g.place(short())
@@ -237,10 +237,10 @@
 	// only since version 3.
 	It("are too old from the first newer version on, also when that is received last", func() {
 		g := newRig(1)
-		g.observe(wasabiridge.WeightsNamed{Model: model, Weights: 3, At: g.now - 1000})
+		g.observe(wasabiridge.TargetWeightsSet{Model: model, Weights: 3, At: g.now - 1000})
 		_, id := g.place(short())
 		Expect(id).NotTo(BeZero())
-		g.observe(wasabiridge.WeightsNamed{Model: model, Weights: 2, At: g.now - 17000})
+		g.observe(wasabiridge.TargetWeightsSet{Model: model, Weights: 2, At: g.now - 17000})
 		_, id = g.place(short())
 		Expect(id).To(BeZero())
 	})
@@ -272,24 +272,24 @@
 			g.now += 20
 			g.answer(id)
 		}
-		g.observe(wasabiridge.BackendEasing{Backend: "e0", Until: g.now + 4000})
+		g.observe(wasabiridge.BackendDraining{Backend: "e0", Until: g.now + 4000})
 		pl, _ := g.place(long(100))
 		Expect(pl.Backend.ID).To(BeEquivalentTo("e1"))
 		pl, _ = g.place(short())
 		Expect(pl.Backend.ID).To(BeEquivalentTo("e0"))
-		g.observe(wasabiridge.BackendEasing{Backend: "e0", Until: g.now})
+		g.observe(wasabiridge.BackendDraining{Backend: "e0", Until: g.now})
 		pl, _ = g.place(long(200))
 		Expect(pl.Backend.ID).To(BeEquivalentTo("e0"))
 	})
 
 	It("that are about to be loaded keep all work away while the replica is in backoff", func() {
 		g := newRig(2)
-		g.observe(wasabiridge.BackendResting{Backend: "e0", Until: g.now + 4000})
+		g.observe(wasabiridge.BackendInBackoff{Backend: "e0", Until: g.now + 4000})
 		for range 5 {
 			pl, _ := g.place(short())
 			Expect(pl.Backend.ID).To(BeEquivalentTo("e1"))
 		}
-		g.observe(wasabiridge.BackendResting{Backend: "e0", Until: g.now})
+		g.observe(wasabiridge.BackendInBackoff{Backend: "e0", Until: g.now})
 		g.now++
 		pl, _ := g.place(short())
 		Expect(pl.Backend.ID).To(BeEquivalentTo("e0"))
@@ -303,7 +303,7 @@
 		away  bool
 	}{
 		"that cannot be reached is put into backoff":                {end: wasabiridge.AttemptEnded{Result: wasabiridge.AttemptNotRun, Unreachable: true}, away: true},
-		"that sends nothing is put into backoff":                    {end: wasabiridge.AttemptEnded{Result: wasabiridge.AttemptBroken, Silent: true}, away: true},
+		"that sends nothing is put into backoff":                    {end: wasabiridge.AttemptEnded{Result: wasabiridge.AttemptBroken, FirstByteTimeout: true}, away: true},
 		"that breaks before the first byte is put into backoff":     {end: wasabiridge.AttemptEnded{Result: wasabiridge.AttemptBroken}, away: true},
 		"that breaks after the first byte stays in use":             {end: wasabiridge.AttemptEnded{Result: wasabiridge.AttemptBroken}, first: true},
 		"that refuses for lack of room is put into a short backoff": {end: wasabiridge.AttemptEnded{Result: wasabiridge.AttemptNotRun, Overloaded: true}, away: true},
--- a/internal/wasabireplica/restart_test.go
+++ b/internal/wasabireplica/restart_test.go
@@ -65,14 +65,14 @@
 		"holds nothing that peers report of its previous incarnation": {func(g *rig) {
 			g.setIncarnations(20)
 			g.observe(reported(20, 1))
-			g.observe(wasabiridge.PeerPlaced{From: "i2", Parts: []wasabiridge.PartNews{{Backend: "e0", Key: key(7), Tokens: 13000, Ready: true, Incarnation: 10}}})
+			g.observe(wasabiridge.PeerPlaced{From: "i2", Segments: []wasabiridge.SegmentUpdate{{Backend: "e0", Key: key(7), Tokens: 13000, Ready: true, Incarnation: 10}}})
 		}, "computed", 1},
 		"holds what peers report of its new incarnation": {func(g *rig) {
 			g.observe(reported(20, 1))
-			g.observe(wasabiridge.PeerPlaced{From: "i2", Parts: []wasabiridge.PartNews{{Backend: "e0", Key: key(7), Tokens: 13000, Ready: true, Incarnation: 20}}})
+			g.observe(wasabiridge.PeerPlaced{From: "i2", Segments: []wasabiridge.SegmentUpdate{{Backend: "e0", Key: key(7), Tokens: 13000, Ready: true, Incarnation: 20}}})
 		}, "held", 1},
 		"leaves backoff, and its failures are cleared": {func(g *rig) {
-			g.observe(wasabiridge.BackendResting{Backend: "e0", Until: g.now + 9000})
+			g.observe(wasabiridge.BackendInBackoff{Backend: "e0", Until: g.now + 9000})
 			g.observe(wasabiridge.BackendLost{Backend: "e0"})
 			g.setIncarnations(20)
 			g.observe(reported(20, 2))
@@ -128,7 +128,7 @@
 				g.observe(wasabiridge.WeightsReported{Backend: "e0", Model: model, Weights: 1, Incarnation: incarnation})
 			case 1:
 				old := wasabiridge.Incarnation(rapid.IntRange(10, int(incarnation)).Draw(t, "old"))
-				g.observe(wasabiridge.PeerPlaced{From: "i2", Parts: []wasabiridge.PartNews{{Backend: "e0", Key: key(wasabiridge.BlockHash(segment)), Tokens: 13000, Ready: true, Incarnation: old}}})
+				g.observe(wasabiridge.PeerPlaced{From: "i2", Segments: []wasabiridge.SegmentUpdate{{Backend: "e0", Key: key(wasabiridge.BlockHash(segment)), Tokens: 13000, Ready: true, Incarnation: old}}})
 				if old == incarnation {
 					sentIn[segment] = incarnation
 				}
--- a/internal/wasabireplica/updates.go
+++ b/internal/wasabireplica/updates.go
@@ -17,10 +17,10 @@
 
 // peerUpdates are the segment updates that were not sent to the other instances yet.
 type peerUpdates struct {
-	segments []wasabiridge.PartNews
+	segments []wasabiridge.SegmentUpdate
 }
 
-func (u *peerUpdates) add(p wasabiridge.PartNews) {
+func (u *peerUpdates) add(p wasabiridge.SegmentUpdate) {
 	if len(u.segments) >= maxPendingSegments {
 		u.segments = u.segments[1:]
 	}
@@ -29,19 +29,19 @@
 
 // TakeNews returns the state updates to send to the other instances, and clears them.
 // It leaves out the loads of replicas that have not changed since the last call.
-func (p *Placer) TakeNews(now wasabiridge.Millis) ([]wasabiridge.LoadNews, []wasabiridge.PartNews) {
+func (p *Placer) TakeNews(now wasabiridge.Millis) ([]wasabiridge.LoadUpdate, []wasabiridge.SegmentUpdate) {
 	segments := p.peerUpdates.segments
 	p.peerUpdates.segments = nil
-	var loads []wasabiridge.LoadNews
+	var loads []wasabiridge.LoadUpdate
 	for id, r := range p.replicas {
 		limit := r.takeLimitUpdate(now)
 		if r.own == r.sentLoad && !limit.Known {
 			continue
 		}
 		r.sentLoad = r.own
-		loads = append(loads, wasabiridge.LoadNews{Backend: id, Inside: r.own.requests, Tokens: r.own.tokens, Limit: limit})
+		loads = append(loads, wasabiridge.LoadUpdate{Backend: id, InFlight: r.own.requests, Tokens: r.own.tokens, Limit: limit})
 	}
-	slices.SortFunc(loads, func(a, b wasabiridge.LoadNews) int { return compare(a.Backend, b.Backend) })
+	slices.SortFunc(loads, func(a, b wasabiridge.LoadUpdate) int { return compare(a.Backend, b.Backend) })
 	return loads, segments
 }
 
@@ -55,11 +55,11 @@
 func (p *Placer) peerPlaced(now wasabiridge.Millis, e wasabiridge.PeerPlaced) {
 	for _, l := range e.Loads {
 		if r := p.replicas[l.Backend]; r != nil {
-			r.peers[e.From] = peerLoad{load: load{requests: l.Inside, tokens: l.Tokens}, at: now}
+			r.peers[e.From] = peerLoad{load: load{requests: l.InFlight, tokens: l.Tokens}, at: now}
 			r.applyPeerLimit(now, l.Limit)
 		}
 	}
-	for _, segment := range e.Parts {
+	for _, segment := range e.Segments {
 		r := p.replicas[segment.Backend]
 		if r == nil || !r.acceptIncarnation(now, segment.Incarnation) {
 			continue
--- a/internal/wasabireplica/weights_test.go
+++ b/internal/wasabireplica/weights_test.go
@@ -17,14 +17,14 @@
 	// continue there, because the weights are past their deadline.
 	It("does not continue with weights that are past their deadline", func() {
 		g := newRig(1)
-		g.observe(wasabiridge.WeightsNamed{Model: model, Weights: 2, At: g.now})
+		g.observe(wasabiridge.TargetWeightsSet{Model: model, Weights: 2, At: g.now})
 		g.now += 9800
 		_, ok := resume(g, 1)
 		Expect(ok).To(BeTrue())
 		g.now += 200
 		pl, ok := resume(g, 1)
 		Expect(ok).To(BeFalse())
-		Expect(pl.Never).To(BeTrue())
+		Expect(pl.Unplaceable).To(BeTrue())
 	})
 
 	// The last replica with the weights of a stream has loaded newer ones. The caller
@@ -32,14 +32,14 @@
 	It("fails at once when no replica has its weights, and waits for a replica in backoff", func() {
 		g := newRig(2)
 		g.observe(wasabiridge.WeightsReported{Backend: "e0", Model: model, Weights: 2})
-		g.observe(wasabiridge.BackendResting{Backend: "e1", Until: g.now + 100})
+		g.observe(wasabiridge.BackendInBackoff{Backend: "e1", Until: g.now + 100})
 		pl, ok := resume(g, 1)
 		Expect(ok).To(BeFalse())
-		Expect(pl.Never).To(BeFalse())
+		Expect(pl.Unplaceable).To(BeFalse())
 		g.observe(wasabiridge.WeightsReported{Backend: "e1", Model: model, Weights: 2})
 		pl, ok = resume(g, 1)
 		Expect(ok).To(BeFalse())
-		Expect(pl.Never).To(BeTrue())
+		Expect(pl.Unplaceable).To(BeTrue())
 	})
 })
 
@@ -48,7 +48,7 @@
 	// sent just before the deadline of the old weights starts long after it.
 	It("is sent there only if it starts before their deadline", func() {
 		g := newRig(1)
-		g.observe(wasabiridge.WeightsNamed{Model: model, Weights: 2, At: g.now})
+		g.observe(wasabiridge.TargetWeightsSet{Model: model, Weights: 2, At: g.now})
 		for i := range 20 {
 			g.placer.Sent(g.now, long(uint64(i)), wasabiridge.AttemptID(1000+i), wasabiridge.Placement{Backend: g.pool.Backends[0], Weights: 1})
 		}
@@ -73,7 +73,7 @@
 		g := newRig(1)
 		once := short()
 		once.Action.NonIdempotent, once.Action.Retry = true, false
-		g.observe(wasabiridge.WeightsNamed{Model: model, Weights: 2, At: g.now})
+		g.observe(wasabiridge.TargetWeightsSet{Model: model, Weights: 2, At: g.now})
 		g.now += 9000
 		pl, _ := g.place(once)
 		Expect(pl.FirstByte).To(BeEquivalentTo(1000))
--- a/internal/wasabirollout/keeper.go
+++ b/internal/wasabirollout/keeper.go
@@ -9,7 +9,7 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabitable"
 )
 
-// Options configures a Keeper.
+// Options configures a Controller.
 type Options struct {
 	Self wasabiridge.InstanceID
 	// Incarnation must be unique for each start of the instance.
@@ -30,7 +30,7 @@
 	Lease    wasabilease.Timing
 }
 
-// Keeper implements wasabiridge.RolloutKeeper. It drives rollouts while Run is
+// Keeper implements wasabiridge.RolloutController. It drives rollouts while Run is
 // running. It is safe for concurrent use.
 type Keeper struct {
 	options Options
@@ -41,9 +41,9 @@
 	rowChanges chan struct{}
 }
 
-var _ wasabiridge.RolloutKeeper = (*Keeper)(nil)
+var _ wasabiridge.RolloutController = (*Keeper)(nil)
 
-// New returns a Keeper. It drives no rollouts until Run is called.
+// New returns a Controller. It drives no rollouts until Run is called.
 func New(o Options) *Keeper {
 	name := fmt.Sprintf("%s/%d/rollouts", o.Self, o.Incarnation)
 	return &Keeper{
@@ -97,11 +97,11 @@
 	return r
 }
 
-// Steer applies an action to the current rollout: "pause", "resume" or
+// Apply applies an action to the current rollout: "pause", "resume" or
 // "rollback". A rollback starts a rollout of the latest published version and
 // returns it. It returns ErrInvalid if no version newer than the current one is
 // published.
-func (k *Keeper) Steer(ctx context.Context, id, action string) (wasabiridge.Rollout, error) {
+func (k *Keeper) Apply(ctx context.Context, id, action string) (wasabiridge.Rollout, error) {
 	row, current, err := k.find(ctx, id)
 	if err != nil {
 		return wasabiridge.Rollout{}, err
--- a/internal/wasabirollout/keeper_test.go
+++ b/internal/wasabirollout/keeper_test.go
@@ -109,7 +109,7 @@
 	s.Expect(s.weights.Publish(context.Background(), "large", "", v)).To(Succeed())
 }
 
-// startInstance starts an instance and returns its Keeper and a function that
+// startInstance starts an instance and returns its Controller and a function that
 // stops it.
 func (s *cluster) startInstance(id wasabiridge.InstanceID) (*wasabirollout.Keeper, func()) {
 	s.incarnation++
@@ -193,7 +193,7 @@
 		defer stop()
 		r := s.start(a)
 		time.Sleep(2 * time.Second)
-		_, err := a.Steer(context.Background(), r.ID, "pause")
+		_, err := a.Apply(context.Background(), r.ID, "pause")
 		s.Expect(err).NotTo(HaveOccurred())
 		time.Sleep(3 * time.Second)
 		before := s.ordersReceived()
@@ -202,9 +202,9 @@
 		s.Expect(s.current(a)).To(And(HaveField("State", "paused"), HaveField("Blocked", "paused")))
 		_, err = a.Start(context.Background(), r)
 		s.expectError(err, wasabiridge.ErrConflict)
-		_, err = a.Steer(context.Background(), r.ID, "pause")
+		_, err = a.Apply(context.Background(), r.ID, "pause")
 		s.expectError(err, wasabiridge.ErrConflict)
-		_, err = a.Steer(context.Background(), r.ID, "resume")
+		_, err = a.Apply(context.Background(), r.ID, "resume")
 		s.Expect(err).NotTo(HaveOccurred())
 		time.Sleep(time.Minute)
 		s.expectAll(2)
@@ -214,11 +214,11 @@
 		defer stop()
 		r := s.start(a)
 		time.Sleep(2 * time.Second)
-		_, err := a.Steer(context.Background(), r.ID, "rollback")
+		_, err := a.Apply(context.Background(), r.ID, "rollback")
 		s.expectError(err, wasabiridge.ErrInvalid)
 		s.publish(3)
 		var back wasabiridge.Rollout
-		back, err = a.Steer(context.Background(), r.ID, "rollback")
+		back, err = a.Apply(context.Background(), r.ID, "rollback")
 		s.Expect(err).NotTo(HaveOccurred())
 		s.Expect(back.Weights).To(BeEquivalentTo(3))
 		time.Sleep(time.Minute)
@@ -272,9 +272,9 @@
 		time.Sleep(40 * time.Second)
 		_, err := a.Start(context.Background(), wasabiridge.Rollout{Pool: "answers", Model: "large", Weights: 1})
 		s.expectError(err, wasabiridge.ErrInvalid)
-		_, err = a.Steer(context.Background(), "nothing", "pause")
+		_, err = a.Apply(context.Background(), "nothing", "pause")
 		s.expectError(err, wasabiridge.ErrNotFound)
-		_, err = a.Steer(context.Background(), "answers-2", "explode")
+		_, err = a.Apply(context.Background(), "answers-2", "explode")
 		s.expectError(err, wasabiridge.ErrInvalid)
 	},
 }
--- a/internal/wasabirule/rule.go
+++ b/internal/wasabirule/rule.go
@@ -13,7 +13,7 @@
 //	if cfg, err = wasabirule.Parse(text); err != nil {
 //		return err
 //	}
-//	rule, ok := wasabirule.Match(cfg, wasabirule.View{Account: "liftwell", Method: "POST", Path: "/v1/completions"})
+//	rule, ok := wasabirule.Match(cfg, wasabirule.RequestView{Account: "liftwell", Method: "POST", Path: "/v1/completions"})
 package wasabirule
 
 import (
--- a/internal/wasabiserver/fault.go
+++ b/internal/wasabiserver/fault.go
@@ -57,7 +57,7 @@
 	return f != nil && f.Point == p && (p != AtToken || f.Token == token)
 }
 
-// Perform executes the fault in an HTTP handler. It returns only for CleanEnd,
+// Perform executes the fault in an HTTP handler. It returns only for TruncatedEnd,
 // after which the handler must return; for the other kinds it panics with
 // http.ErrAbortHandler to abort the handler.
 func (f *Fault) Perform(w http.ResponseWriter, r *http.Request) {
--- a/internal/wasabiservice/service.go
+++ b/internal/wasabiservice/service.go
@@ -129,7 +129,7 @@
 }
 
 // answer writes the answer and executes the next injected fault, if there is one.
-// A CleanEnd fault after the headers closes the connection half way through an
+// A TruncatedEnd fault after the headers closes the connection half way through an
 // answer that has no content length.
 func (s *Service) answer(w http.ResponseWriter, r *http.Request, status int, v any) {
 	var data []byte
--- a/internal/wasabisettings/settings.go
+++ b/internal/wasabisettings/settings.go
@@ -98,7 +98,7 @@
 	TLS     *TLS   `json:"tls,omitempty"`
 	// SecretFile names a file with the secret that all instances share. It
 	// authenticates tickets and, without TLS, the instances to each other. It is
-	// required unless Open is set.
+	// required unless Trusted is set.
 	SecretFile string `json:"secret_file,omitempty"`
 	// Open means that only instances can reach the listener through the network,
 	// so that they need no secret.
--- a/internal/wasabitable/memory.go
+++ b/internal/wasabitable/memory.go
@@ -7,7 +7,7 @@
 // A test uses the stand-in and injects the faults that it needs:
 //
 //	table := wasabitable.NewMemory(wasabitable.MemoryOptions{Clock: clock})
-//	table.Faults().Script(wasabifault.Write, wasabifault.Fate{Kind: wasabifault.LostAnswer})
+//	table.Faults().Script(wasabifault.Write, wasabifault.Outcome{Kind: wasabifault.LostAnswer})
 //
 // Writes go through a Writer, which resolves unknown outcomes:
 //
--- a/internal/wasabitimeline/publish.go
+++ b/internal/wasabitimeline/publish.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// Batch is the content of one message on Topic.
+// Batch is the content of one message on EventsTopic.
 type Batch struct {
 	// Events are in the order in which they were recorded. Subscribers share
 	// the slice and must not modify it.
--- a/internal/wasabitimeline/timeline.go
+++ b/internal/wasabitimeline/timeline.go
@@ -129,7 +129,7 @@
 // later events of this Log sort strictly after it.
 //
 // A remote time more than MaxSkew ahead of the local clock is ignored and
-// counted in RefusedSkews. Otherwise one wrong clock would push the hybrid time
+// counted in IgnoredSkews. Otherwise one wrong clock would push the hybrid time
 // of all instances ahead of their clocks, by as much as that clock is wrong, and
 // queries such as "the last five minutes" would find nothing. The price is that
 // events of that sender are not ordered causally.
--- a/internal/wasabitls/keeper.go
+++ b/internal/wasabitls/keeper.go
@@ -3,7 +3,7 @@
 //
 // # Usage
 //
-//	var keeper *wasabitls.Keeper
+//	var keeper *wasabitls.CertReloader
 //	var err error
 //	if keeper, err = wasabitls.New(wasabitls.Options{Files: files, Clock: clock}); err != nil {
 //		return err
@@ -28,7 +28,7 @@
 // changed. Files are checked when a connection is opened.
 const checkInterval = wasabiridge.Second
 
-// Options configure a Keeper. Files and Clock are required.
+// Options configure a CertReloader. Files and Clock are required.
 type Options struct {
 	Files wasabisettings.TLS
 	Clock wasabiridge.Clock
@@ -83,7 +83,7 @@
 
 // Mutual returns a configuration for both the server and the client side of
 // mutual TLS between instances. New connections use the current certificate; the
-// authorities are those loaded when Mutual is called.
+// authorities are those loaded when MutualConfig is called.
 func (k *Keeper) Mutual() *tls.Config {
 	initial := k.latest()
 	cfg := initial.Clone()
--- a/internal/wasabiupgrade/event.go
+++ b/internal/wasabiupgrade/event.go
@@ -55,7 +55,7 @@
 type Effect interface{ isEffect() }
 
 // Tell requests that a state update is sent to all instances, including this one.
-type Tell struct{ News wasabiridge.RestNews }
+type Tell struct{ News wasabiridge.BackoffUpdate }
 
 // SendOrder requests that an upgrade order is sent to a replica. It must not be sent after
 // Before.
@@ -71,9 +71,9 @@
 	Model  wasabiridge.ModelID
 }
 
-// Upgraded reports that a replica serves new weights. Rested is the time in backoff before
-// its order. Loaded is the time from the order until the new weights were served, which
-// includes the time until the running answers had ended.
+// Upgraded reports that a replica serves new weights. Backoff is the time in backoff
+// before its order. LoadTime is the time from the order until the new weights were
+// served, which includes the time until the running answers had ended.
 type Upgraded struct {
 	Backend wasabiridge.BackendServerID
 	Model   wasabiridge.ModelID
--- a/internal/wasabiupgrade/keeper.go
+++ b/internal/wasabiupgrade/keeper.go
@@ -34,7 +34,7 @@
 // instances until the old lease has expired.
 var LeaseTiming = wasabilease.Timing{TTL: 2400, Drift: 600, Renew: 1100, Poll: 600, Reclaim: true}
 
-// Options configures a Keeper. Recorder, Leaving, Log and Timing are optional.
+// Options configures a Controller. Recorder, Leaving, Log and Timing are optional.
 type Options struct {
 	Self wasabiridge.InstanceID
 	// Address is the listen address of the instance. Together with Self it
@@ -55,7 +55,7 @@
 	Leaving func() bool
 	// Tell sends state updates about replicas to all instances that place requests or
 	// may send the next orders, including this one. It must not block.
-	Tell   func(updates []wasabiridge.RestNews)
+	Tell   func(updates []wasabiridge.BackoffUpdate)
 	Log    zerolog.Logger
 	Timing Timing
 }
@@ -74,7 +74,7 @@
 	lastOutstanding int
 }
 
-// NewKeeper returns a Keeper that is not running yet. Run runs it.
+// NewKeeper returns a Controller that is not running yet. Run runs it.
 func NewKeeper(o Options) *Keeper {
 	return &Keeper{
 		options: o,
@@ -115,7 +115,7 @@
 			e = Ticked{Entries: entries, Wanted: wanted, Grant: k.lease.Grant()}
 		}
 		now := k.options.Clock.Now()
-		var updates []wasabiridge.RestNews
+		var updates []wasabiridge.BackoffUpdate
 		for _, effect := range slices.Clone(m.Handle(now, e)) {
 			if tell, ok := effect.(Tell); ok {
 				updates = append(updates, tell.News)
@@ -156,12 +156,12 @@
 }
 
 // notify logs the state updates that one event caused, and sends them in one message.
-func (k *Keeper) notify(updates []wasabiridge.RestNews) {
+func (k *Keeper) notify(updates []wasabiridge.BackoffUpdate) {
 	if len(updates) == 0 {
 		return
 	}
 	for _, u := range updates {
-		k.options.Log.Info().Str("backend", string(u.Backend)).Int64("resting_ms", int64(u.Resting)).Int64("easing_ms", int64(u.Easing)).
+		k.options.Log.Info().Str("backend", string(u.Backend)).Int64("resting_ms", int64(u.Backoff)).Int64("easing_ms", int64(u.Drain)).
 			Uint64("weights", uint64(u.Weights)).Uint64("fencing", uint64(k.lease.Grant().Fencing)).Msg("Replica state announced.")
 	}
 	k.options.Tell(updates)
--- a/internal/wasabiupgrade/keeper_test.go
+++ b/internal/wasabiupgrade/keeper_test.go
@@ -43,7 +43,7 @@
 					Server: wasabiridge.BackendServer{ID: "e"}, Weights: map[wasabiridge.ModelID]wasabiridge.WeightsVersion{model: 1},
 				}}, map[wasabiridge.ModelID]wasabiridge.WeightsVersion{model: 2}
 			},
-			Rank: func() int { return 0 }, Leaving: leaving.Load, Tell: func([]wasabiridge.RestNews) {},
+			Rank: func() int { return 0 }, Leaving: leaving.Load, Tell: func([]wasabiridge.BackoffUpdate) {},
 		})
 		go keeper.Run(running)
 
--- a/internal/wasabiupgrade/machine.go
+++ b/internal/wasabiupgrade/machine.go
@@ -40,7 +40,7 @@
 //
 // # Usage
 //
-//	keeper := wasabiupgrade.NewKeeper(wasabiupgrade.Options{
+//	keeper := wasabiupgrade.NewController(wasabiupgrade.Options{
 //		Self: "pos-1", Clock: clock, Table: table, Engines: engines, Catalog: view, Tell: tell,
 //	})
 //	go keeper.Run(ctx)
@@ -259,7 +259,7 @@
 func (m *Machine) startBackoff(now wasabiridge.Millis, r *replica) {
 	r.phase, r.since, r.target = inBackoff, now, m.wanted[r.model]
 	r.readInBackoff, r.busy = false, true
-	m.effects = append(m.effects, Tell{News: wasabiridge.RestNews{Backend: r.server.ID, Resting: backoffTTL}}, ReadState{Server: r.server, Model: r.model})
+	m.effects = append(m.effects, Tell{News: wasabiridge.BackoffUpdate{Backend: r.server.ID, Backoff: backoffTTL}}, ReadState{Server: r.server, Model: r.model})
 }
 
 // mayBeOrderedByOther reports whether another instance may have sent the replica an order
--- a/internal/wasabiupgrade/order.go
+++ b/internal/wasabiupgrade/order.go
@@ -24,7 +24,7 @@
 }
 
 // watch polls the state of a replica that has got its order. It abandons the upgrade
-// after Timing.Patience; it is tried again later.
+// after Timing.LoadTimeout; it is tried again later.
 func (m *Machine) watch(now wasabiridge.Millis, r *replica) {
 	if r.busy {
 		return
@@ -47,7 +47,7 @@
 	if silent {
 		return
 	}
-	m.effects = append(m.effects, Tell{News: wasabiridge.RestNews{Backend: r.server.ID}})
+	m.effects = append(m.effects, Tell{News: wasabiridge.BackoffUpdate{Backend: r.server.ID}})
 }
 
 func (m *Machine) handleOrdered(now wasabiridge.Millis, e Ordered) {
@@ -77,7 +77,7 @@
 		return
 	}
 	r.phase, r.lastRead = unanswered, now
-	m.effects = append(m.effects, Tell{News: wasabiridge.RestNews{Backend: r.server.ID, Easing: drainTTL}})
+	m.effects = append(m.effects, Tell{News: wasabiridge.BackoffUpdate{Backend: r.server.ID, Drain: drainTTL}})
 }
 
 // markAccepted records that a replica has accepted its order. If the order had no answer
@@ -88,7 +88,7 @@
 		return
 	}
 	r.phase, r.lastRead = ordered, now
-	m.effects = append(m.effects, Tell{News: wasabiridge.RestNews{Backend: r.server.ID, Resting: backoffTTL}})
+	m.effects = append(m.effects, Tell{News: wasabiridge.BackoffUpdate{Backend: r.server.ID, Backoff: backoffTTL}})
 }
 
 func (m *Machine) handleStateRead(now wasabiridge.Millis, e StateRead) {
@@ -137,7 +137,7 @@
 		m.startBackoff(now, r)
 	case !r.drainAnnounced:
 		r.drainAnnounced, r.since = true, now
-		m.effects = append(m.effects, Tell{News: wasabiridge.RestNews{Backend: r.server.ID, Easing: drainTTL}})
+		m.effects = append(m.effects, Tell{News: wasabiridge.BackoffUpdate{Backend: r.server.ID, Drain: drainTTL}})
 	}
 }
 
@@ -161,5 +161,5 @@
 		m.effects = append(m.effects, Upgraded{Backend: r.server.ID, Model: r.model, Weights: r.serves, Rested: r.backoffTime, Loaded: now - r.since})
 	}
 	r.phase = idle
-	m.effects = append(m.effects, Tell{News: wasabiridge.RestNews{Backend: r.server.ID, Model: r.model, Weights: r.serves, Incarnation: r.server.Incarnation}})
+	m.effects = append(m.effects, Tell{News: wasabiridge.BackoffUpdate{Backend: r.server.ID, Model: r.model, Weights: r.serves, Incarnation: r.server.Incarnation}})
 }
--- a/internal/wasabiupgrade/upgrade_test.go
+++ b/internal/wasabiupgrade/upgrade_test.go
@@ -43,7 +43,7 @@
 	// unresponsive holds the engines that do not respond.
 	unresponsive map[wasabiridge.BackendServerID]bool
 	orders       []wasabiupgrade.SendOrder
-	updates      []wasabiridge.RestNews
+	updates      []wasabiridge.BackoffUpdate
 	loading      int
 }
 
@@ -181,8 +181,8 @@
 		f.wanted = 2
 		f.run(3000)
 		Expect(f.updates).To(HaveLen(2))
-		Expect(f.updates[0].Resting).To(BeNumerically(">", 0))
-		Expect(f.updates[1]).To(Equal(wasabiridge.RestNews{Backend: id(0), Model: model, Weights: 2}))
+		Expect(f.updates[0].Backoff).To(BeNumerically(">", 0))
+		Expect(f.updates[1]).To(Equal(wasabiridge.BackoffUpdate{Backend: id(0), Model: model, Weights: 2}))
 	})
 
 	It("sends no order without the lease, and stops when the lease expires", func() {
@@ -250,7 +250,7 @@
 		Expect(f.left()).To(BeZero())
 		backoffs, most := map[wasabiridge.BackendServerID]bool{}, 0
 		for _, update := range f.updates {
-			backoffs[update.Backend] = update.Resting > 0
+			backoffs[update.Backend] = update.Backoff > 0
 			away := 0
 			for _, inBackoff := range backoffs {
 				if inBackoff {
@@ -277,13 +277,13 @@
 			return id == lost
 		}
 		inBackoff := func() bool {
-			last := wasabiridge.RestNews{}
+			last := wasabiridge.BackoffUpdate{}
 			for _, update := range f.updates {
 				if update.Backend == lost {
 					last = update
 				}
 			}
-			return last.Resting > 0
+			return last.Backoff > 0
 		}
 		f.run(1000)
 		Expect(lost).NotTo(BeEmpty())
@@ -354,9 +354,9 @@
 		Expect(f.left()).To(BeZero())
 		drained := map[wasabiridge.BackendServerID]bool{}
 		for _, update := range f.updates {
-			if update.Easing > 0 {
+			if update.Drain > 0 {
 				drained[update.Backend] = true
-				Expect(update.Resting).To(BeZero())
+				Expect(update.Backoff).To(BeZero())
 			}
 		}
 		Expect(drained).To(HaveLen(7), "all but the two that load immediately")
--- a/limit.go
+++ b/limit.go
@@ -1,19 +1,19 @@
 package wasabiridge
 
-// LimitNamed reports what the header of a response announced about the rate limit of
+// LimitAnnounced reports what the header of a response announced about the rate limit of
 // its backend server, which applies to all instances together.
-type LimitNamed struct {
+type LimitAnnounced struct {
 	Backend BackendServerID
 	// Limited reports that the server announced a limit. Rate is that limit, in
 	// requests per second.
 	Limited bool
 	Rate    float64
-	// Asked is when the request was sent, and so the earliest time that the
+	// RequestSentAt is when the request was sent, and so the earliest time that the
 	// announcement can date from.
-	Asked Millis
+	RequestSentAt Millis
 	// Fault describes why an announced limit is unusable. Such an announcement is
 	// ignored. Empty means that it is usable.
 	Fault string
 }
 
-func (LimitNamed) isEvent() {}
+func (LimitAnnounced) isEvent() {}
--- a/operator.go
+++ b/operator.go
@@ -10,9 +10,9 @@
 	Reached bool `json:"reached"`
 }
 
-// ConfigKeeper accepts configurations, stores their history and distributes them to all
-// instances. Implementations are safe for concurrent use.
-type ConfigKeeper interface {
+// ConfigController accepts configurations, stores their history and distributes them to
+// all instances. Implementations are safe for concurrent use.
+type ConfigController interface {
 	// Current returns the document and the configuration in force at this instance. The
 	// version is zero when none is known.
 	Current() (ConfigDocument, Config)
@@ -44,14 +44,14 @@
 	Blocked string `json:"blocked,omitempty"`
 }
 
-// RolloutKeeper starts and controls rollouts. Implementations are safe for concurrent
+// RolloutController starts and controls rollouts. Implementations are safe for concurrent
 // use.
-type RolloutKeeper interface {
+type RolloutController interface {
 	// Start begins a rollout. It returns ErrConflict when one is already running on the
 	// pool.
 	Start(ctx context.Context, r Rollout) (Rollout, error)
-	// Steer applies an action to a rollout: "pause", "resume" or "rollback".
-	Steer(ctx context.Context, id, action string) (Rollout, error)
+	// Apply applies an action to a rollout: "pause", "resume" or "rollback".
+	Apply(ctx context.Context, id, action string) (Rollout, error)
 	// List returns the known rollouts.
 	List(ctx context.Context) ([]Rollout, error)
 }
--- a/outcome.go
+++ b/outcome.go
@@ -19,10 +19,10 @@
 	OutputTokens int
 	Disposition  Disposition
 	Refused      RefuseReason
-	// Cut reports that a stream ended before its end marker.
-	Cut bool
-	// Doubled reports that a non-idempotent request is known to have run twice.
-	Doubled bool
+	// Truncated reports that a stream ended before its end marker.
+	Truncated bool
+	// RanTwice reports that a non-idempotent request is known to have run twice.
+	RanTwice bool
 }
 
 // OutcomeRecorder records outcomes. Implementations are safe for concurrent use and
--- a/peer.go
+++ b/peer.go
@@ -16,13 +16,14 @@
 	Suspect bool
 	// Dead reports that the instance is considered dead.
 	Dead bool
-	// Vouched reports that the sender was asked whether it can still reach the
+	// ConfirmedAlive reports that the sender was asked whether it can still reach the
 	// instance, and has just received a message from it.
-	Vouched bool
+	ConfirmedAlive bool
 	// Age is how long ago the state of the instance last changed.
 	Age Millis
-	// Heard is when information about the instance last arrived, by the local clock.
-	Heard Millis
+	// LastReceived is when information about the instance last arrived, by the local
+	// clock.
+	LastReceived Millis
 }
 
 // Heartbeat is one gossip message between instances. Its size is bounded: Others holds
--- a/placement.go
+++ b/placement.go
@@ -11,10 +11,10 @@
 	// Weights is the version that must produce the response, such as that of a stream
 	// to be continued. Zero means any that may serve.
 	Weights WeightsVersion
-	// Isolate selects, among all servers that may serve the request, the one that
-	// wasabiquarantine.Isolation ranks first for the fingerprint, whatever the cost.
+	// IsolationKey selects, among all servers that may serve the request, the one that
+	// wasabiquarantine.IsolationRank ranks first for the fingerprint, whatever the cost.
 	// Zero means no such constraint.
-	Isolate Fingerprint
+	IsolationKey Fingerprint
 }
 
 // Placement is a chosen backend server.
@@ -30,21 +30,21 @@
 	ExpectedWait Millis
 	// Why is the deciding reason, for the time line, such as "holder" or "home".
 	Why string
-	// Join is the point in time until which the request should wait because the prefix
-	// is being computed right now. Zero means to send at once.
-	Join Millis
+	// WaitUntil is the point in time until which the request should wait because the
+	// prefix is being computed right now. Zero means to send at once.
+	WaitUntil Millis
 	// Weights is the version that the server is expected to serve. A server with
 	// another version refuses the request as not run. Zero means any.
 	Weights WeightsVersion
-	// FetchFrom, SaveTo and FirstByte are copied to the Dispatch.
-	FetchFrom string
-	SaveTo    string
-	FirstByte Millis
-	// MemoryFrom is copied to the Dispatch.
-	MemoryFrom string
-	// Never is set when no server was found. It reports that none will be found however
-	// long the request waits.
-	Never bool
+	// ImportFrom, ExportTo and FirstByte are copied to the Dispatch.
+	ImportFrom string
+	ExportTo   string
+	FirstByte  Millis
+	// CacheHandle is copied to the Dispatch.
+	CacheHandle string
+	// Unplaceable is set when no server was found. It reports that none will be found
+	// however long the request waits.
+	Unplaceable bool
 }
 
 // WhyMoved is the reason of a placement that follows the moved KV cache of the previous
--- a/quota.go
+++ b/quota.go
@@ -61,8 +61,8 @@
 // Quota enforces the limits of client accounts. Implementations are deterministic and
 // not safe for concurrent use.
 type Quota interface {
-	// Judge is called once for each request, before it is sent to a server.
-	Judge(now Millis, r Request) QuotaVerdict
+	// Check is called once for each request, before it is sent to a server.
+	Check(now Millis, r Request) QuotaVerdict
 	// Sent charges an attempt that is being sent to a server. Further attempts of an
 	// admitted request are charged and never refused.
 	Sent(now Millis, r Request, a AttemptID)
@@ -70,8 +70,8 @@
 	Observe(now Millis, e Event)
 }
 
-// UseNews is the usage that the sender has admitted for a client account.
-type UseNews struct {
+// UsageUpdate is the usage that the sender has admitted for a client account.
+type UsageUpdate struct {
 	Account ClientAccountID
 	// Spent counts the units admitted since the start of the sender.
 	Spent int64
@@ -81,38 +81,39 @@
 	LevelKnown bool
 }
 
-// UsesHeard carries the usage that another instance has admitted. Life is the sender's
-// incarnation. Sequence increases with each of its messages.
-type UsesHeard struct {
-	From     InstanceID
-	Life     Incarnation
-	Sequence uint64
-	// Part is the share of every limit that is owned by the sender and the instances
+// UsageReceived carries the usage that another instance has admitted. Incarnation is
+// the sender's incarnation. Sequence increases with each of its messages.
+type UsageReceived struct {
+	From        InstanceID
+	Incarnation Incarnation
+	Sequence    uint64
+	// Share is the share of every limit that is owned by the sender and the instances
 	// that it receives updates from. Zero means that the sender does not know it.
-	Part float64
-	// Whole reports that the sender knows of no recent usage by accounts that are not
+	Share float64
+	// Complete reports that the sender knows of no recent usage by accounts that are not
 	// listed.
-	Whole bool
-	Uses  []UseNews
-	// Change is the number of the set of owners that the sender counts with. View
-	// identifies that set as the sender knows all of its members. Zero means that the
-	// sender announces none.
-	Change, View uint64
+	Complete bool
+	Usage    []UsageUpdate
+	// OwnersEpoch is the number of the set of owners that the sender counts with.
+	// OwnersDigest identifies that set as the sender knows all of its members. Zero
+	// means that the sender announces none.
+	OwnersEpoch, OwnersDigest uint64
 }
 
-// UsesHeard returns the part of the update that concerns the limits of client accounts.
-func (n News) UsesHeard() UsesHeard {
-	return UsesHeard{
-		From: n.From, Life: n.Life, Sequence: n.Sequence, Part: n.Part, Whole: n.Whole, Uses: n.Uses, Change: n.Change, View: n.View,
+// UsageReceived returns the part of the update that concerns the limits of client
+// accounts.
+func (n StateUpdate) UsageReceived() UsageReceived {
+	return UsageReceived{
+		From: n.From, Incarnation: n.Incarnation, Sequence: n.Sequence, Share: n.Share, Complete: n.Complete, Usage: n.Usage, OwnersEpoch: n.OwnersEpoch, OwnersDigest: n.OwnersDigest,
 	}
 }
 
-// PeerHeard reports that another instance received a message from this one, or sent one
-// to it.
-type PeerHeard struct{ From InstanceID }
+// PeerReachable reports that another instance received a message from this one, or sent
+// one to it.
+type PeerReachable struct{ From InstanceID }
 
-// PeerTold reports that a message to another instance is in flight.
-type PeerTold struct{ To InstanceID }
+// PeerUpdateSent reports that a message to another instance is in flight.
+type PeerUpdateSent struct{ To InstanceID }
 
 // PeerEnded reports that the process of another instance has ended: nothing listens at
 // its address.
@@ -129,12 +130,12 @@
 // instances restarted.
 type OwnersKnown struct{ Instances []InstanceID }
 
-func (UsesHeard) isEvent()   {}
-func (OwnersKnown) isEvent() {}
-func (PeerHeard) isEvent()   {}
-func (PeerTold) isEvent()    {}
-func (PeerEnded) isEvent()   {}
-func (ActiveKnown) isEvent() {}
+func (UsageReceived) isEvent()  {}
+func (OwnersKnown) isEvent()    {}
+func (PeerReachable) isEvent()  {}
+func (PeerUpdateSent) isEvent() {}
+func (PeerEnded) isEvent()      {}
+func (ActiveKnown) isEvent()    {}
 
 // QuotaReader reports the state of the limits of client accounts. Implementations are
 // safe for concurrent use.
@@ -145,9 +146,9 @@
 // QuotaReport is what one instance knows of the limits of client accounts.
 type QuotaReport struct {
 	Instance InstanceID `json:"instance"`
-	// Part is the share of every limit that can be used at this instance and those that
+	// Share is the share of every limit that can be used at this instance and those that
 	// it exchanges updates with. It is below 1 while other instances do not respond.
-	Part     float64       `json:"part"`
+	Share    float64       `json:"part"`
 	Accounts []QuotaStatus `json:"accounts"`
 }
 
@@ -169,6 +170,6 @@
 type QuotaUse struct {
 	Instance InstanceID `json:"instance"`
 	Used     int64      `json:"used"`
-	// Silent reports that the instance does not respond.
-	Silent bool `json:"silent,omitempty"`
+	// Unresponsive reports that the instance does not respond.
+	Unresponsive bool `json:"silent,omitempty"`
 }
--- a/timeline.go
+++ b/timeline.go
@@ -22,16 +22,16 @@
 
 // Kinds of time line events that concern more than one request.
 const (
-	EventConfigAdopted  TimelineKind = "config_adopted"
-	EventBackendLost    TimelineKind = "backend_lost"
-	EventBackendLeaving TimelineKind = "backend_leaving"
-	EventBackendReborn  TimelineKind = "backend_reborn"
-	EventMemberChanged  TimelineKind = "member_changed"
-	EventLease          TimelineKind = "lease"
-	EventOrder          TimelineKind = "order"
-	EventRollout        TimelineKind = "rollout"
-	EventStore          TimelineKind = "store"
-	EventLifecycle      TimelineKind = "lifecycle"
+	EventConfigAdopted    TimelineKind = "config_adopted"
+	EventBackendLost      TimelineKind = "backend_lost"
+	EventBackendLeaving   TimelineKind = "backend_leaving"
+	EventBackendRestarted TimelineKind = "backend_reborn"
+	EventMemberChanged    TimelineKind = "member_changed"
+	EventLease            TimelineKind = "lease"
+	EventOrder            TimelineKind = "order"
+	EventRollout          TimelineKind = "rollout"
+	EventStore            TimelineKind = "store"
+	EventLifecycle        TimelineKind = "lifecycle"
 )
 
 // TimelineEvent is one entry of the time line. It never holds prompt text, response
