--- a/examples/claims/main.go
+++ b/examples/claims/main.go
@@ -29,26 +29,26 @@
 func main() {
 	clock := wasabiclock.System()
 	table := wasabitable.NewMemory(wasabitable.MemoryOptions{Clock: clock, Plan: wasabifault.Plan{Unavailable: 1}})
-	keeper := wasabiclaim.New(wasabiclaim.Options{Self: "pos-1", Incarnation: 1, Secret: []byte("shared by all instances"), Table: table, Clock: clock})
+	controller := wasabiclaim.New(wasabiclaim.Options{Self: "pos-1", Incarnation: 1, Secret: []byte("shared by all instances"), Table: table, Clock: clock})
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go keeper.Run(ctx)
+	go controller.Run(ctx)
 
-	booking := wasabiridge.ClaimQuery{Account: "liftwell", Key: keeper.Ticket("liftwell"), Request: "r1", Holder: "pos-1", Incarnation: 1, Digest: 42}
-	show(ctx, keeper, "first request ", booking)
-	show(ctx, keeper, "repeat at once", booking)
+	booking := wasabiridge.ClaimQuery{Account: "liftwell", Key: controller.Ticket("liftwell"), Request: "r1", Holder: "pos-1", Incarnation: 1, Digest: 42}
+	show(ctx, controller, "first request ", booking)
+	show(ctx, controller, "repeat at once", booking)
 	answer := wasabiridge.Answer{Status: 201, ContentType: "application/json", Body: []byte(`{"van":"7"}`)}
-	if err := keeper.Finish(ctx, wasabiridge.ClaimResult{Query: booking, Disposition: wasabiridge.Ran, Answer: answer}); err != nil {
+	if err := controller.Finish(ctx, wasabiridge.ClaimResult{Query: booking, Disposition: wasabiridge.Ran, Answer: answer}); err != nil {
 		log.Fatal(err)
 	}
-	show(ctx, keeper, "repeat later  ", booking)
+	show(ctx, controller, "repeat later  ", booking)
 	booking.Digest = 43
-	show(ctx, keeper, "another body  ", booking)
+	show(ctx, controller, "another body  ", booking)
 }
 
 // show claims a booking and prints the state of the claim.
-func show(ctx context.Context, keeper *wasabiclaim.Keeper, what string, q wasabiridge.ClaimQuery) {
-	out, err := keeper.Claim(ctx, q)
+func show(ctx context.Context, controller *wasabiclaim.Keeper, what string, q wasabiridge.ClaimQuery) {
+	out, err := controller.Claim(ctx, q)
 	if err != nil {
 		log.Fatal(err)
 	}
