--- a/examples/config/main.go
+++ b/examples/config/main.go
@@ -32,22 +32,22 @@
 
 func main() {
 	clock := wasabiclock.System()
-	keeper := wasabiconfig.NewKeeper(wasabiconfig.Options{
+	controller := wasabiconfig.NewKeeper(wasabiconfig.Options{
 		Self: "pos-1", Incarnation: 1, Clock: clock, Membership: noPeers{},
 		Table:   wasabitable.NewMemory(wasabitable.MemoryOptions{Clock: clock}),
 		Adopted: func(cfg wasabiridge.Config) { fmt.Printf("in force: version %d\n", cfg.Version) },
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go keeper.Run(ctx)
-	put(ctx, keeper, 0, "ann", text)
-	put(ctx, keeper, 1, "bob", strings.Replace(text, "1000", "2000", 1))
-	put(ctx, keeper, 1, "ann", strings.Replace(text, "manuals", "long", 1))
+	go controller.Run(ctx)
+	put(ctx, controller, 0, "ann", text)
+	put(ctx, controller, 1, "bob", strings.Replace(text, "1000", "2000", 1))
+	put(ctx, controller, 1, "ann", strings.Replace(text, "manuals", "long", 1))
 }
 
 // put sends an edit of version base and prints the outcome.
-func put(ctx context.Context, keeper *wasabiconfig.Keeper, base wasabiridge.ConfigVersion, author, text string) {
-	version, err := keeper.Put(ctx, base, []byte(text), author)
+func put(ctx context.Context, controller *wasabiconfig.Keeper, base wasabiridge.ConfigVersion, author, text string) {
+	version, err := controller.Put(ctx, base, []byte(text), author)
 	switch {
 	case errorx.IsOfType(err, wasabiridge.ErrConflict):
 		fmt.Printf("%s edited version %d and got a conflict: %s\n", author, base, errorx.Cast(err).Message())
