--- a/examples/quarantine/main.go
+++ b/examples/quarantine/main.go
@@ -12,7 +12,7 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabiquarantine"
 )
 
-var standings = map[wasabiridge.QuarantineVerdict]string{
+var verdicts = map[wasabiridge.QuarantineVerdict]string{
 	wasabiridge.QuarantineFree:     "free",
 	wasabiridge.QuarantineSuspect:  "suspect: sent to one server, the same for all instances",
 	wasabiridge.QuarantineDeferred: "deferred: trial in progress elsewhere, retry later",
@@ -33,7 +33,7 @@
 		first.Observe(now, end)
 		update := first.TakeNews(now)
 		second.Observe(now, wasabiridge.CrashesReceived{From: "pos-1", Crashes: append(update.Narrow, update.Wide...)})
-		fmt.Printf("after %s: request 1 is %s; request 2 is %s\n", server, standings[second.Check(now, fatal)], standings[second.Check(now, bystander)])
+		fmt.Printf("after %s: request 1 is %s; request 2 is %s\n", server, verdicts[second.Check(now, fatal)], verdicts[second.Check(now, bystander)])
 	}
 	ended := wasabiridge.AttemptEnded{Result: wasabiridge.AttemptBroken, ServerCrashed: true}
 	for _, server := range []wasabiridge.BackendServerID{"e1", "e2"} {
