--- a/cmd/wasabirouter/caller_test.go
+++ b/cmd/wasabirouter/caller_test.go
@@ -63,8 +63,8 @@
 }
 
 // locate queries a router for addresses. It reports false if there are none.
-func (c *caller) locate(url string) (wasabiaddress.Answer, bool) {
-	var answer wasabiaddress.Answer
+func (c *caller) locate(url string) (wasabiaddress.Response, bool) {
+	var answer wasabiaddress.Response
 	resp, err := c.do(http.MethodGet, url+"/v1/addresses", "", "")
 	if err != nil {
 		return answer, false
--- a/cmd/wasabirouter/member_test.go
+++ b/cmd/wasabirouter/member_test.go
@@ -80,7 +80,7 @@
 		return nil
 	}
 	defer resp.Body.Close()
-	var answer wasabiaddress.Answer
+	var answer wasabiaddress.Response
 	if err = json.NewDecoder(resp.Body).Decode(&answer); err != nil {
 		return nil
 	}
--- a/internal/wasabiaddress/book.go
+++ b/internal/wasabiaddress/book.go
@@ -61,8 +61,8 @@
 	Ticket func(wasabiridge.ClientAccountID) string
 }
 
-// Answer lists the instances that a caller should use. It is encoded as JSON.
-type Answer struct {
+// Response lists the instances that a caller should use. It is encoded as JSON.
+type Response struct {
 	// Instance is the instance that made the answer.
 	Instance wasabiridge.InstanceID `json:"instance"`
 	// Lifetime is how long the answer may be cached.
@@ -80,24 +80,24 @@
 	Weight int                          `json:"weight"`
 }
 
-// Book computes address answers. It is safe for concurrent use.
-type Book struct {
+// Selector computes address answers. It is safe for concurrent use.
+type Selector struct {
 	options Options
 	leaving atomic.Bool
 }
 
 // New returns a Selector.
-func New(o Options) *Book {
-	return &Book{options: o}
+func New(o Options) *Selector {
+	return &Selector{options: o}
 }
 
-// Leave removes this instance from all further answers.
-func (b *Book) Leave() {
+// Drain removes this instance from all further answers.
+func (b *Selector) Drain() {
 	b.leaving.Store(true)
 }
 
 // Lifetime returns how long an answer may be cached.
-func (b *Book) Lifetime() wasabiridge.Millis {
+func (b *Selector) Lifetime() wasabiridge.Millis {
 	return b.options.Lifetime
 }
 
@@ -122,7 +122,7 @@
 // The failure it guards against: an instance with a fifth of a core and a slow
 // link gets as many requests as one four times its size, and its responses are
 // late.
-func (b *Book) Active() []wasabiridge.InstanceEntry {
+func (b *Selector) Active() []wasabiridge.InstanceEntry {
 	all := b.candidates("")
 	if len(all) <= minActive {
 		return entriesOf(all)
@@ -168,7 +168,7 @@
 // fewer than two, so that a caller never depends on a single one. Callers choose
 // among them at random; instances of other zones are avoided because traffic
 // between zones costs money.
-func (b *Book) Nearest(zone wasabiridge.AvailabilityZone) []wasabiridge.InstanceEntry {
+func (b *Selector) Nearest(zone wasabiridge.AvailabilityZone) []wasabiridge.InstanceEntry {
 	var near, far []wasabiridge.InstanceEntry
 	for _, e := range b.Active() {
 		if e.Zone == zone {
@@ -186,11 +186,11 @@
 // Answer returns the addresses for a client account and the zone of its caller, and
 // a ticket unless this instance is leaving. An empty zone means the zone of this
 // instance.
-func (b *Book) Answer(account wasabiridge.ClientAccountID, zone wasabiridge.AvailabilityZone) Answer {
+func (b *Selector) Answer(account wasabiridge.ClientAccountID, zone wasabiridge.AvailabilityZone) Response {
 	if zone == "" {
 		zone = b.options.Self.Zone
 	}
-	a := Answer{Instance: b.options.Self.ID, Lifetime: b.options.Lifetime}
+	a := Response{Instance: b.options.Self.ID, Lifetime: b.options.Lifetime}
 	a.Addresses = choose(b.candidates(account), zone)
 	if b.options.Ticket != nil && !b.leaving.Load() {
 		a.Ticket = b.options.Ticket(account)
@@ -205,7 +205,7 @@
 }
 
 // candidates returns the instances that serve, highest hash first.
-func (b *Book) candidates(account wasabiridge.ClientAccountID) []candidate {
+func (b *Selector) candidates(account wasabiridge.ClientAccountID) []candidate {
 	var list []candidate
 	if !b.leaving.Load() {
 		list = append(list, newCandidate(account, b.options.Self))
--- a/internal/wasabiaddress/book_test.go
+++ b/internal/wasabiaddress/book_test.go
@@ -31,14 +31,14 @@
 	return all
 }
 
-func bookOf(self wasabiridge.InstanceEntry, members []wasabiridge.Member) *wasabiaddress.Book {
+func bookOf(self wasabiridge.InstanceEntry, members []wasabiridge.Member) *wasabiaddress.Selector {
 	return wasabiaddress.New(wasabiaddress.Options{
 		Self: self, Lifetime: 10 * wasabiridge.Second,
 		Members: func() []wasabiridge.Member { return members },
 	})
 }
 
-func zones(a wasabiaddress.Answer) []wasabiridge.AvailabilityZone {
+func zones(a wasabiaddress.Response) []wasabiridge.AvailabilityZone {
 	var all []wasabiridge.AvailabilityZone
 	for _, address := range a.Addresses {
 		all = append(all, address.Zone)
@@ -115,7 +115,7 @@
 		It("contain the instances that serve: "+name, func() {
 			book := bookOf(self, c.members)
 			if c.leaving {
-				book.Leave()
+				book.Drain()
 			}
 			got := book.Answer("liftwell", "")
 			if name == "one instance for each other" {
--- a/internal/wasabidaemon/components.go
+++ b/internal/wasabidaemon/components.go
@@ -68,7 +68,7 @@
 	config   *wasabiconfig.Keeper
 	rollouts *wasabirollout.Keeper
 	peers    peers
-	book     *wasabiaddress.Book
+	book     *wasabiaddress.Selector
 	gateway  *wasabigateway.Gateway
 }
 
--- a/internal/wasabidaemon/daemon.go
+++ b/internal/wasabidaemon/daemon.go
@@ -215,7 +215,7 @@
 func (d *Daemon) Drain(context.Context) error {
 	d.drainOnce.Do(func() {
 		d.leaving.Store(true)
-		d.components.book.Leave()
+		d.components.book.Drain()
 		if d.components.peers.members != nil {
 			d.components.peers.members.Leave(context.Background())
 		}
--- a/internal/wasabidaemon/drain_test.go
+++ b/internal/wasabidaemon/drain_test.go
@@ -41,12 +41,12 @@
 	return err == nil && resp.StatusCode == http.StatusOK && strings.HasSuffix(string(text), "data: [DONE]\n\n")
 }
 
-func addresses(url string) wasabiaddress.Answer {
+func addresses(url string) wasabiaddress.Response {
 	GinkgoHelper()
 	resp, err := http.DefaultClient.Do(newRequest(http.MethodGet, url+"/v1/addresses", ""))
 	Expect(err).NotTo(HaveOccurred())
 	defer resp.Body.Close()
-	var answer wasabiaddress.Answer
+	var answer wasabiaddress.Response
 	Expect(json.NewDecoder(resp.Body).Decode(&answer)).To(Succeed())
 	return answer
 }
--- a/internal/wasabidemo/caller.go
+++ b/internal/wasabidemo/caller.go
@@ -113,7 +113,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	var list wasabiaddress.Answer
+	var list wasabiaddress.Response
 	if err = json.NewDecoder(resp.Body).Decode(&list); err != nil || len(list.Addresses) == 0 {
 		return wasabiridge.ErrUnavailable.New("demo: no addresses in the answer (status %d)", resp.StatusCode)
 	}
--- a/internal/wasabigateway/gateway.go
+++ b/internal/wasabigateway/gateway.go
@@ -76,7 +76,7 @@
 	// Outcomes records the outcomes of requests. Nil discards them.
 	Outcomes wasabiridge.OutcomeRecorder
 	// Addresses answers GET /v1/addresses. If it is nil, the answer is 404.
-	Addresses *wasabiaddress.Book
+	Addresses *wasabiaddress.Selector
 	Limits    wasabisettings.Limits
 	// Leaving reports whether the instance is about to shut down. Callers are
 	// then asked to close their connections. Nil means never.
--- a/internal/wasabimeasure/caller.go
+++ b/internal/wasabimeasure/caller.go
@@ -23,7 +23,7 @@
 	zones     []wasabiridge.AvailabilityZone
 	instances int
 	// addressBook is nil when callers choose at random.
-	addressBook   *wasabiaddress.Book
+	addressBook   *wasabiaddress.Selector
 	instanceByURL map[string]int
 }
 
--- a/internal/wasabinode/lifecycle.go
+++ b/internal/wasabinode/lifecycle.go
@@ -94,7 +94,7 @@
 func (n *Node) Drain() {
 	n.once.Do(func() {
 		n.leaving.Store(true)
-		n.book.Leave()
+		n.book.Drain()
 		n.members.Leave(context.Background())
 		n.timeline.Record(wasabiridge.TimelineEvent{Kind: wasabiridge.EventLifecycle, Cause: "leaving"})
 		n.log.Info().Int("open", n.relay.Open()).Msg("Leaving; still accepting.")
--- a/internal/wasabinode/node.go
+++ b/internal/wasabinode/node.go
@@ -147,7 +147,7 @@
 	client         *wasabipeer.Client
 	server         *wasabipeer.Server
 	members        *wasabimember.Keeper
-	book           *wasabiaddress.Book
+	book           *wasabiaddress.Selector
 	roster         *roster
 	activeConfig   atomic.Pointer[activeConfig]
 	sockets        []net.Listener
