--- a/internal/wasabibackend/export_test.go
+++ b/internal/wasabibackend/export_test.go
@@ -27,8 +27,8 @@
 	return b.data, ok
 }
 
-// Waits returns the first count delays of a backoff.
-func Waits(seed uint64, name string, count int) []wasabiridge.Millis {
+// BackoffDelays returns the first count delays of a backoff.
+func BackoffDelays(seed uint64, name string, count int) []wasabiridge.Millis {
 	b := newBackoff(seed, name)
 	var out []wasabiridge.Millis
 	for range count {
@@ -41,7 +41,7 @@
 func RelayEvents(stream []byte, sink wasabiridge.AttemptSink) wasabiridge.AttemptEnded {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	x := &exchange{ctx: ctx, cancel: cancel, opts: Options{EventBytes: 1 << 10}.withDefaults(), sink: sink}
+	x := &exchange{ctx: ctx, cancel: cancel, opts: Options{MaxEventBytes: 1 << 10}.withDefaults(), sink: sink}
 	x.ended.Result = x.relayEvents(&http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(stream))})
 	return x.ended
 }
--- a/internal/wasabibackend/failure_test.go
+++ b/internal/wasabibackend/failure_test.go
@@ -73,7 +73,7 @@
 	It("is detected by the time-out between events when its connection stays open", func() {
 		e := newEngine(wasabiengine.Options{})
 		e.Inject(wasabiserver.Fault{Point: wasabiserver.AtToken, Token: 4, Manner: wasabiserver.Stall})
-		ended, _ := run(newRunner(wasabibackend.Options{Silence: wasabiridge.Second}), streamOf(e.Backend()))
+		ended, _ := run(newRunner(wasabibackend.Options{StreamIdleTimeout: wasabiridge.Second}), streamOf(e.Backend()))
 		Expect(ended.Result).To(Equal(wasabiridge.AttemptBroken), "ended by the time-out, not cancelled by the caller")
 		Expect(ended.Delivered).To(Equal(4))
 	})
@@ -229,7 +229,7 @@
 			}
 			return nil
 		}
-		ended := newRunner(wasabibackend.Options{Silence: silence}).Run(context.Background(), streamOf(
+		ended := newRunner(wasabibackend.Options{StreamIdleTimeout: silence}).Run(context.Background(), streamOf(
 			wasabiridge.BackendServer{ID: "e", Kind: wasabiridge.BackendEngine, URL: url}), s)
 		Expect(ended.Result).To(Equal(wasabiridge.AttemptCompleted))
 	})
--- a/internal/wasabibackend/intake.go
+++ b/internal/wasabibackend/intake.go
@@ -12,44 +12,44 @@
 )
 
 const (
-	defaultLoadEvery    = wasabiridge.Second / 2
+	defaultLoadInterval = wasabiridge.Second / 2
 	defaultLoadRequests = 32
 )
 
-// IntakeOptions configure a Monitor. Clock and Ring are required.
-type IntakeOptions struct {
+// MonitorOptions configure a Monitor. Clock and Ring are required.
+type MonitorOptions struct {
 	Clock wasabiridge.Clock
 	// Ring receives the events.
 	Ring *Ring
 	// Seed determines the random delays. Instances need different seeds, or
 	// they would poll in step.
 	Seed uint64
-	// LoadEvery is the mean interval between two load requests to a server.
+	// LoadInterval is the mean interval between two load requests to a server.
 	// Zero means half a second.
-	LoadEvery wasabiridge.Millis
-	// Questions limits the load requests per second to all servers together.
+	LoadInterval wasabiridge.Millis
+	// LoadRequestsPerSecond limits the load requests per second to all servers together.
 	// When LoadInterval would exceed it, each server is polled less often, so that
 	// the cost of an instance does not grow with the pools. Zero means 32.
-	Questions int
-	// EventStreams limits the number of open cache event streams. Zero means
+	LoadRequestsPerSecond int
+	// MaxEventStreams limits the number of open cache event streams. Zero means
 	// no limit.
-	EventStreams int
-	// EventBudget limits the bytes of cache events per second, summed over all
+	MaxEventStreams int
+	// EventBytesPerSecond limits the bytes of cache events per second, summed over all
 	// streams. A stream that exceeds its share is closed for a while and then
 	// reopened at the newest event; the skipped events show as a gap in the
 	// sequence numbers. Zero means no limit.
-	EventBudget int
+	EventBytesPerSecond int
 	// Sleep waits for d, or until the context is done. Nil means a system
 	// timer.
 	Sleep func(ctx context.Context, d wasabiridge.Millis)
 }
 
-// Intake polls the load reports of backend servers, reads their cache event
+// Monitor polls the load reports of backend servers, reads their cache event
 // streams, and puts LoadReported, CacheChanged, BackendLost and BackendLeaving
 // events into a Ring. It runs one goroutine per server for load reports and one
 // per open cache event stream. It is safe for concurrent use.
-type Intake struct {
-	opts      IntakeOptions
+type Monitor struct {
+	opts      MonitorOptions
 	transport *http.Transport
 
 	mu       sync.Mutex
@@ -69,18 +69,18 @@
 	cancel  context.CancelFunc
 }
 
-// NewIntake returns a Monitor that watches no servers yet.
-func NewIntake(o IntakeOptions) *Intake {
-	if o.LoadEvery == 0 {
-		o.LoadEvery = defaultLoadEvery
+// NewMonitor returns a Monitor that watches no servers yet.
+func NewMonitor(o MonitorOptions) *Monitor {
+	if o.LoadInterval == 0 {
+		o.LoadInterval = defaultLoadInterval
 	}
-	if o.Questions == 0 {
-		o.Questions = defaultLoadRequests
+	if o.LoadRequestsPerSecond == 0 {
+		o.LoadRequestsPerSecond = defaultLoadRequests
 	}
 	if o.Sleep == nil {
 		o.Sleep = sleep
 	}
-	return &Intake{
+	return &Monitor{
 		opts:      o,
 		transport: newTransport(Options{}.withDefaults()),
 		watching:  make(map[wasabiridge.BackendServerID]*watch),
@@ -99,7 +99,7 @@
 // Watch replaces the set of watched servers. Servers that are not engines are
 // ignored. Cache events are read from the first MaxEventStreams engines only, so
 // the servers used most should come first.
-func (i *Intake) Watch(backends []wasabiridge.BackendServer) {
+func (i *Monitor) Watch(backends []wasabiridge.BackendServer) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	wanted := make(map[wasabiridge.BackendServerID]bool, len(backends))
@@ -111,8 +111,8 @@
 		}
 	}
 	streams := len(engines)
-	if i.opts.EventStreams > 0 {
-		streams = min(streams, i.opts.EventStreams)
+	if i.opts.MaxEventStreams > 0 {
+		streams = min(streams, i.opts.MaxEventStreams)
 	}
 	i.watched.Store(int64(len(engines)))
 	i.streams.Store(int64(streams))
@@ -128,16 +128,16 @@
 }
 
 // loadInterval returns the mean interval between two load requests to one server.
-func (i *Intake) loadInterval() wasabiridge.Millis {
-	limited := wasabiridge.Millis(i.watched.Load()) * wasabiridge.Second / wasabiridge.Millis(i.opts.Questions)
-	return max(i.opts.LoadEvery, limited)
+func (i *Monitor) loadInterval() wasabiridge.Millis {
+	limited := wasabiridge.Millis(i.watched.Load()) * wasabiridge.Second / wasabiridge.Millis(i.opts.LoadRequestsPerSecond)
+	return max(i.opts.LoadInterval, limited)
 }
 
 // throttleDelay returns how long a stream must stay closed after it received
 // the given number of bytes, or zero while it may stay open. Each stream has an
 // equal share of the budget and may use one second of its share in a burst.
-func (i *Intake) throttleDelay(bytes int) wasabiridge.Millis {
-	budget := int64(i.opts.EventBudget)
+func (i *Monitor) throttleDelay(bytes int) wasabiridge.Millis {
+	budget := int64(i.opts.EventBytesPerSecond)
 	needed := int64(bytes) * i.streams.Load()
 	if budget == 0 || needed < budget {
 		return 0
@@ -147,7 +147,7 @@
 
 // start starts the goroutines for a server, unless they run already for the
 // same URL and the same choice of events.
-func (i *Intake) start(b wasabiridge.BackendServer, events bool) {
+func (i *Monitor) start(b wasabiridge.BackendServer, events bool) {
 	if w, ok := i.watching[b.ID]; ok {
 		if w.backend.URL == b.URL && w.events == events {
 			return
@@ -172,7 +172,7 @@
 }
 
 // Close stops watching all servers and waits for the goroutines to end.
-func (i *Intake) Close() {
+func (i *Monitor) Close() {
 	i.Watch(nil)
 	i.running.Wait()
 	i.transport.CloseIdleConnections()
@@ -181,7 +181,7 @@
 // get sends a GET request to a backend server. The caller closes the body. It
 // returns ErrNotFound when the server does not implement the path, and
 // ErrUnavailable when the server does not answer or answers with another status.
-func (i *Intake) get(ctx context.Context, b wasabiridge.BackendServer, path, lastEvent string) (*http.Response, error) {
+func (i *Monitor) get(ctx context.Context, b wasabiridge.BackendServer, path, lastEvent string) (*http.Response, error) {
 	var req *http.Request
 	var err error
 	if req, err = http.NewRequestWithContext(ctx, http.MethodGet, strings.TrimSuffix(b.URL, "/")+path, nil); err != nil {
--- a/internal/wasabibackend/intake_bench_test.go
+++ b/internal/wasabibackend/intake_bench_test.go
@@ -63,8 +63,8 @@
 	defer server.Close()
 	ring := wasabibackend.NewRing(1 << 16)
 	before := memoryInUse()
-	intake := wasabibackend.NewIntake(wasabibackend.IntakeOptions{
-		Clock: wasabiclock.System(), Ring: ring, Seed: wasabitest.Seed, EventBudget: budget,
+	intake := wasabibackend.NewMonitor(wasabibackend.MonitorOptions{
+		Clock: wasabiclock.System(), Ring: ring, Seed: wasabitest.Seed, EventBytesPerSecond: budget,
 	})
 	var backends []wasabiridge.BackendServer
 	for i := range watched {
--- a/internal/wasabibackend/intake_test.go
+++ b/internal/wasabibackend/intake_test.go
@@ -63,7 +63,7 @@
 // specs are fast.
 func watch(backends ...wasabiridge.BackendServer) *collector {
 	n := &collector{ring: wasabibackend.NewRing(1024)}
-	intake := wasabibackend.NewIntake(wasabibackend.IntakeOptions{
+	intake := wasabibackend.NewMonitor(wasabibackend.MonitorOptions{
 		Clock: wasabiclock.System(), Ring: n.ring, Seed: wasabitest.Seed,
 		Sleep: func(ctx context.Context, _ wasabiridge.Millis) {
 			select {
@@ -210,8 +210,8 @@
 		})
 		ring := wasabibackend.NewRing(1024)
 		delays := make(chan wasabiridge.Millis, 64)
-		intake := wasabibackend.NewIntake(wasabibackend.IntakeOptions{
-			Clock: wasabiclock.System(), Ring: ring, EventBudget: 1000, LoadEvery: wasabiridge.Hour,
+		intake := wasabibackend.NewMonitor(wasabibackend.MonitorOptions{
+			Clock: wasabiclock.System(), Ring: ring, EventBytesPerSecond: 1000, LoadInterval: wasabiridge.Hour,
 			Sleep: func(ctx context.Context, d wasabiridge.Millis) {
 				if d < wasabiridge.Second {
 					<-ctx.Done()
@@ -247,8 +247,8 @@
 		const servers = 50
 		first, later := make(chan wasabiridge.Millis, servers), make(chan wasabiridge.Millis, servers)
 		var slept sync.Map
-		intake := wasabibackend.NewIntake(wasabibackend.IntakeOptions{
-			Clock: wasabiclock.System(), Ring: wasabibackend.NewRing(servers), Questions: 10,
+		intake := wasabibackend.NewMonitor(wasabibackend.MonitorOptions{
+			Clock: wasabiclock.System(), Ring: wasabibackend.NewRing(servers), LoadRequestsPerSecond: 10,
 			Sleep: func(ctx context.Context, d wasabiridge.Millis) {
 				if _, before := slept.LoadOrStore(ctx, true); !before {
 					first <- d
@@ -289,9 +289,9 @@
 
 var _ = Describe("backoff delays", func() {
 	It("double up to a limit, are random, and are reproducible with the seed", func() {
-		waits := wasabibackend.Waits(1, "e", 12)
-		Expect(wasabibackend.Waits(1, "e", 12)).To(Equal(waits))
-		Expect(wasabibackend.Waits(2, "e", 12)).NotTo(Equal(waits), "instances do not reconnect at the same moment")
+		waits := wasabibackend.BackoffDelays(1, "e", 12)
+		Expect(wasabibackend.BackoffDelays(1, "e", 12)).To(Equal(waits))
+		Expect(wasabibackend.BackoffDelays(2, "e", 12)).NotTo(Equal(waits), "instances do not reconnect at the same moment")
 		span := wasabiridge.Millis(200)
 		for _, wait := range waits {
 			Expect(wait).To(And(BeNumerically(">=", span/2), BeNumerically("<=", span)))
--- a/internal/wasabibackend/reader.go
+++ b/internal/wasabibackend/reader.go
@@ -35,7 +35,7 @@
 // loadPoller polls the load of one server. It reports BackendLost when the
 // server stops answering and BackendLeaving when the server starts to leave.
 type loadPoller struct {
-	intake       *Intake
+	intake       *Monitor
 	backend      wasabiridge.BackendServer
 	backoff      *backoff
 	failures     int
@@ -43,7 +43,7 @@
 	leaving      bool
 }
 
-func newLoadPoller(i *Intake, b wasabiridge.BackendServer) *loadPoller {
+func newLoadPoller(i *Monitor, b wasabiridge.BackendServer) *loadPoller {
 	return &loadPoller{intake: i, backend: b, backoff: newBackoff(i.opts.Seed, string(b.ID)+"/load")}
 }
 
@@ -51,7 +51,7 @@
 	// If the interval is longer than LoadInterval because there are many servers,
 	// the first requests are spread over the difference. Otherwise every restart
 	// would begin with a burst that exceeds the limit on load requests.
-	if extra := r.intake.loadInterval() - r.intake.opts.LoadEvery; extra > 0 {
+	if extra := r.intake.loadInterval() - r.intake.opts.LoadInterval; extra > 0 {
 		r.intake.opts.Sleep(ctx, r.backoff.draw(extra))
 	}
 	for ctx.Err() == nil {
@@ -120,7 +120,7 @@
 // eventReader reads the cache event stream of one engine and reconnects when
 // it ends.
 type eventReader struct {
-	intake  *Intake
+	intake  *Monitor
 	backend wasabiridge.BackendServer
 	backoff *backoff
 	// lastID is the id of the last event received. It is sent on reconnect, so
@@ -131,7 +131,7 @@
 	throttle wasabiridge.Millis
 }
 
-func newEventReader(i *Intake, b wasabiridge.BackendServer) *eventReader {
+func newEventReader(i *Monitor, b wasabiridge.BackendServer) *eventReader {
 	return &eventReader{intake: i, backend: b, backoff: newBackoff(i.opts.Seed, string(b.ID)+"/events")}
 }
 
--- a/internal/wasabibackend/relay.go
+++ b/internal/wasabibackend/relay.go
@@ -32,11 +32,11 @@
 	// An engine that hangs keeps its connection open, and the caller would wait
 	// for ever. The timer runs while the next event is awaited; it is stopped
 	// while the sink writes, so that a slow caller does not count as a hang.
-	silence := time.AfterFunc(x.opts.Silence.Duration(), x.cancel)
+	silence := time.AfterFunc(x.opts.StreamIdleTimeout.Duration(), x.cancel)
 	silence.Stop()
 	defer silence.Stop()
 	var buffer []byte
-	for event, err := range sse.Read(resp.Body, &sse.ReadConfig{MaxEventSize: x.opts.EventBytes}) {
+	for event, err := range sse.Read(resp.Body, &sse.ReadConfig{MaxEventSize: x.opts.MaxEventBytes}) {
 		if err != nil {
 			return wasabiridge.AttemptBroken
 		}
@@ -60,7 +60,7 @@
 		if !x.chunk(c.tokens, buffer) {
 			return wasabiridge.AttemptBroken
 		}
-		silence.Reset(x.opts.Silence.Duration())
+		silence.Reset(x.opts.StreamIdleTimeout.Duration())
 	}
 	return wasabiridge.AttemptBroken
 }
@@ -96,8 +96,8 @@
 	if closeDelimited(resp) {
 		return wasabiridge.AttemptBroken
 	}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, int64(x.opts.AnswerBytes)+1))
-	if err != nil || len(data) > x.opts.AnswerBytes {
+	data, err := io.ReadAll(io.LimitReader(resp.Body, int64(x.opts.MaxAnswerBytes)+1))
+	if err != nil || len(data) > x.opts.MaxAnswerBytes {
 		return wasabiridge.AttemptBroken
 	}
 	tokens := 0
--- a/internal/wasabibackend/runner.go
+++ b/internal/wasabibackend/runner.go
@@ -28,12 +28,12 @@
 
 // Defaults of Options.
 const (
-	defaultDialTimeout   = 2 * wasabiridge.Second
-	defaultIdlePerServer = 256
-	defaultSilence       = 20 * wasabiridge.Second
-	defaultEventBytes    = 1 << 20
-	defaultAnswerBytes   = 16 << 20
-	maxHeaderBytes       = 64 << 10
+	defaultDialTimeout      = 2 * wasabiridge.Second
+	defaultMaxIdlePerServer = 256
+	defaultSilence          = 20 * wasabiridge.Second
+	defaultMaxEventBytes    = 1 << 20
+	defaultMaxAnswerBytes   = 16 << 20
+	maxHeaderBytes          = 64 << 10
 	// idleTimeout is below the 5 s after which the HTTP servers commonly used
 	// by engines close idle connections. A request sent at the moment when the
 	// server closes the connection fails, and whether it ran is unknown. The
@@ -51,17 +51,17 @@
 	// DialTimeout limits the time to open a connection, and that of a TLS
 	// handshake. Zero means 2 s.
 	DialTimeout wasabiridge.Millis
-	// IdlePerServer limits the idle connections kept to one backend server.
+	// MaxIdlePerServer limits the idle connections kept to one backend server.
 	// Zero means 256.
-	IdlePerServer int
-	// EventBytes limits the size of one event of a stream. Zero means 1 MiB.
-	EventBytes int
-	// AnswerBytes limits the size of an engine's answer that is not a stream,
+	MaxIdlePerServer int
+	// MaxEventBytes limits the size of one event of a stream. Zero means 1 MiB.
+	MaxEventBytes int
+	// MaxAnswerBytes limits the size of an engine's answer that is not a stream,
 	// which is buffered in memory until it is complete. Zero means 16 MiB.
-	AnswerBytes int
-	// Silence is the idle time-out of a stream: the longest time between two
+	MaxAnswerBytes int
+	// StreamIdleTimeout is the idle time-out of a stream: the longest time between two
 	// events, after the first event. Zero means 20 s.
-	Silence wasabiridge.Millis
+	StreamIdleTimeout wasabiridge.Millis
 }
 
 // Runner implements wasabiridge.AttemptRunner over net/http. It keeps a pool
@@ -81,17 +81,17 @@
 	if o.DialTimeout == 0 {
 		o.DialTimeout = defaultDialTimeout
 	}
-	if o.IdlePerServer == 0 {
-		o.IdlePerServer = defaultIdlePerServer
+	if o.MaxIdlePerServer == 0 {
+		o.MaxIdlePerServer = defaultMaxIdlePerServer
 	}
-	if o.EventBytes == 0 {
-		o.EventBytes = defaultEventBytes
+	if o.MaxEventBytes == 0 {
+		o.MaxEventBytes = defaultMaxEventBytes
 	}
-	if o.AnswerBytes == 0 {
-		o.AnswerBytes = defaultAnswerBytes
+	if o.MaxAnswerBytes == 0 {
+		o.MaxAnswerBytes = defaultMaxAnswerBytes
 	}
-	if o.Silence == 0 {
-		o.Silence = defaultSilence
+	if o.StreamIdleTimeout == 0 {
+		o.StreamIdleTimeout = defaultSilence
 	}
 	return o
 }
@@ -116,7 +116,7 @@
 	return &http.Transport{
 		DialContext:            dialer.DialContext,
 		TLSHandshakeTimeout:    o.DialTimeout.Duration(),
-		MaxIdleConnsPerHost:    o.IdlePerServer,
+		MaxIdleConnsPerHost:    o.MaxIdlePerServer,
 		IdleConnTimeout:        idleTimeout,
 		MaxResponseHeaderBytes: maxHeaderBytes,
 		DisableCompression:     true,
--- a/internal/wasabidaemon/components.go
+++ b/internal/wasabidaemon/components.go
@@ -57,7 +57,7 @@
 	loop     *wasabiloop.Loop
 	// backendEvents queues the events from intake for loop.
 	backendEvents *wasabibackend.Ring
-	intake        *wasabibackend.Intake
+	intake        *wasabibackend.Monitor
 	runner        *wasabibackend.Runner
 	claims        *wasabiclaim.Keeper
 	// quarantine blocks requests that crash the backend servers that run them.
@@ -90,8 +90,8 @@
 		return err
 	}
 	p.backendEvents = wasabibackend.NewRing(eventRingSize)
-	p.intake = wasabibackend.NewIntake(wasabibackend.IntakeOptions{
-		Clock: d.options.Clock, Ring: p.backendEvents, Seed: d.seed, EventStreams: eventStreams,
+	p.intake = wasabibackend.NewMonitor(wasabibackend.MonitorOptions{
+		Clock: d.options.Clock, Ring: p.backendEvents, Seed: d.seed, MaxEventStreams: eventStreams,
 	})
 	d.setUpClaims()
 	d.setUpOutcomes()
