--- a/internal/wasabibaseline/oracle.go
+++ b/internal/wasabibaseline/oracle.go
@@ -18,8 +18,8 @@
 	Compute wasabiridge.Millis
 }
 
-// World gives exact forecasts, which only a simulation can do.
-type World interface {
+// Forecaster gives exact forecasts, which only a simulation can do.
+type Forecaster interface {
 	// Forecast returns the forecast for a prompt at server b if it is sent at
 	// now.
 	Forecast(now wasabiridge.Millis, b wasabiridge.BackendServerID, c wasabiridge.Chain) Forecast
@@ -32,14 +32,14 @@
 
 type oracle struct {
 	*view
-	world World
+	world Forecaster
 }
 
 // NewOracle returns a Placer that uses the exact forecasts of w. It chooses the
 // server with the lowest cost: the wait, plus the compute time times a factor,
 // plus the number of blocks to compute times the RecomputeWeight of the rule. Ties
 // are broken at random.
-func NewOracle(seed uint64, w World) wasabiridge.Placer {
+func NewOracle(seed uint64, w Forecaster) wasabiridge.Placer {
 	return &oracle{view: newView(seed), world: w}
 }
 
