--- a/internal/wasabibudget/budget.go
+++ b/internal/wasabibudget/budget.go
@@ -14,11 +14,11 @@
 //
 // # Usage
 //
-//	sharers := wasabibudget.NewInstanceCounter(terms, now)
+//	instances := wasabibudget.NewInstanceCounter(terms, now)
 //	budget := wasabibudget.New(terms, now)
-//	sharers.Record(now, 7)
+//	instances.Record(now, 7)
 //	budget.AddRequest(now)
-//	if budget.Spend(now, sharers.SlackShare(now)) {
+//	if budget.Spend(now, instances.SlackShare(now)) {
 //		retry()
 //	}
 //
@@ -95,11 +95,11 @@
 	b.credit = min(b.credit, max(1, b.terms.Ratio*float64(b.sum(&b.requests, creditSlices-1, 0))))
 }
 
-// Request counts a request that this instance received.
+// AddRequest counts a request that this instance received.
 //
 // Requests in the first creditSlices slices of a process earn nothing. Its predecessor
 // may have spent the credit of as many requests ahead, and nothing is known about it.
-func (b *Budget) Request(now wasabiridge.Millis) {
+func (b *Budget) AddRequest(now wasabiridge.Millis) {
 	b.advance(now)
 	if now-b.startedAt >= b.terms.Window*creditSlices/windowSlices {
 		b.requests[b.index(0)]++
--- a/internal/wasabibudget/sharers.go
+++ b/internal/wasabibudget/sharers.go
@@ -16,8 +16,8 @@
 	newProcessShare = 1.0
 )
 
-// Sharers estimates the number of instances that share a fixed amount.
-type Sharers struct {
+// InstanceCounter estimates the number of instances that share a fixed amount.
+type InstanceCounter struct {
 	terms     Terms
 	startedAt wasabiridge.Millis
 	// highest holds the highest count of each slot, and latest the last count.
@@ -26,20 +26,20 @@
 	latest  int
 }
 
-// NewSharers returns the InstanceCounter of a process that started at the given time
-// and has seen only itself.
-func NewSharers(t Terms, startedAt wasabiridge.Millis) *Sharers {
-	return &Sharers{terms: t, startedAt: startedAt, latest: 1, slot: int64(startedAt / slotTime)}
+// NewInstanceCounter returns the InstanceCounter of a process that started at the given
+// time and has seen only itself.
+func NewInstanceCounter(t Terms, startedAt wasabiridge.Millis) *InstanceCounter {
+	return &InstanceCounter{terms: t, startedAt: startedAt, latest: 1, slot: int64(startedAt / slotTime)}
 }
 
-// Count records how many instances are seen, this one included.
-func (s *Sharers) Count(now wasabiridge.Millis, instances int) {
+// Record records how many instances are seen, this one included.
+func (s *InstanceCounter) Record(now wasabiridge.Millis, instances int) {
 	s.advance(now)
 	s.latest = max(1, instances)
 	s.recordCount()
 }
 
-func (s *Sharers) advance(now wasabiridge.Millis) {
+func (s *InstanceCounter) advance(now wasabiridge.Millis) {
 	for steps := 0; s.slot < int64(now/slotTime) && steps <= retentionSlots; steps++ {
 		s.slot++
 		s.highest[s.slot%retentionSlots] = 0
@@ -48,13 +48,13 @@
 	s.slot = max(s.slot, int64(now/slotTime))
 }
 
-func (s *Sharers) recordCount() {
+func (s *InstanceCounter) recordCount() {
 	at := s.slot % retentionSlots
 	s.highest[at] = max(s.highest[at], s.latest)
 }
 
 // Instances returns the highest number of instances that were recently seen.
-func (s *Sharers) Instances(now wasabiridge.Millis) int {
+func (s *InstanceCounter) Instances(now wasabiridge.Millis) int {
 	s.advance(now)
 	highest := s.latest
 	for _, count := range s.highest {
@@ -63,10 +63,11 @@
 	return highest
 }
 
-// Part returns how much of the slack of a window this instance may take. A process has
-// next to no share in its first window. The same holds for a process that has seen no
-// other instance, until an instance seen before its start would no longer count.
-func (s *Sharers) Part(now wasabiridge.Millis) float64 {
+// SlackShare returns how much of the slack of a window this instance may take. A
+// process has next to no share in its first window. The same holds for a process that
+// has seen no other instance, until an instance seen before its start would no longer
+// count.
+func (s *InstanceCounter) SlackShare(now wasabiridge.Millis) float64 {
 	instances, age := s.Instances(now), now-s.startedAt
 	share := s.terms.Slack / (undercountFactor * float64(instances))
 	if age < s.terms.Window || instances == 1 && age < retentionSlots*slotTime {
--- a/internal/wasabireplica/budget.go
+++ b/internal/wasabireplica/budget.go
@@ -9,7 +9,7 @@
 // start of the process.
 func (p *Placer) startBudget(now wasabiridge.Millis) {
 	if p.sharers == nil {
-		p.startedAt, p.sharers = now, wasabibudget.NewSharers(p.retryTerms(), now)
+		p.startedAt, p.sharers = now, wasabibudget.NewInstanceCounter(p.retryTerms(), now)
 	}
 }
 
--- a/internal/wasabireplica/limiter.go
+++ b/internal/wasabireplica/limiter.go
@@ -51,7 +51,7 @@
 	if pl == nil {
 		return wasabiridge.Admission{Verdict: wasabiridge.Rejected, Reason: wasabiridge.RefusedNoBackend, RetryAfter: minRetryAfter}
 	}
-	pl.budget.Request(now)
+	pl.budget.AddRequest(now)
 	q := wasabiridge.PlaceQuery{Request: pl.normalizeRequest(r)}
 	leastExcess, limitedFor := math.Inf(1), wasabiridge.Millis(0)
 	pr := pl.promptOf(q.Request)
@@ -152,7 +152,7 @@
 	if pl == nil {
 		return false
 	}
-	granted := pl.budget.Spend(now, l.placer.sharers.Part(now))
+	granted := pl.budget.Spend(now, l.placer.sharers.SlackShare(now))
 	pl.retries.count(granted)
 	return granted
 }
--- a/internal/wasabireplica/placer.go
+++ b/internal/wasabireplica/placer.go
@@ -105,7 +105,7 @@
 	// that share the retry budget, and budgets holds what this instance may spend, by
 	// pool.
 	startedAt wasabiridge.Millis
-	sharers   *wasabibudget.Sharers
+	sharers   *wasabibudget.InstanceCounter
 	budgets   map[wasabiridge.PoolID]*wasabibudget.Budget
 	// rateGroup holds the instances that share the rates of servers that report limits.
 	rateGroup *wasabirate.Group
