--- a/internal/wasabicache/cache_test.go
+++ b/internal/wasabicache/cache_test.go
@@ -32,7 +32,7 @@
 
 var _ = Describe("The estimate of a cache", func() {
 	var (
-		p *wasabicache.Picture
+		p *wasabicache.Index
 		e wasabicache.ServerIndex
 	)
 	document := chain(11, 12, 13, 14)
@@ -46,28 +46,28 @@
 	}
 	stored := func(now wasabiridge.Millis, from, to uint64) {
 		for s := from; s <= to; s++ {
-			p.Audit(now, event(s, wasabiridge.BlockStored, wasabiridge.BlockHash(10+s)))
+			p.ApplyEvent(now, event(s, wasabiridge.BlockStored, wasabiridge.BlockHash(10+s)))
 		}
 	}
 	BeforeEach(func() {
 		p = wasabicache.New(wasabicache.Options{})
 		e = p.Server("e")
-		p.Reborn(e, 1, 1)
+		p.UpdateIncarnation(e, 1, 1)
 	})
 
 	DescribeTable("drops blocks that the engine may no longer hold:", func(change func(), want float64) {
-		p.Touch(start, e, document, 4)
+		p.MarkHeld(start, e, document, 4)
 		change()
 		Expect(tokens(start, document)).To(BeNumerically("~", want, 1))
 	},
 		Entry("no change", func() {}, 400.0),
-		Entry("new incarnation", func() { p.Reborn(e, 2, 1) }, 0.0),
-		Entry("new weights", func() { p.Reborn(e, 1, 2) }, 0.0),
-		Entry("report from an earlier incarnation", func() { Expect(p.Reborn(e, 0, 1)).To(BeTrue()) }, 400.0),
-		Entry("cleared cache", func() { p.Audit(start, event(1, wasabiridge.CacheCleared, 0)) }, 0.0),
-		Entry("evicted leaf", func() { p.Audit(start, event(1, wasabiridge.BlockEvicted, 14)) }, 300.0),
-		Entry("evicted root", func() { p.Audit(start, event(1, wasabiridge.BlockEvicted, 11)) }, 0.0),
-		Entry("failed attempt", func() { p.Forget(e, document, 1) }, 100.0),
+		Entry("new incarnation", func() { p.UpdateIncarnation(e, 2, 1) }, 0.0),
+		Entry("new weights", func() { p.UpdateIncarnation(e, 1, 2) }, 0.0),
+		Entry("report from an earlier incarnation", func() { Expect(p.UpdateIncarnation(e, 0, 1)).To(BeTrue()) }, 400.0),
+		Entry("cleared cache", func() { p.ApplyEvent(start, event(1, wasabiridge.CacheCleared, 0)) }, 0.0),
+		Entry("evicted leaf", func() { p.ApplyEvent(start, event(1, wasabiridge.BlockEvicted, 14)) }, 300.0),
+		Entry("evicted root", func() { p.ApplyEvent(start, event(1, wasabiridge.BlockEvicted, 11)) }, 0.0),
+		Entry("failed attempt", func() { p.MarkMissing(e, document, 1) }, 100.0),
 		Entry("pause longer than the range of ticks", func() {
 			p.Tick(start)
 			p.Tick(start + 2*wasabiridge.Hour)
@@ -82,11 +82,11 @@
 		Entry("low after a few events without gaps", func() { stored(start+39*second, 5, 8) }, 20.0, 60.0),
 		Entry("high after many events without gaps", func() {
 			for s := uint64(5); s < 400; s++ {
-				p.Audit(start+39*second, event(s, wasabiridge.BlockStored, wasabiridge.BlockHash(10+s)))
+				p.ApplyEvent(start+39*second, event(s, wasabiridge.BlockStored, wasabiridge.BlockHash(10+s)))
 			}
 		}, 200.0, 400.0),
 		Entry("very low after a long gap", func() { stored(start+39*second, 100, 104) }, 0.0, 10.0),
-		Entry("very low while an event is overdue", func() { p.Expect(start+second, e) }, 0.0, 10.0),
+		Entry("very low while an event is overdue", func() { p.ExpectEvent(start+second, e) }, 0.0, 10.0),
 	)
 
 	// An engine with a small cache evicts blocks within two seconds. With a fixed
@@ -95,26 +95,26 @@
 	It("learns the block lifetime from answers", func() {
 		for i := range 60 {
 			at := start + wasabiridge.Millis(i)*4*second
-			p.Touch(at, e, document, 4)
-			p.Answered(at+4*second, e, p.Believe(at+4*second, e, document), 0)
+			p.MarkHeld(at, e, document, 4)
+			p.RecordAnswer(at+4*second, e, p.Estimate(at+4*second, e, document), 0)
 		}
 		Expect(p.Lifetime(e)).To(BeNumerically("<", 5*second))
 		before := p.Lifetime(e)
 		for i := range 200 {
 			at := start + wasabiridge.Millis(1000+i)*4*second
-			p.Touch(at, e, document, 4)
-			p.Answered(at+2*second, e, p.Believe(at+2*second, e, document), 4)
+			p.MarkHeld(at, e, document, 4)
+			p.RecordAnswer(at+2*second, e, p.Estimate(at+2*second, e, document), 4)
 		}
 		Expect(p.Lifetime(e)).To(BeNumerically(">", before))
 	})
 
 	It("keeps to the maximum number of blocks and evicts old ones first", func() {
-		p = wasabicache.New(wasabicache.Options{MaxLevels: 100})
+		p = wasabicache.New(wasabicache.Options{MaxBlocks: 100})
 		e = p.Server("e")
 		for i := range 1000 {
-			p.Touch(start+wasabiridge.Millis(i)*100, e, chain(wasabiridge.BlockHash(i+1)), 1)
+			p.MarkHeld(start+wasabiridge.Millis(i)*100, e, chain(wasabiridge.BlockHash(i+1)), 1)
 		}
-		Expect(p.Levels()).To(Equal(100))
+		Expect(p.Len()).To(Equal(100))
 		Expect(tokens(start+100*second, chain(1000))).To(BeNumerically(">", 50))
 	})
 
@@ -122,39 +122,39 @@
 	// extends the prefix must be sent to an engine that holds the extension too, although
 	// the entries of the prefix do not list that engine.
 	It("takes a holder of a later block as a holder of earlier blocks whose entries are full", func() {
-		p.Touch(start, e, document, 4)
+		p.MarkHeld(start, e, document, 4)
 		for _, id := range []wasabiridge.BackendServerID{"a", "b", "c", "d", "f", "g", "h"} {
-			p.Touch(start+second, p.Server(id), document, 2)
+			p.MarkHeld(start+second, p.Server(id), document, 2)
 		}
 		Expect(tokens(start+second, document)).To(BeNumerically("~", 400, 1))
 	})
 
 	It("removes blocks without holders and requests", func() {
-		p.Touch(start, e, document, 4)
-		p.Reborn(e, 2, 1)
+		p.MarkHeld(start, e, document, 4)
+		p.UpdateIncarnation(e, 2, 1)
 		for at := start; at < start+10*wasabiridge.Minute; at += 50 {
 			p.Tick(at)
 		}
-		Expect(p.Levels()).To(BeZero())
+		Expect(p.Len()).To(BeZero())
 	})
 
 	It("does not attribute old entries to a reused generation number", func() {
-		p.Touch(start, e, document, 4)
+		p.MarkHeld(start, e, document, 4)
 		for i := range wasabiridge.Incarnation(70_000) {
-			p.Reborn(e, i+2, 1)
+			p.UpdateIncarnation(e, i+2, 1)
 			if i%1000 == 0 {
-				p.Touch(start, e, chain(wasabiridge.BlockHash(i+100)), 1)
+				p.MarkHeld(start, e, chain(wasabiridge.BlockHash(i+100)), 1)
 			}
 			Expect(p.Hits(start, document)).To(BeEmpty())
 		}
 	})
 })
 
-func filled(levels int) *wasabicache.Picture {
+func filled(levels int) *wasabicache.Index {
 	p := wasabicache.New(wasabicache.Options{})
 	s := p.Server("e")
 	for i := range levels {
-		p.Touch(start, s, chain(wasabiridge.BlockHash((i+1)*0x1234567)), 1)
+		p.MarkHeld(start, s, chain(wasabiridge.BlockHash((i+1)*0x1234567)), 1)
 	}
 	return p
 }
@@ -199,7 +199,7 @@
 			for b.Loop() {
 				e.Block = wasabiridge.BlockHash((e.Sequence%uint64(levels) + 1) * 0x9e3779b97f4a7c15)
 				e.Kind = wasabiridge.CacheEventKind(e.Sequence / uint64(levels) % 2)
-				p.Audit(start, e)
+				p.ApplyEvent(start, e)
 				e.Sequence++
 			}
 		})
--- a/internal/wasabicache/events.go
+++ b/internal/wasabicache/events.go
@@ -18,11 +18,11 @@
 	maxShortGap = 8
 )
 
-// Audit processes one event of an engine's cache event stream. Events of an earlier
+// ApplyEvent processes one event of an engine's cache event stream. Events of an earlier
 // incarnation and repeated events are ignored.
-func (p *Picture) Audit(now wasabiridge.Millis, e wasabiridge.CacheEvent) {
+func (p *Index) ApplyEvent(now wasabiridge.Millis, e wasabiridge.CacheEvent) {
 	s := p.Server(e.Backend)
-	if !p.Reborn(s, e.Incarnation, 0) {
+	if !p.UpdateIncarnation(s, e.Incarnation, 0) {
 		return
 	}
 	sv := &p.servers[s]
@@ -68,7 +68,7 @@
 }
 
 // evicted removes a block that the engine reported as evicted, and learns from its age.
-func (p *Picture) evicted(now wasabiridge.Millis, s ServerIndex, b wasabiridge.BlockHash) {
+func (p *Index) evicted(now wasabiridge.Millis, s ServerIndex, b wasabiridge.BlockHash) {
 	sv := &p.servers[s]
 	e := p.table.find(b)
 	if e == nil {
--- a/internal/wasabicache/generation.go
+++ b/internal/wasabicache/generation.go
@@ -2,10 +2,11 @@
 
 import "github.com/wasabiridge/wasabiridge"
 
-// Reborn updates the incarnation and weights of an engine. A later incarnation or other
-// weights drop all entries of the engine. It returns false if i is an earlier incarnation;
-// the information that came with it must not be used then. Zero values are ignored.
-func (p *Picture) Reborn(s ServerIndex, i wasabiridge.Incarnation, w wasabiridge.WeightsVersion) bool {
+// UpdateIncarnation updates the incarnation and weights of an engine. A later
+// incarnation or other weights drop all entries of the engine. It returns false if i is
+// an earlier incarnation; the information that came with it must not be used then. Zero
+// values are ignored.
+func (p *Index) UpdateIncarnation(s ServerIndex, i wasabiridge.Incarnation, w wasabiridge.WeightsVersion) bool {
 	sv := &p.servers[s]
 	if i != 0 && i < sv.incarnation {
 		return false
@@ -29,7 +30,7 @@
 }
 
 // Clear drops all entries of the engine, by starting a new generation.
-func (p *Picture) Clear(s ServerIndex) {
+func (p *Index) Clear(s ServerIndex) {
 	p.generations[p.servers[s].generation] = noServer
 	p.startGeneration(s)
 }
@@ -37,7 +38,7 @@
 // maxGenerations is the number of possible generation numbers, which have 16 bits.
 const maxGenerations = 1 << 16
 
-func (p *Picture) startGeneration(s ServerIndex) {
+func (p *Index) startGeneration(s ServerIndex) {
 	sv := &p.servers[s]
 	sv.heldCount = 0
 	sv.expectedSince = 0
@@ -45,7 +46,7 @@
 	p.generations[sv.generation] = s
 }
 
-func (p *Picture) allocateGeneration() uint16 {
+func (p *Index) allocateGeneration() uint16 {
 	if len(p.free) == 0 && len(p.generations) >= maxGenerations {
 		p.reclaim()
 	}
@@ -61,7 +62,7 @@
 // reclaim removes all entries of old generations and frees their numbers. It scans the
 // complete table, because if a number were reused while an entry still refers to it, the
 // block of an earlier generation would be attributed to another engine.
-func (p *Picture) reclaim() {
+func (p *Index) reclaim() {
 	for i := range p.table.slots {
 		p.removeOldHolders(&p.table.slots[i])
 	}
@@ -72,7 +73,7 @@
 	}
 }
 
-func (p *Picture) removeOldHolders(e *entry) {
+func (p *Index) removeOldHolders(e *entry) {
 	for i, h := range e.holders {
 		if h.generation() != 0 && p.generations[h.generation()] == noServer {
 			e.holders[i] = 0
--- a/internal/wasabicache/hits.go
+++ b/internal/wasabicache/hits.go
@@ -25,11 +25,11 @@
 	Tokens float64
 	// Depth is the number of leading blocks that the engine may hold.
 	Depth int
-	// Firm is the number of leading blocks that the engine holds, or will hold after
-	// its queued requests, with a probability of at least 0.5. ConfirmedDepth is the
-	// number of those that are not pending: the engine has been shown to hold them.
-	Firm  int
-	Shown int
+	// LikelyDepth is the number of leading blocks that the engine holds, or will hold
+	// after its queued requests, with a probability of at least 0.5. ConfirmedDepth is
+	// the number of those that are not pending: the engine has been shown to hold them.
+	LikelyDepth    int
+	ConfirmedDepth int
 }
 
 // walk is the state of one engine during one lookup.
@@ -43,7 +43,7 @@
 // Hits returns the engines that are estimated to hold a prefix of the chain, in the order
 // in which they are found. Engines that are known to serve other weights than those of the
 // chain are omitted. The slice is valid until the next call.
-func (p *Picture) Hits(now wasabiridge.Millis, c wasabiridge.Chain) []Hit {
+func (p *Index) Hits(now wasabiridge.Millis, c wasabiridge.Chain) []Hit {
 	p.hits = p.hits[:0]
 	p.round++
 	fullFrom := 0
@@ -65,7 +65,7 @@
 // visitHolder adds block i to the hit of one of its holders. The entries of the blocks from
 // fullFrom to i-1 are full, so they may lack holders. An engine that is missing there is
 // assumed to hold these blocks too, because it must have computed all blocks before i.
-func (p *Picture) visitHolder(now wasabiridge.Millis, c wasabiridge.Chain, h holder, i, fullFrom int) {
+func (p *Index) visitHolder(now wasabiridge.Millis, c wasabiridge.Chain, h holder, i, fullFrom int) {
 	if h.generation() == 0 || p.generations[h.generation()] == noServer {
 		return
 	}
@@ -91,14 +91,14 @@
 	if sv.walk.probability < heldThreshold {
 		return
 	}
-	hit.Firm = i + 1
+	hit.LikelyDepth = i + 1
 	if sv.walk.pending = sv.walk.pending || h.pending(); !sv.walk.pending {
-		hit.Shown = i + 1
+		hit.ConfirmedDepth = i + 1
 	}
 }
 
-// Heat counts one request for each block of the chain.
-func (p *Picture) Heat(now wasabiridge.Millis, c wasabiridge.Chain) {
+// CountRequest counts one request for each block of the chain.
+func (p *Index) CountRequest(now wasabiridge.Millis, c wasabiridge.Chain) {
 	at := tickOf(now)
 	for _, b := range c.Blocks[:min(len(c.Blocks), maxWalk)] {
 		e := p.entry(now, b)
@@ -107,8 +107,8 @@
 	}
 }
 
-// HeatOf returns the number of requests for a block, with exponential decay.
-func (p *Picture) HeatOf(now wasabiridge.Millis, b wasabiridge.BlockHash) float64 {
+// RequestCount returns the number of requests for a block, with exponential decay.
+func (p *Index) RequestCount(now wasabiridge.Millis, b wasabiridge.BlockHash) float64 {
 	e := p.table.find(b)
 	if e == nil {
 		return 0
@@ -116,9 +116,9 @@
 	return float64(decayCount(e.count, e.countedAt.age(tickOf(now))))
 }
 
-// Cooled returns the value of a request count after the given time of decay, with the same
-// half-life as RequestCount.
-func (p *Picture) Cooled(count float64, age wasabiridge.Millis) float64 {
+// DecayedCount returns the value of a request count after the given time of decay, with
+// the same half-life as RequestCount.
+func (p *Index) DecayedCount(count float64, age wasabiridge.Millis) float64 {
 	return float64(decayCount(float32(count), age))
 }
 
--- a/internal/wasabicache/picture.go
+++ b/internal/wasabicache/picture.go
@@ -4,26 +4,26 @@
 
 // Defaults of Options.
 const (
-	// DefaultMaxLevels is 7/8 of 131072 slots, which take 5 MiB.
-	DefaultMaxLevels = 114688
+	// DefaultMaxBlocks is 7/8 of 131072 slots, which take 5 MiB.
+	DefaultMaxBlocks = 114688
 	// DefaultLifetime is the initial value of the learned block lifetime.
 	DefaultLifetime = 10 * wasabiridge.Second
-	// DefaultSilence is the default of Options.EventTimeout.
-	DefaultSilence = 2 * wasabiridge.Second
+	// DefaultEventTimeout is the default of Options.EventTimeout.
+	DefaultEventTimeout = 2 * wasabiridge.Second
 )
 
 // Options configures an Index. The zero value selects the defaults.
 type Options struct {
-	// MaxLevels is the maximum number of blocks with an entry. Zero means
+	// MaxBlocks is the maximum number of blocks with an entry. Zero means
 	// DefaultMaxBlocks.
-	MaxLevels int
+	MaxBlocks int
 	// Lifetime is the initial value of the learned block lifetime. Zero means
 	// DefaultLifetime.
 	Lifetime wasabiridge.Millis
-	// Silence is the time after which an expected event is overdue, so that the
+	// EventTimeout is the time after which an expected event is overdue, so that the
 	// stream is considered stopped and its lack of eviction events is ignored. Zero
 	// means DefaultEventTimeout.
-	Silence wasabiridge.Millis
+	EventTimeout wasabiridge.Millis
 }
 
 // ServerIndex is the index of a model engine. Engines are numbered from zero in the order
@@ -55,9 +55,9 @@
 	walk      walk
 }
 
-// Picture is the estimate of all engines' caches. See the package comment. It is not safe
+// Index is the estimate of all engines' caches. See the package comment. It is not safe
 // for concurrent use.
-type Picture struct {
+type Index struct {
 	opts    Options
 	table   table
 	index   map[wasabiridge.BackendServerID]ServerIndex
@@ -71,17 +71,17 @@
 }
 
 // New returns an empty Index.
-func New(o Options) *Picture {
-	if o.MaxLevels <= 0 {
-		o.MaxLevels = DefaultMaxLevels
+func New(o Options) *Index {
+	if o.MaxBlocks <= 0 {
+		o.MaxBlocks = DefaultMaxBlocks
 	}
 	if o.Lifetime <= 0 {
 		o.Lifetime = DefaultLifetime
 	}
-	if o.Silence <= 0 {
-		o.Silence = DefaultSilence
+	if o.EventTimeout <= 0 {
+		o.EventTimeout = DefaultEventTimeout
 	}
-	return &Picture{
+	return &Index{
 		opts:        o,
 		table:       newTable(),
 		index:       make(map[wasabiridge.BackendServerID]ServerIndex),
@@ -90,7 +90,7 @@
 }
 
 // Server returns the index of an engine. The engine is added if it is not known.
-func (p *Picture) Server(id wasabiridge.BackendServerID) ServerIndex {
+func (p *Index) Server(id wasabiridge.BackendServerID) ServerIndex {
 	if i, ok := p.index[id]; ok {
 		return i
 	}
@@ -102,49 +102,51 @@
 }
 
 // ID returns the identifier of an engine.
-func (p *Picture) ID(s ServerIndex) wasabiridge.BackendServerID { return p.servers[s].id }
+func (p *Index) ID(s ServerIndex) wasabiridge.BackendServerID { return p.servers[s].id }
 
 // Incarnation returns the latest known incarnation of the engine. Zero means that it is
 // not known.
-func (p *Picture) Incarnation(s ServerIndex) wasabiridge.Incarnation { return p.servers[s].incarnation }
+func (p *Index) Incarnation(s ServerIndex) wasabiridge.Incarnation { return p.servers[s].incarnation }
 
 // Weights returns the version of the weights that the engine serves. Zero means that it is
 // not known.
-func (p *Picture) Weights(s ServerIndex) wasabiridge.WeightsVersion { return p.servers[s].weights }
+func (p *Index) Weights(s ServerIndex) wasabiridge.WeightsVersion { return p.servers[s].weights }
 
 // Lifetime returns the block lifetime learned for the engine.
-func (p *Picture) Lifetime(s ServerIndex) wasabiridge.Millis {
+func (p *Index) Lifetime(s ServerIndex) wasabiridge.Millis {
 	return wasabiridge.Millis(p.servers[s].lifetime)
 }
 
-// Levels returns the number of blocks with an entry.
-func (p *Picture) Levels() int { return p.table.used }
+// Len returns the number of blocks with an entry.
+func (p *Index) Len() int { return p.table.used }
 
-// Touch records that the engine holds the first n blocks of the chain.
-func (p *Picture) Touch(now wasabiridge.Millis, s ServerIndex, c wasabiridge.Chain, n int) {
+// MarkHeld records that the engine holds the first n blocks of the chain.
+func (p *Index) MarkHeld(now wasabiridge.Millis, s ServerIndex, c wasabiridge.Chain, n int) {
 	for _, b := range c.Blocks[:min(n, len(c.Blocks))] {
 		p.set(now, s, b, 0)
 	}
 }
 
-// Ask records that a request for the chain is sent to the engine. Blocks that the engine
-// was not known to hold become pending. They count as held for the selection of an engine,
-// because a later request will find them there. They do not count in Hit.ConfirmedDepth
-// until the engine has been shown to hold them, because the request may never reach it.
-func (p *Picture) Ask(now wasabiridge.Millis, s ServerIndex, c wasabiridge.Chain) {
+// MarkPending records that a request for the chain is sent to the engine. Blocks that
+// the engine was not known to hold become pending. They count as held for the selection
+// of an engine, because a later request will find them there. They do not count in
+// Hit.ConfirmedDepth until the engine has been shown to hold them, because the request
+// may never reach it.
+func (p *Index) MarkPending(now wasabiridge.Millis, s ServerIndex, c wasabiridge.Chain) {
 	for _, b := range c.Blocks {
 		p.set(now, s, b, pendingBit)
 	}
 }
 
-// Forget records that the engine does not hold the blocks of the chain from index n on.
-func (p *Picture) Forget(s ServerIndex, c wasabiridge.Chain, n int) {
+// MarkMissing records that the engine does not hold the blocks of the chain from index
+// n on.
+func (p *Index) MarkMissing(s ServerIndex, c wasabiridge.Chain, n int) {
 	for _, b := range c.Blocks[min(n, len(c.Blocks)):] {
 		p.unset(s, b)
 	}
 }
 
-func (p *Picture) set(now wasabiridge.Millis, s ServerIndex, b wasabiridge.BlockHash, flags holder) {
+func (p *Index) set(now wasabiridge.Millis, s ServerIndex, b wasabiridge.BlockHash, flags holder) {
 	sv := &p.servers[s]
 	h := newHolder(sv.generation, tickOf(now), flags)
 	replaced := p.entry(now, b).set(h)
@@ -156,11 +158,11 @@
 
 // entry returns the entry of a block, which is added if necessary. If the number of
 // entries has reached Options.MaxBlocks, an old entry is evicted first.
-func (p *Picture) entry(now wasabiridge.Millis, b wasabiridge.BlockHash) *entry {
+func (p *Index) entry(now wasabiridge.Millis, b wasabiridge.BlockHash) *entry {
 	if e := p.table.find(b); e != nil {
 		return e
 	}
-	if p.table.used >= p.opts.MaxLevels {
+	if p.table.used >= p.opts.MaxBlocks {
 		slot := p.table.stale(tickOf(now))
 		for _, h := range p.table.slots[slot].holders {
 			p.released(h)
@@ -171,14 +173,14 @@
 }
 
 // released updates the count of held blocks for a holder that was removed from an entry.
-func (p *Picture) released(h holder) {
+func (p *Index) released(h holder) {
 	if h.generation() == 0 || p.generations[h.generation()] == noServer {
 		return
 	}
 	p.servers[p.generations[h.generation()]].heldCount--
 }
 
-func (p *Picture) unset(s ServerIndex, b wasabiridge.BlockHash) {
+func (p *Index) unset(s ServerIndex, b wasabiridge.BlockHash) {
 	sv := &p.servers[s]
 	if e := p.table.find(b); e != nil && e.unset(sv.generation) {
 		sv.heldCount--
@@ -191,7 +193,7 @@
 
 // Tick removes outdated holders and entries from a small part of the table. Call it at
 // least every 50 ms.
-func (p *Picture) Tick(now wasabiridge.Millis) {
+func (p *Index) Tick(now wasabiridge.Millis) {
 	// Ticks wrap around. After a long pause of the process, old entries would
 	// look recent, so all entries are dropped.
 	if p.seen != 0 && now-p.seen > wrap/2 {
@@ -207,7 +209,7 @@
 	}
 }
 
-func (p *Picture) sweep(now wasabiridge.Millis, slot int) {
+func (p *Index) sweep(now wasabiridge.Millis, slot int) {
 	e := &p.table.slots[slot]
 	if e.hash == 0 {
 		return
--- a/internal/wasabicache/probability.go
+++ b/internal/wasabicache/probability.go
@@ -37,7 +37,7 @@
 // the block either survived, or was evicted and the event was lost; the probability of the
 // former follows from Bayes' rule. This also applies to blocks that were never reported as
 // stored, which are most of the engine's blocks after a restart of the router.
-func (p *Picture) heldProbability(now wasabiridge.Millis, sv *server, h holder) float64 {
+func (p *Index) heldProbability(now wasabiridge.Millis, sv *server, h holder) float64 {
 	age := h.stamp().age(tickOf(now))
 	survived := decay(age, sv.lifetime)
 	if h.pending() || p.isEventOverdue(now, sv) || now-age < sv.lastLongGap {
@@ -48,21 +48,21 @@
 
 // isEventOverdue reports whether an expected event is overdue. The stream is considered
 // stopped then, so the lack of eviction events says nothing.
-func (p *Picture) isEventOverdue(now wasabiridge.Millis, sv *server) bool {
-	return sv.expectedSince != 0 && now-sv.expectedSince > p.opts.Silence
+func (p *Index) isEventOverdue(now wasabiridge.Millis, sv *server) bool {
+	return sv.expectedSince != 0 && now-sv.expectedSince > p.opts.EventTimeout
 }
 
-// Expect records that the engine has computed blocks that were not cached, so that an
-// event of its stream is expected.
-func (p *Picture) Expect(now wasabiridge.Millis, s ServerIndex) {
+// ExpectEvent records that the engine has computed blocks that were not cached, so that
+// an event of its stream is expected.
+func (p *Index) ExpectEvent(now wasabiridge.Millis, s ServerIndex) {
 	if sv := &p.servers[s]; sv.expectedSince == 0 {
 		sv.expectedSince = now
 	}
 }
 
-// Trust returns the estimated share of the engine's cache events that arrive, between 0
-// and 1. It is 0 while an event is overdue.
-func (p *Picture) Trust(now wasabiridge.Millis, s ServerIndex) float64 {
+// StreamReliability returns the estimated share of the engine's cache events that
+// arrive, between 0 and 1. It is 0 while an event is overdue.
+func (p *Index) StreamReliability(now wasabiridge.Millis, s ServerIndex) float64 {
 	sv := &p.servers[s]
 	if p.isEventOverdue(now, sv) {
 		return 0
@@ -89,12 +89,12 @@
 	sv.lifetime = min(max(l, minLifetime), maxLifetime)
 }
 
-// Answered records that the engine found the first n blocks of a chain in its cache when
-// it processed the prompt at the given time. Estimate is the estimate from before the
-// attempt. If the estimated blocks were found, the learned lifetime rises; if not, it falls,
-// and so does the reliability of the event stream, unless the last block was pending or an
-// event is overdue.
-func (p *Picture) Answered(at wasabiridge.Millis, s ServerIndex, before Before, n int) {
+// RecordAnswer records that the engine found the first n blocks of a chain in its cache
+// when it processed the prompt at the given time. Estimate is the estimate from before
+// the attempt. If the estimated blocks were found, the learned lifetime rises; if not,
+// it falls, and so does the reliability of the event stream, unless the last block was
+// pending or an event is overdue.
+func (p *Index) RecordAnswer(at wasabiridge.Millis, s ServerIndex, before Estimate, n int) {
 	sv := &p.servers[s]
 	if before.depth == 0 || before.generation != sv.generation {
 		return
@@ -106,26 +106,29 @@
 	}
 }
 
-// Before is the estimate for a chain at an engine before an attempt is sent there. It is
-// compared with the answer.
-type Before struct {
+// Estimate is the estimate for a chain at an engine before an attempt is sent there. It
+// is compared with the answer.
+type Estimate struct {
 	generation uint16
 	depth      int
 	age        wasabiridge.Millis
 	pending    bool
 }
 
-// Alive reports whether the engine still has the generation for which b was estimated.
-func (p *Picture) Alive(s ServerIndex, b Before) bool { return b.generation == p.servers[s].generation }
+// IsCurrent reports whether the engine still has the generation for which b was
+// estimated.
+func (p *Index) IsCurrent(s ServerIndex, b Estimate) bool {
+	return b.generation == p.servers[s].generation
+}
 
 // Depth returns the number of leading blocks that were estimated to be held.
-func (b Before) Depth() int { return b.depth }
+func (b Estimate) Depth() int { return b.depth }
 
-// Believe returns the current estimate for the chain at the engine. Call it before
+// Estimate returns the current estimate for the chain at the engine. Call it before
 // MarkHeld, which changes the estimate.
-func (p *Picture) Believe(now wasabiridge.Millis, s ServerIndex, c wasabiridge.Chain) Before {
+func (p *Index) Estimate(now wasabiridge.Millis, s ServerIndex, c wasabiridge.Chain) Estimate {
 	sv := &p.servers[s]
-	b := Before{generation: sv.generation}
+	b := Estimate{generation: sv.generation}
 	for i, block := range c.Blocks {
 		e := p.table.find(block)
 		if e == nil {
--- a/internal/wasabiplace/attempt.go
+++ b/internal/wasabiplace/attempt.go
@@ -9,7 +9,7 @@
 type attempt struct {
 	server wasabicache.ServerIndex
 	chain  wasabiridge.Chain
-	before wasabicache.Before
+	before wasabicache.Estimate
 	sent   wasabiridge.Millis
 	first  wasabiridge.Millis
 	// ready is when the prompt is expected to be computed.
@@ -48,7 +48,7 @@
 	a := attempt{
 		server:      s,
 		chain:       r.Chain,
-		before:      p.caches.Believe(now, s, r.Chain),
+		before:      p.caches.Estimate(now, s, r.Chain),
 		sent:        now,
 		homeLevel:   -1,
 		preferred:   pl.Why == WhyHeir,
@@ -64,8 +64,8 @@
 		t.recentBlocks = p.decayedRecentBlocks(now, t) + float64(len(r.Chain.Blocks))
 		a.homeLevel = p.deepestHomeLevel(t, s, r.Chain)
 	}
-	p.caches.Heat(now, r.Chain)
-	p.caches.Ask(now, s, r.Chain)
+	p.caches.CountRequest(now, r.Chain)
+	p.caches.MarkPending(now, s, r.Chain)
 	p.attempts[id] = a
 }
 
@@ -115,12 +115,12 @@
 	p.attempts[id] = a
 	p.loads[a.server].firstTokenSeen()
 	// The answer may come from an earlier incarnation, whose cache is lost.
-	if !p.caches.Alive(a.server, a.before) {
+	if !p.caches.IsCurrent(a.server, a.before) {
 		return
 	}
-	p.caches.Touch(now, a.server, a.chain, len(a.chain.Blocks))
+	p.caches.MarkHeld(now, a.server, a.chain, len(a.chain.Blocks))
 	if a.before.Depth() < len(a.chain.Blocks) {
-		p.caches.Expect(now, a.server)
+		p.caches.ExpectEvent(now, a.server)
 	}
 }
 
@@ -136,7 +136,7 @@
 		l.refusedUntil = max(l.refusedUntil, now+e.RetryAfter)
 	}
 	if a.first == 0 && e.Result != wasabiridge.AttemptCompleted {
-		p.caches.Forget(a.server, a.chain, a.before.Depth())
+		p.caches.MarkMissing(a.server, a.chain, a.before.Depth())
 		return
 	}
 	if e.Result == wasabiridge.AttemptCompleted {
@@ -146,7 +146,7 @@
 
 // learn updates the estimates from the usage that the engine reports.
 func (p *Placer) learn(now wasabiridge.Millis, l *load, a attempt, u wasabiridge.Usage) {
-	if !p.caches.Reborn(a.server, u.Incarnation, u.Weights) || a.first == 0 {
+	if !p.caches.UpdateIncarnation(a.server, u.Incarnation, u.Weights) || a.first == 0 {
 		return
 	}
 	l.learnSlotTime(float64(now - a.first))
@@ -156,7 +156,7 @@
 	// The engine counts actual tokens, the chain estimated ones.
 	cached := float64(a.chain.Tokens) * float64(u.CachedTokens) / float64(u.PromptTokens)
 	blocks := int(cached/float64(a.chain.BlockTokens) + 0.5)
-	p.caches.Answered(a.first, a.server, a.before, blocks)
+	p.caches.RecordAnswer(a.first, a.server, a.before, blocks)
 	if a.homeLevel >= 0 && a.before.Depth() < 1<<a.homeLevel {
 		p.learnHomeHitRate(a.homeLevel, blocks)
 	}
--- a/internal/wasabiplace/homes.go
+++ b/internal/wasabiplace/homes.go
@@ -67,7 +67,7 @@
 // homeCount returns the number of homes of a level, in proportion to its share
 // of the pool's recent work. Work is measured in prompt blocks.
 func (p *Placer) homeCount(now wasabiridge.Millis, t *table, c wasabiridge.Chain, depth int) int {
-	heat := p.caches.HeatOf(now, c.Blocks[depth-1])
+	heat := p.caches.RequestCount(now, c.Blocks[depth-1])
 	if heat < minHeat {
 		return 1
 	}
@@ -79,7 +79,7 @@
 // decayedRecentBlocks returns the number of blocks in the pool's recent
 // prompts. It decays like the heat of levels.
 func (p *Placer) decayedRecentBlocks(now wasabiridge.Millis, t *table) float64 {
-	t.recentBlocks = p.caches.Cooled(t.recentBlocks, now-t.recentBlocksAt)
+	t.recentBlocks = p.caches.DecayedCount(t.recentBlocks, now-t.recentBlocksAt)
 	t.recentBlocksAt = now
 	return t.recentBlocks
 }
@@ -167,7 +167,7 @@
 func (p *Placer) homeTokens(now wasabiridge.Millis, m homeLevel, s wasabicache.ServerIndex, blockTokens int) float64 {
 	tokens := p.homeHitRate[m.index] * float64(m.depth*blockTokens)
 	if p.likely >= m.depth {
-		tokens *= 1 - p.caches.Trust(now, s)
+		tokens *= 1 - p.caches.StreamReliability(now, s)
 	}
 	return tokens
 }
--- a/internal/wasabiplace/observe.go
+++ b/internal/wasabiplace/observe.go
@@ -17,7 +17,7 @@
 	case wasabiridge.CacheChanged:
 		for _, c := range e.Events {
 			p.server(c.Backend)
-			p.caches.Audit(now, c)
+			p.caches.ApplyEvent(now, c)
 		}
 	case wasabiridge.BackendLost:
 		p.backendLost(now, e.Backend)
@@ -36,7 +36,7 @@
 func (p *Placer) loadReported(r wasabiridge.LoadReport) {
 	s := p.server(r.Backend)
 	before := p.caches.Incarnation(s)
-	if !p.caches.Reborn(s, r.Incarnation, r.Weights) {
+	if !p.caches.UpdateIncarnation(s, r.Incarnation, r.Weights) {
 		return
 	}
 	l := &p.loads[s]
--- a/internal/wasabiplace/place.go
+++ b/internal/wasabiplace/place.go
@@ -50,7 +50,7 @@
 type Placer struct {
 	opts             Options
 	random           *rand.Rand
-	caches           *wasabicache.Picture
+	caches           *wasabicache.Index
 	tables           map[wasabiridge.PoolID]*table
 	loads            []load
 	attempts         map[wasabiridge.AttemptID]attempt
@@ -135,11 +135,11 @@
 	p.held, p.likely, p.confirmed = 0, 0, 0
 	for _, hit := range p.caches.Hits(now, chain) {
 		if i := t.position(hit.Server); i >= 0 {
-			p.held = max(p.held, hit.Firm)
+			p.held = max(p.held, hit.LikelyDepth)
 			if c := p.consider(now, t, q, i); c != nil {
-				c.tokens, c.likely, c.confirmed = hit.Tokens, hit.Firm, hit.Shown
-				p.likely = max(p.likely, hit.Firm)
-				p.confirmed = max(p.confirmed, hit.Shown)
+				c.tokens, c.likely, c.confirmed = hit.Tokens, hit.LikelyDepth, hit.ConfirmedDepth
+				p.likely = max(p.likely, hit.LikelyDepth)
+				p.confirmed = max(p.confirmed, hit.ConfirmedDepth)
 			}
 		}
 	}
