--- a/internal/wasabicatalog/apply.go
+++ b/internal/wasabicatalog/apply.go
@@ -11,7 +11,7 @@
 // confirm records that the known content is still valid.
 func (m *Machine) confirm(p *part, revision uint64, confirmedAt wasabiridge.Millis) {
 	p.revision, p.confirmedAt = revision, max(p.confirmedAt, confirmedAt)
-	m.emit(Proven{})
+	m.emit(Confirmed{})
 }
 
 // replace replaces the content of a part.
@@ -53,7 +53,7 @@
 	return part{revision: a.Revision, digest: a.Digest, confirmedAt: sent - a.Age, content: content}
 }
 
-func (m *Machine) applyPeerConfig(e PeerAnswered) {
+func (m *Machine) applyPeerConfig(e PeerResponded) {
 	a := e.Answer.Config
 	content := m.applyAnswer(&m.config, a, e.Sent)
 	if content == nil {
@@ -68,7 +68,7 @@
 	m.replace(&m.config, partOf(a, e.Sent, content), false)
 }
 
-func (m *Machine) applyPeerBackends(e PeerAnswered) {
+func (m *Machine) applyPeerBackends(e PeerResponded) {
 	a := e.Answer.Backends
 	content := m.applyAnswer(&m.backends, a, e.Sent)
 	if content == nil {
--- a/internal/wasabicatalog/catalog_test.go
+++ b/internal/wasabicatalog/catalog_test.go
@@ -135,12 +135,12 @@
 			}
 			return event
 		})
-	case wasabicatalog.AskPeer:
+	case wasabicatalog.QueryPeer:
 		f.query(n, e, sent)
 	case wasabicatalog.Changed:
 		if e.FromPlatform {
 			for _, other := range f.instances {
-				f.at(f.delay(30), func() { f.deliver(other, wasabicatalog.NewsHeard{From: n.id}) })
+				f.at(f.delay(30), func() { f.deliver(other, wasabicatalog.UpdateReceived{From: n.id}) })
 			}
 		}
 	}
@@ -155,7 +155,7 @@
 	})
 }
 
-func (f *fleet) query(n *instance, e wasabicatalog.AskPeer, sent wasabiridge.Millis) {
+func (f *fleet) query(n *instance, e wasabicatalog.QueryPeer, sent wasabiridge.Millis) {
 	lost := f.lossy && f.random.IntN(20) == 0
 	f.at(f.delay(10), func() {
 		var to *instance
@@ -164,7 +164,7 @@
 				to = other
 			}
 		}
-		event := wasabicatalog.PeerAnswered{Sent: sent, Peer: e.Peer.ID}
+		event := wasabicatalog.PeerResponded{Sent: sent, Peer: e.Peer.ID}
 		if lost || to.dead || f.now < to.pausedUntil {
 			event.Err = errDown
 			f.at(400, func() { f.deliver(n, event) })
@@ -354,7 +354,7 @@
 	Expect(len(answer.Config.Content)).To(BeNumerically("<", 100<<10))
 
 	requester := wasabicatalog.NewMachine(wasabiridge.InstanceEntry{ID: "asks"})
-	requester.Handle(1200, wasabicatalog.PeerAnswered{Sent: 1150, Peer: "knows", Answer: answer})
+	requester.Handle(1200, wasabicatalog.PeerResponded{Sent: 1150, Peer: "knows", Answer: answer})
 	version, confirmedAt, known := requester.Config()
 	Expect(known).To(BeTrue())
 	Expect(version).To(BeEquivalentTo(2))
@@ -363,7 +363,7 @@
 
 	answer.Config.Content = answer.Config.Content[:100]
 	broken := wasabicatalog.NewMachine(wasabiridge.InstanceEntry{ID: "broken"})
-	broken.Handle(1200, wasabicatalog.PeerAnswered{Sent: 1150, Peer: "knows", Answer: answer})
+	broken.Handle(1200, wasabicatalog.PeerResponded{Sent: 1150, Peer: "knows", Answer: answer})
 	_, _, known = broken.Config()
 	Expect(known).To(BeFalse(), "truncated content was applied")
 })
@@ -439,11 +439,11 @@
 		old.Handle(2000, wasabicatalog.ConfigRead{Sent: 2000, Snapshot: snapshot(2)})
 		fresh := wasabicatalog.NewMachine(wasabiridge.InstanceEntry{ID: "fresh"})
 		fresh.Handle(9000, wasabicatalog.ConfigRead{Sent: 9000, Snapshot: snapshot(2)})
-		Expect(fresh.Namings()[0].Witnessed).To(BeFalse())
-		fresh.Handle(9100, wasabicatalog.PeerAnswered{Sent: 9050, Answer: old.Answer(9070, wasabiridge.CatalogQuery{})})
-		for _, n := range fresh.Namings() {
+		Expect(fresh.TargetVersions()[0].Observed).To(BeFalse())
+		fresh.Handle(9100, wasabicatalog.PeerResponded{Sent: 9050, Answer: old.Answer(9070, wasabiridge.CatalogQuery{})})
+		for _, n := range fresh.TargetVersions() {
 			if n.Weights == 2 {
-				Expect(n).To(Equal(wasabicatalog.Named{Model: "m", Weights: 2, At: 980, Witnessed: true}))
+				Expect(n).To(Equal(wasabicatalog.TargetVersion{Model: "m", Weights: 2, At: 980, Observed: true}))
 			}
 		}
 	})
@@ -461,9 +461,9 @@
 		fresh := wasabicatalog.NewMachine(wasabiridge.InstanceEntry{ID: "fresh"})
 		fresh.Handle(13100, wasabicatalog.ConfigRead{Sent: 13100, Snapshot: snapshot(3)})
 		answer := old.Answer(13200, wasabiridge.CatalogQuery{})
-		effects := fresh.Handle(13200, wasabicatalog.PeerAnswered{Sent: 13200, Peer: "old", Answer: answer})
+		effects := fresh.Handle(13200, wasabicatalog.PeerResponded{Sent: 13200, Peer: "old", Answer: answer})
 		Expect(effects).To(ContainElement(wasabicatalog.Changed{}))
-		Expect(fresh.Namings()).To(ContainElement(wasabicatalog.Named{Model: "m", Weights: 2, At: 1000, Witnessed: true}))
+		Expect(fresh.TargetVersions()).To(ContainElement(wasabicatalog.TargetVersion{Model: "m", Weights: 2, At: 1000, Observed: true}))
 	})
 
 	// The failure it guards against: all instances lose power four seconds after new
@@ -476,7 +476,7 @@
 		for now := wasabiridge.Millis(9600); now < 14000; now += 600 {
 			fresh.Handle(now, wasabicatalog.ConfigRead{Sent: now, Snapshot: snapshot(2)})
 		}
-		Expect(fresh.Namings()).To(Equal([]wasabicatalog.Named{{Model: "m", Weights: 2, At: 9000}}))
+		Expect(fresh.TargetVersions()).To(Equal([]wasabicatalog.TargetVersion{{Model: "m", Weights: 2, At: 9000}}))
 	})
 
 	// The failure it guards against: a version is first read up to a second after it
@@ -487,8 +487,8 @@
 		m.Handle(1000, wasabicatalog.ConfigRead{Sent: 1000, Snapshot: snapshot(1)})
 		m.Handle(1700, wasabicatalog.ConfigRead{Sent: 1690, Snapshot: snapshot(2)})
 		m.Handle(9700, wasabicatalog.ConfigRead{Sent: 9690, Snapshot: snapshot(3)})
-		Expect(m.Namings()[1].At).To(BeEquivalentTo(1000))
-		Expect(m.Namings()[2].At).To(BeNumerically("~", 9700-2600, 1))
+		Expect(m.TargetVersions()[1].At).To(BeEquivalentTo(1000))
+		Expect(m.TargetVersions()[2].At).To(BeNumerically("~", 9700-2600, 1))
 	})
 
 	// The failure it guards against: the instance that starts has the lowest rank. It
@@ -501,12 +501,12 @@
 		tick := wasabicatalog.Ticked{Peers: []wasabicatalog.Peer{{ID: "old", Address: "old", Weight: 1}}}
 		isQuerying := func(at wasabiridge.Millis) bool {
 			return slices.ContainsFunc(fresh.Handle(at, tick), func(e wasabicatalog.Effect) bool {
-				_, ok := e.(wasabicatalog.AskPeer)
+				_, ok := e.(wasabicatalog.QueryPeer)
 				return ok
 			})
 		}
 		Expect(isQuerying(13400)).To(BeTrue())
-		fresh.Handle(13450, wasabicatalog.PeerAnswered{Sent: 13400, Peer: "old", Answer: wasabiridge.CatalogResponse{
+		fresh.Handle(13450, wasabicatalog.PeerResponded{Sent: 13400, Peer: "old", Answer: wasabiridge.CatalogResponse{
 			Config: wasabiridge.CatalogPart{Age: -1}, Backends: wasabiridge.CatalogPart{Age: -1},
 		}})
 		Expect(isQuerying(13700)).To(BeFalse())
--- a/internal/wasabicatalog/delta_test.go
+++ b/internal/wasabicatalog/delta_test.go
@@ -34,12 +34,12 @@
 		responder, requester := machine(), machine()
 		config(responder, 1000, 1)
 		complete := query(requester, responder, 1100)
-		requester.Handle(1200, wasabicatalog.PeerAnswered{Sent: 1100, Peer: "knows", Answer: complete})
+		requester.Handle(1200, wasabicatalog.PeerResponded{Sent: 1100, Peer: "knows", Answer: complete})
 		Expect(version(requester)).To(Equal(1))
 		responder.Handle(1300, wasabicatalog.ConfigRead{Sent: 1300, Snapshot: wasabiridge.ConfigSnapshot{Revision: 2, Config: wasabiridge.Config{Version: 2, Accounts: accounts()}}})
 		delta := query(requester, responder, 1400)
 		Expect(len(delta.Config.Content)).To(BeNumerically("<", len(complete.Config.Content)/20))
-		requester.Handle(1500, wasabicatalog.PeerAnswered{Sent: 1400, Peer: "knows", Answer: delta})
+		requester.Handle(1500, wasabicatalog.PeerResponded{Sent: 1400, Peer: "knows", Answer: delta})
 		Expect(version(requester)).To(Equal(2))
 		Expect(query(requester, responder, 1600).Config.Content).To(BeEmpty())
 	})
@@ -50,16 +50,16 @@
 	It("is not applied without the base that it was made against, nor when it is damaged", func() {
 		responder, requester, newcomer := machine(), machine(), machine()
 		config(responder, 1000, 1)
-		requester.Handle(1200, wasabicatalog.PeerAnswered{Sent: 1100, Peer: "knows", Answer: query(requester, responder, 1100)})
+		requester.Handle(1200, wasabicatalog.PeerResponded{Sent: 1100, Peer: "knows", Answer: query(requester, responder, 1100)})
 		config(responder, 1300, 2)
 		delta := query(requester, responder, 1400)
-		newcomer.Handle(1500, wasabicatalog.PeerAnswered{Sent: 1400, Peer: "knows", Answer: delta})
+		newcomer.Handle(1500, wasabicatalog.PeerResponded{Sent: 1400, Peer: "knows", Answer: delta})
 		Expect(version(newcomer)).To(BeZero())
 		for i := range delta.Config.Content {
 			broken := delta
 			broken.Config.Content = slices.Clone(delta.Config.Content)
 			broken.Config.Content[i] ^= 0x20
-			requester.Handle(1500, wasabicatalog.PeerAnswered{Sent: 1400, Peer: "knows", Answer: broken})
+			requester.Handle(1500, wasabicatalog.PeerResponded{Sent: 1400, Peer: "knows", Answer: broken})
 			if version(requester) == 2 {
 				// The flipped bit was in the checksum of the frame, which does not
 				// affect the content.
@@ -72,11 +72,11 @@
 	It("is sent complete to an instance whose content is older than all kept bases", func() {
 		responder, requester := machine(), machine()
 		config(responder, 1000, 1)
-		requester.Handle(1200, wasabicatalog.PeerAnswered{Sent: 1100, Peer: "knows", Answer: query(requester, responder, 1100)})
+		requester.Handle(1200, wasabicatalog.PeerResponded{Sent: 1100, Peer: "knows", Answer: query(requester, responder, 1100)})
 		for v := 2; v < 12; v++ {
 			config(responder, 1000+100*wasabiridge.Millis(v), v)
 		}
-		requester.Handle(3100, wasabicatalog.PeerAnswered{Sent: 3000, Peer: "knows", Answer: query(requester, responder, 3000)})
+		requester.Handle(3100, wasabicatalog.PeerResponded{Sent: 3000, Peer: "knows", Answer: query(requester, responder, 3000)})
 		Expect(version(requester)).To(Equal(11))
 	})
 })
--- a/internal/wasabicatalog/event.go
+++ b/internal/wasabicatalog/event.go
@@ -31,22 +31,22 @@
 	Err      error
 }
 
-// PeerAnswered is the result of a QueryPeer that was sent at Sent.
-type PeerAnswered struct {
+// PeerResponded is the result of a QueryPeer that was sent at Sent.
+type PeerResponded struct {
 	Sent   wasabiridge.Millis
 	Peer   wasabiridge.InstanceID
 	Answer wasabiridge.CatalogResponse
 	Err    error
 }
 
-// NewsHeard reports a state update from another instance whose catalog has changed.
-type NewsHeard struct{ From wasabiridge.InstanceID }
+// UpdateReceived reports a state update from another instance whose catalog has changed.
+type UpdateReceived struct{ From wasabiridge.InstanceID }
 
-func (Ticked) isEvent()       {}
-func (ConfigRead) isEvent()   {}
-func (BackendsRead) isEvent() {}
-func (PeerAnswered) isEvent() {}
-func (NewsHeard) isEvent()    {}
+func (Ticked) isEvent()         {}
+func (ConfigRead) isEvent()     {}
+func (BackendsRead) isEvent()   {}
+func (PeerResponded) isEvent()  {}
+func (UpdateReceived) isEvent() {}
 
 // Effect is an action that a Machine requests.
 type Effect interface{ isEffect() }
@@ -57,8 +57,8 @@
 // ReadBackends requests a read of the list of backend servers from the platform.
 type ReadBackends struct{}
 
-// AskPeer requests a catalog query to another instance.
-type AskPeer struct {
+// QueryPeer requests a catalog query to another instance.
+type QueryPeer struct {
 	Peer  Peer
 	Query wasabiridge.CatalogQuery
 }
@@ -69,11 +69,11 @@
 // must also get soon.
 type Changed struct{ FromPlatform, Config bool }
 
-// Proven reports that confirmation times have changed.
-type Proven struct{}
+// Confirmed reports that confirmation times have changed.
+type Confirmed struct{}
 
 func (ReadConfig) isEffect()   {}
 func (ReadBackends) isEffect() {}
-func (AskPeer) isEffect()      {}
+func (QueryPeer) isEffect()    {}
 func (Changed) isEffect()      {}
-func (Proven) isEffect()       {}
+func (Confirmed) isEffect()    {}
--- a/internal/wasabicatalog/keeper.go
+++ b/internal/wasabicatalog/keeper.go
@@ -37,29 +37,29 @@
 	// Active returns the instances that callers are directed to. Nil means all.
 	Active func() []wasabiridge.InstanceEntry
 	Log    zerolog.Logger
-	// Changed is called after the content has changed, OnUpdate with each state update
+	// OnChange is called after the content has changed, OnUpdate with each state update
 	// received from another instance. Neither may block.
-	Changed func(v View)
-	News    func(n wasabiridge.StateUpdate)
+	OnChange func(v View)
+	OnUpdate func(n wasabiridge.StateUpdate)
 }
 
 // View is the catalog as known at this instance. It is an immutable value.
 type View struct {
 	Snapshot wasabiridge.ConfigSnapshot
 	Backends wasabiridge.BackendSnapshot
-	// ConfigProven and BackendsConfirmedAt are the times at which the platform reads were
-	// sent that last confirmed the configuration and the list. ConfigKnown and
-	// BackendsKnown report that there was such a read.
-	ConfigProven, BackendsProven wasabiridge.Millis
-	ConfigKnown, BackendsKnown   bool
-	// Namings are the wanted versions of weights with the times at which operators set
-	// them.
-	Namings []Named
+	// ConfigConfirmedAt and BackendsConfirmedAt are the times at which the platform
+	// reads were sent that last confirmed the configuration and the list. ConfigKnown
+	// and BackendsKnown report that there was such a read.
+	ConfigConfirmedAt, BackendsConfirmedAt wasabiridge.Millis
+	ConfigKnown, BackendsKnown             bool
+	// TargetVersions are the wanted versions of weights with the times at which
+	// operators set them.
+	TargetVersions []TargetVersion
 }
 
-// Keeper drives a Machine with the clock, the platform and the other instances. It is
+// Controller drives a Machine with the clock, the platform and the other instances. It is
 // safe for concurrent use.
-type Keeper struct {
+type Controller struct {
 	options Options
 	inbox   chan Event
 	view    atomic.Pointer[View]
@@ -80,24 +80,24 @@
 	unusable map[wasabiridge.BackendServerID]string
 }
 
-// NewKeeper returns a Controller with an empty view. Run starts it.
-func NewKeeper(o Options) *Keeper {
-	k := &Keeper{options: o, inbox: make(chan Event, inboxSize), machine: NewMachine(o.Self)}
+// NewController returns a Controller with an empty view. Run starts it.
+func NewController(o Options) *Controller {
+	k := &Controller{options: o, inbox: make(chan Event, inboxSize), machine: NewMachine(o.Self)}
 	k.view.Store(&View{})
 	return k
 }
 
 // View returns the current view.
-func (k *Keeper) View() View { return *k.view.Load() }
+func (k *Controller) View() View { return *k.view.Load() }
 
 // Calls returns the number of calls to the platform since the start, how many of them
 // failed, and the number of queries to other instances.
-func (k *Keeper) Calls() (reads, failed, queries uint64) {
+func (k *Controller) Calls() (reads, failed, queries uint64) {
 	return k.reads.Load(), k.failed.Load(), k.queries.Load()
 }
 
 // Run drives the machine until the context ends. It is called once.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Controller) Run(ctx context.Context) {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
 	k.tick(ctx)
@@ -115,7 +115,7 @@
 
 // tick passes the time to the machine and, when the members have changed, the new
 // members.
-func (k *Keeper) tick(ctx context.Context) {
+func (k *Controller) tick(ctx context.Context) {
 	members := k.options.Members()
 	if len(members) != len(k.members) || len(members) > 0 && &members[0] != &k.members[0] {
 		var active []wasabiridge.InstanceEntry
@@ -128,7 +128,7 @@
 	k.handle(ctx, Ticked{Peers: k.peers, Sources: k.sources})
 }
 
-func (k *Keeper) handle(ctx context.Context, e Event) {
+func (k *Controller) handle(ctx context.Context, e Event) {
 	k.mu.Lock()
 	effects := slices.Clone(k.machine.Handle(k.options.Clock.Now(), e))
 	k.mu.Unlock()
@@ -139,22 +139,22 @@
 			go k.readConfig(ctx)
 		case ReadBackends:
 			go k.readBackends(ctx)
-		case AskPeer:
+		case QueryPeer:
 			go k.query(ctx, f)
 		case Changed:
 			k.publish()
-			if k.options.Changed != nil {
-				k.options.Changed(k.View())
+			if k.options.OnChange != nil {
+				k.options.OnChange(k.View())
 			}
-			k.TellSome(ctx, k.tree.Audience(f), wasabiridge.StateUpdate{Changed: true})
-		case Proven:
+			k.SendUpdate(ctx, k.tree.Recipients(f), wasabiridge.StateUpdate{Changed: true})
+		case Confirmed:
 			k.publish()
 		}
 	}
 }
 
 // logPlatformState logs when the platform becomes unreachable or reachable again.
-func (k *Keeper) logPlatformState(e Event) {
+func (k *Controller) logPlatformState(e Event) {
 	var err error
 	switch e := e.(type) {
 	case ConfigRead:
@@ -178,22 +178,22 @@
 	if k.platformLost {
 		line, message = k.options.Log.Warn().Err(err), "Platform is unreachable."
 	}
-	line.Int64("config_age_ms", int64(now-v.ConfigProven)).Int64("backends_age_ms", int64(now-v.BackendsProven)).Msg(message)
+	line.Int64("config_age_ms", int64(now-v.ConfigConfirmedAt)).Int64("backends_age_ms", int64(now-v.BackendsConfirmedAt)).Msg(message)
 }
 
-func (k *Keeper) publish() {
+func (k *Controller) publish() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	m := k.machine
 	k.view.Store(&View{
 		Snapshot: m.snapshot, Backends: m.list,
-		ConfigProven: m.config.confirmedAt, BackendsProven: m.backends.confirmedAt,
-		ConfigKnown: m.config.known, BackendsKnown: m.backends.known, Namings: m.Namings(),
+		ConfigConfirmedAt: m.config.confirmedAt, BackendsConfirmedAt: m.backends.confirmedAt,
+		ConfigKnown: m.config.known, BackendsKnown: m.backends.known, TargetVersions: m.TargetVersions(),
 	})
 }
 
 // logUnusable logs unusable entries, each of them once per cause.
-func (k *Keeper) logUnusable(entries []wasabiridge.UnusableEntry) {
+func (k *Controller) logUnusable(entries []wasabiridge.UnusableEntry) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := map[wasabiridge.BackendServerID]string{}
@@ -206,21 +206,21 @@
 	k.unusable = now
 }
 
-func (k *Keeper) post(ctx context.Context, e Event) {
+func (k *Controller) post(ctx context.Context, e Event) {
 	select {
 	case k.inbox <- e:
 	case <-ctx.Done():
 	}
 }
 
-func (k *Keeper) readConfig(ctx context.Context) {
+func (k *Controller) readConfig(ctx context.Context) {
 	k.reads.Add(1)
 	sent := k.options.Clock.Now()
 	s, err := k.options.Source.ReadConfig(ctx)
 	k.post(ctx, ConfigRead{Sent: sent, Snapshot: s, Err: err})
 }
 
-func (k *Keeper) readBackends(ctx context.Context) {
+func (k *Controller) readBackends(ctx context.Context) {
 	k.reads.Add(1)
 	sent := k.options.Clock.Now()
 	s, err := k.options.Source.ReadBackends(ctx)
@@ -230,22 +230,22 @@
 	k.post(ctx, BackendsRead{Sent: sent, Snapshot: s, Err: err})
 }
 
-func (k *Keeper) query(ctx context.Context, e AskPeer) {
+func (k *Controller) query(ctx context.Context, e QueryPeer) {
 	k.queries.Add(1)
 	sent := k.options.Clock.Now()
 	timed, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	answer, err := k.options.Peers.QueryCatalog(timed, e.Peer.Address, e.Query)
-	k.post(ctx, PeerAnswered{Sent: sent, Peer: e.Peer.ID, Answer: answer, Err: err})
+	k.post(ctx, PeerResponded{Sent: sent, Peer: e.Peer.ID, Answer: answer, Err: err})
 }
 
 // LowestRanks returns the n other live members with the lowest ranks.
-func (k *Keeper) LowestRanks(n int) []Peer {
+func (k *Controller) LowestRanks(n int) []Peer {
 	return lowestRanked(NewTree(k.options.Self, nil, k.options.Members()).peers(), n)
 }
 
-// TellSome sends a state update to some members. It does not wait for the calls to end.
-func (k *Keeper) TellSome(ctx context.Context, peers []Peer, n wasabiridge.StateUpdate) {
+// SendUpdate sends a state update to some members. It does not wait for the calls to end.
+func (k *Controller) SendUpdate(ctx context.Context, peers []Peer, n wasabiridge.StateUpdate) {
 	n.From = k.options.Self.ID
 	for _, p := range peers {
 		go func() {
@@ -259,22 +259,22 @@
 }
 
 // HandleQueryCatalog implements wasabiridge.CatalogHandler.
-func (k *Keeper) HandleQueryCatalog(_ context.Context, q wasabiridge.CatalogQuery) (wasabiridge.CatalogResponse, error) {
+func (k *Controller) HandleQueryCatalog(_ context.Context, q wasabiridge.CatalogQuery) (wasabiridge.CatalogResponse, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.machine.Answer(k.options.Clock.Now(), q), nil
 }
 
 // HandleSendUpdate implements wasabiridge.CatalogHandler.
-func (k *Keeper) HandleSendUpdate(_ context.Context, n wasabiridge.StateUpdate) error {
-	if k.options.News != nil {
-		k.options.News(n)
+func (k *Controller) HandleSendUpdate(_ context.Context, n wasabiridge.StateUpdate) error {
+	if k.options.OnUpdate != nil {
+		k.options.OnUpdate(n)
 	}
 	if !n.Changed {
 		return nil
 	}
 	select {
-	case k.inbox <- NewsHeard{From: n.From}:
+	case k.inbox <- UpdateReceived{From: n.From}:
 	default:
 	}
 	return nil
--- a/internal/wasabicatalog/machine.go
+++ b/internal/wasabicatalog/machine.go
@@ -32,11 +32,11 @@
 //
 // # Usage
 //
-//	keeper := wasabicatalog.NewController(wasabicatalog.Options{
+//	controller := wasabicatalog.NewController(wasabicatalog.Options{
 //		Self: self, Clock: clock, Source: source, Peers: client, Members: members,
 //	})
-//	go keeper.Run(ctx)
-//	view := keeper.View()
+//	go controller.Run(ctx)
+//	view := controller.View()
 package wasabicatalog
 
 import (
@@ -101,9 +101,9 @@
 	list             wasabiridge.BackendSnapshot
 	// keepExpiredUntil is the time until which entries that vanish are kept.
 	keepExpiredUntil wasabiridge.Millis
-	// namings are the wanted versions of weights, in the order in which they were first
-	// seen.
-	namings []Named
+	// targetVersions are the wanted versions of weights, in the order in which they
+	// were first seen.
+	targetVersions []TargetVersion
 
 	querying   bool
 	queriedAt  wasabiridge.Millis
@@ -135,9 +135,9 @@
 		m.configRead(now, e)
 	case BackendsRead:
 		m.backendsRead(now, e)
-	case PeerAnswered:
+	case PeerResponded:
 		m.answered(now, e)
-	case NewsHeard:
+	case UpdateReceived:
 		m.updateFrom = e.From
 		m.tick(now)
 	}
@@ -211,7 +211,7 @@
 		}
 	}
 	m.updateFrom, m.querying, m.queriedAt = "", true, now
-	m.emit(AskPeer{Peer: to, Query: wasabiridge.CatalogQuery{ConfigDigest: m.config.digest, BackendDigest: m.backends.digest}})
+	m.emit(QueryPeer{Peer: to, Query: wasabiridge.CatalogQuery{ConfigDigest: m.config.digest, BackendDigest: m.backends.digest}})
 }
 
 func (m *Machine) configRead(now wasabiridge.Millis, e ConfigRead) {
@@ -232,17 +232,17 @@
 	if m.applyRead(&m.config, s.Revision, e.Sent, content) {
 		m.snapshot = s
 	}
-	m.recordConfigNamings(now, first, confirmedAt)
+	m.recordConfigTargets(now, first, confirmedAt)
 }
 
-// recordConfigNamings records the wanted versions of weights in the current
+// recordConfigTargets records the wanted versions of weights in the current
 // configuration. Those in the first configuration may have been set at any time before.
-func (m *Machine) recordConfigNamings(now wasabiridge.Millis, first bool, confirmedAt wasabiridge.Millis) {
+func (m *Machine) recordConfigTargets(now wasabiridge.Millis, first bool, confirmedAt wasabiridge.Millis) {
 	if first {
-		m.recordNamings(now, false)
+		m.recordTargetVersions(now, false)
 		return
 	}
-	m.recordNamings(estimateSetTime(now, confirmedAt), true)
+	m.recordTargetVersions(estimateSetTime(now, confirmedAt), true)
 }
 
 // withoutRevision clears the revision, which increases with every write by anyone.
@@ -293,7 +293,7 @@
 	return out
 }
 
-func (m *Machine) answered(now wasabiridge.Millis, e PeerAnswered) {
+func (m *Machine) answered(now wasabiridge.Millis, e PeerResponded) {
 	m.querying = false
 	if e.Err != nil {
 		m.queryIndex++
@@ -305,8 +305,8 @@
 	before := m.config.confirmedAt + m.backends.confirmedAt
 	first, confirmedAt := !m.config.known, m.config.confirmedAt
 	m.applyPeerConfig(e)
-	m.mergeNamings(e)
-	m.recordConfigNamings(now, first, confirmedAt)
+	m.mergeTargetVersions(e)
+	m.recordConfigTargets(now, first, confirmedAt)
 	m.applyPeerBackends(e)
 	if m.config.confirmedAt+m.backends.confirmedAt == before && max(m.config.age(now), m.backends.age(now)) > readAge+rankDelay {
 		// The queried instance has no newer content; try another one.
@@ -325,14 +325,14 @@
 
 // Answer returns the response to a query of another instance.
 func (m *Machine) Answer(now wasabiridge.Millis, q wasabiridge.CatalogQuery) wasabiridge.CatalogResponse {
-	var namings []wasabiridge.TargetVersion
-	for _, n := range m.namings {
-		if now-n.At < namingRetention {
-			namings = append(namings, wasabiridge.TargetVersion{Model: n.Model, Weights: n.Weights, Age: now - n.At, Observed: n.Witnessed})
+	var targetVersions []wasabiridge.TargetVersion
+	for _, n := range m.targetVersions {
+		if now-n.At < targetVersionRetention {
+			targetVersions = append(targetVersions, wasabiridge.TargetVersion{Model: n.Model, Weights: n.Weights, Age: now - n.At, Observed: n.Observed})
 		}
 	}
 	return wasabiridge.CatalogResponse{
-		TargetVersions: namings,
+		TargetVersions: targetVersions,
 		Config:         m.config.answer(now, q.ConfigDigest),
 		Backends:       m.backends.answer(now, q.BackendDigest),
 	}
--- a/internal/wasabicatalog/naming.go
+++ b/internal/wasabicatalog/naming.go
@@ -6,25 +6,25 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Named is a version of a model that operators want served, and when they set it.
-type Named struct {
+// TargetVersion is a version of a model that operators want served, and when they set it.
+type TargetVersion struct {
 	Model   wasabiridge.ModelID
 	Weights wasabiridge.WeightsVersion
 	At      wasabiridge.Millis
-	// Witnessed reports that some instance saw the version within moments of its being
+	// Observed reports that some instance saw the version within moments of its being
 	// set. Otherwise At is when this instance first read it after its start.
-	Witnessed bool
+	Observed bool
 }
 
 const (
-	// maxNamings limits the recorded versions.
-	maxNamings = 64
-	// namingRetention is how long a recorded version is sent to other instances.
-	namingRetention = 30 * wasabiridge.Second
-	// maxNamingDelay limits the time assumed between the setting of a version and its
+	// maxTargetVersions limits the recorded versions.
+	maxTargetVersions = 64
+	// targetVersionRetention is how long a recorded version is sent to other instances.
+	targetVersionRetention = 30 * wasabiridge.Second
+	// maxTargetDelay limits the time assumed between the setting of a version and its
 	// first being seen. Each instance renews content that is half as old; the other
 	// half allows for failed reads.
-	maxNamingDelay = 2600 * wasabiridge.Millis(1)
+	maxTargetDelay = 2600 * wasabiridge.Millis(1)
 )
 
 // estimateSetTime returns the time since which a version that is first seen now counts
@@ -34,58 +34,59 @@
 // The failure it guards against: if versions counted from when they were first seen,
 // older weights would answer longer than allowed, by the delay of the update.
 func estimateSetTime(now, confirmedAt wasabiridge.Millis) wasabiridge.Millis {
-	return max(confirmedAt, now-maxNamingDelay)
+	return max(confirmedAt, now-maxTargetDelay)
 }
 
-// recordNamings records wanted versions that were not seen before. A version that is
-// already recorded keeps its time: a later read says nothing about when it was set.
-func (m *Machine) recordNamings(now wasabiridge.Millis, witnessed bool) {
+// recordTargetVersions records wanted versions that were not seen before. A version
+// that is already recorded keeps its time: a later read says nothing about when it was
+// set.
+func (m *Machine) recordTargetVersions(now wasabiridge.Millis, observed bool) {
 	models := make([]wasabiridge.ModelID, 0, len(m.snapshot.Weights))
 	for model := range m.snapshot.Weights {
 		models = append(models, model)
 	}
 	slices.Sort(models)
 	for _, model := range models {
-		if n := (Named{Model: model, Weights: m.snapshot.Weights[model], At: now, Witnessed: witnessed}); !m.isNamed(n) {
-			m.addNaming(n)
+		if n := (TargetVersion{Model: model, Weights: m.snapshot.Weights[model], At: now, Observed: observed}); !m.isTarget(n) {
+			m.addTargetVersion(n)
 		}
 	}
 }
 
-// isNamed reports whether a version is recorded.
-func (m *Machine) isNamed(n Named) bool {
-	return slices.ContainsFunc(m.namings, func(known Named) bool { return known.Model == n.Model && known.Weights == n.Weights })
+// isTarget reports whether a version is recorded.
+func (m *Machine) isTarget(n TargetVersion) bool {
+	return slices.ContainsFunc(m.targetVersions, func(known TargetVersion) bool { return known.Model == n.Model && known.Weights == n.Weights })
 }
 
-// addNaming records a version, or a more reliable time for a recorded one. It reports
-// whether anything changed.
-func (m *Machine) addNaming(n Named) bool {
-	for i := range m.namings {
-		known := &m.namings[i]
+// addTargetVersion records a version, or a more reliable time for a recorded one. It
+// reports whether anything changed.
+func (m *Machine) addTargetVersion(n TargetVersion) bool {
+	for i := range m.targetVersions {
+		known := &m.targetVersions[i]
 		if known.Model != n.Model || known.Weights != n.Weights {
 			continue
 		}
-		better := n.Witnessed && !known.Witnessed
+		better := n.Observed && !known.Observed
 		if better {
 			*known = n
 		}
 		return better
 	}
-	if len(m.namings) == maxNamings {
-		m.namings = m.namings[1:]
+	if len(m.targetVersions) == maxTargetVersions {
+		m.targetVersions = m.targetVersions[1:]
 	}
-	m.namings = append(m.namings, n)
+	m.targetVersions = append(m.targetVersions, n)
 	return true
 }
 
-// mergeNamings records the times at which another instance saw versions. Without them
-// an instance that has just started would assume that all versions are new, and would
-// not know those before the newest. They take effect at once and not only with the next
-// change of the configuration.
-func (m *Machine) mergeNamings(e PeerAnswered) {
+// mergeTargetVersions records the times at which another instance saw versions. Without
+// them an instance that has just started would assume that all versions are new, and
+// would not know those before the newest. They take effect at once and not only with
+// the next change of the configuration.
+func (m *Machine) mergeTargetVersions(e PeerResponded) {
 	changed := false
 	for _, n := range e.Answer.TargetVersions {
-		if n.Observed && m.addNaming(Named{Model: n.Model, Weights: n.Weights, At: e.Sent - n.Age, Witnessed: true}) {
+		if n.Observed && m.addTargetVersion(TargetVersion{Model: n.Model, Weights: n.Weights, At: e.Sent - n.Age, Observed: true}) {
 			changed = true
 		}
 	}
@@ -94,5 +95,5 @@
 	}
 }
 
-// Namings returns the wanted versions of weights.
-func (m *Machine) Namings() []Named { return slices.Clone(m.namings) }
+// TargetVersions returns the wanted versions of weights.
+func (m *Machine) TargetVersions() []TargetVersion { return slices.Clone(m.targetVersions) }
--- a/internal/wasabicatalog/scale_test.go
+++ b/internal/wasabicatalog/scale_test.go
@@ -139,23 +139,23 @@
 				s := wasabiridge.BackendSnapshot{Revision: r.changes + 1, Entries: slices.Clone(r.entries)}
 				r.after(8, func() { r.handle(m, wasabicatalog.BackendsRead{Sent: sent, Snapshot: s}) })
 			})
-		case wasabicatalog.AskPeer:
+		case wasabicatalog.QueryPeer:
 			r.query(m, e, sent)
 		case wasabicatalog.Changed:
-			for _, p := range m.tree.Audience(e) {
+			for _, p := range m.tree.Recipients(e) {
 				to := r.find(p.ID)
 				to.updates++
-				r.after(40, func() { r.handle(to, wasabicatalog.NewsHeard{From: m.entry.ID}) })
+				r.after(40, func() { r.handle(to, wasabicatalog.UpdateReceived{From: m.entry.ID}) })
 			}
 		}
 	}
 }
 
-func (r *simulation) query(m *member, e wasabicatalog.AskPeer, sent wasabiridge.Millis) {
+func (r *simulation) query(m *member, e wasabicatalog.QueryPeer, sent wasabiridge.Millis) {
 	to := r.find(e.Peer.ID)
 	to.queries++
 	r.after(40, func() {
-		answer := wasabicatalog.PeerAnswered{Sent: sent, Peer: e.Peer.ID}
+		answer := wasabicatalog.PeerResponded{Sent: sent, Peer: e.Peer.ID}
 		if to.dead {
 			answer.Err = errDown
 			r.agenda.Add(sent+400, func() { r.handle(m, answer) })
--- a/internal/wasabicatalog/tree.go
+++ b/internal/wasabicatalog/tree.go
@@ -51,8 +51,8 @@
 	return out
 }
 
-// Audience returns the instances that this instance notifies of a change.
-func (t Tree) Audience(c Changed) []Peer {
+// Recipients returns the instances that this instance notifies of a change.
+func (t Tree) Recipients(c Changed) []Peer {
 	var out []Peer
 	if c.FromPlatform {
 		out = append(t.otherActive(), lowestRanked(t.peers(), nextPollers)...)
--- a/internal/wasabinode/config.go
+++ b/internal/wasabinode/config.go
@@ -31,7 +31,7 @@
 	before := n.activeConfig.Load()
 	n.activeConfig.Store(&activeConfig{config: &cfg, sharing: sharingScope(cfg.Accounts)})
 	n.loop.Post(wasabiridge.ConfigAdopted{Config: cfg})
-	for _, target := range v.Namings {
+	for _, target := range v.TargetVersions {
 		n.loop.Post(wasabiridge.TargetWeightsSet{Model: target.Model, Weights: target.Weights, At: n.targetSetAt(target)})
 	}
 	for _, e := range v.Backends.Entries {
@@ -43,7 +43,7 @@
 	if before.config.Version != cfg.Version {
 		n.members.SetConfig(cfg.Version)
 		n.log.Info().Uint64("config_version", uint64(cfg.Version)).Int("rules", len(cfg.Rules)).Int("accounts", len(cfg.Accounts)).
-			Int64("age_ms", int64(n.options.Clock.Now()-v.ConfigProven)).Msg("Configuration adopted.")
+			Int64("age_ms", int64(n.options.Clock.Now()-v.ConfigConfirmedAt)).Msg("Configuration adopted.")
 	}
 }
 
@@ -75,8 +75,8 @@
 // targetSetAt returns the time at which a target version of weights counts as
 // set. When no instance saw it being set, the bound on older weights may be
 // nearly reached, so all but unknownAgeGrace of it counts as used up.
-func (n *Node) targetSetAt(v wasabicatalog.Named) wasabiridge.Millis {
-	if v.Witnessed {
+func (n *Node) targetSetAt(v wasabicatalog.TargetVersion) wasabiridge.Millis {
+	if v.Observed {
 		return v.At
 	}
 	return v.At - (n.bounds.WeightsLife - weightsMargin) + unknownAgeGrace
@@ -131,7 +131,7 @@
 // it was last confirmed to be current.
 func (n *Node) view() wasabirelay.View {
 	active := n.activeConfig.Load()
-	return wasabirelay.View{Config: active.config, Proven: n.catalog.View().ConfigProven, Sharing: active.sharing}
+	return wasabirelay.View{Config: active.config, Proven: n.catalog.View().ConfigConfirmedAt, Sharing: active.sharing}
 }
 
 // wantedWeights returns the backend servers and the target version of each
--- a/internal/wasabinode/metrics.go
+++ b/internal/wasabinode/metrics.go
@@ -20,8 +20,8 @@
 	lines := []string{
 		line("requests_open", int64(n.relay.Open())),
 		line("config_version", int64(v.Snapshot.Config.Version)),
-		line("config_age_ms", int64(now-v.ConfigProven)),
-		line("backends_age_ms", int64(now-v.BackendsProven)),
+		line("config_age_ms", int64(now-v.ConfigConfirmedAt)),
+		line("backends_age_ms", int64(now-v.BackendsConfirmedAt)),
 		line("backends_listed", int64(len(v.Backends.Entries))),
 		line("members", int64(len(n.members.Members()))),
 		line("platform_reads_total", int64(reads)),
--- a/internal/wasabinode/node.go
+++ b/internal/wasabinode/node.go
@@ -142,7 +142,7 @@
 	quarantine     *wasabiquarantine.Keeper
 	quota          *wasabiquota.Keeper
 	relay          *wasabirelay.Relay
-	catalog        *wasabicatalog.Keeper
+	catalog        *wasabicatalog.Controller
 	upgrade        *wasabiupgrade.Keeper
 	client         *wasabipeer.Client
 	server         *wasabipeer.Server
@@ -225,9 +225,9 @@
 	if err := n.assemblePeers(seed); err != nil {
 		return err
 	}
-	n.catalog = wasabicatalog.NewKeeper(wasabicatalog.Options{
+	n.catalog = wasabicatalog.NewController(wasabicatalog.Options{
 		Self: n.self(), Clock: o.Clock, Source: o.Platform.Source, Peers: n.client, Members: n.members.Members, Active: n.activeEntries,
-		Log: wasabilog.Part(n.log, "catalog"), Changed: n.adopt, News: n.applyUpdate,
+		Log: wasabilog.Part(n.log, "catalog"), OnChange: n.adopt, OnUpdate: n.applyUpdate,
 	})
 	n.upgrade = wasabiupgrade.NewKeeper(wasabiupgrade.Options{
 		Self: s.Instance, Address: s.Peer.Address, Incarnation: n.incarnation, Clock: o.Clock, Table: o.Platform.Table, Engines: o.Platform.Engines,
--- a/internal/wasabinode/peers.go
+++ b/internal/wasabinode/peers.go
@@ -36,7 +36,7 @@
 			peers = append(peers, p)
 		}
 	}
-	n.catalog.TellSome(context.Background(), peers, update)
+	n.catalog.SendUpdate(context.Background(), peers, update)
 }
 
 // applyUpdate applies a state update of an instance: it posts the events to the
