--- a/examples/claims/main.go
+++ b/examples/claims/main.go
@@ -47,7 +47,7 @@
 }
 
 // show claims a booking and prints the state of the claim.
-func show(ctx context.Context, controller *wasabiclaim.Keeper, what string, q wasabiridge.ClaimQuery) {
+func show(ctx context.Context, controller *wasabiclaim.Controller, what string, q wasabiridge.ClaimQuery) {
 	out, err := controller.Claim(ctx, q)
 	if err != nil {
 		log.Fatal(err)
--- a/internal/wasabiclaim/bench_test.go
+++ b/internal/wasabiclaim/bench_test.go
@@ -120,7 +120,7 @@
 func BenchmarkTicket(b *testing.B) {
 	k := wasabiclaim.New(wasabiclaim.Options{
 		Self: "a", Incarnation: 1, Secret: []byte("secret"), Clock: wasabiclock.NewVirtual(start),
-		Limits: wasabiclaim.Limits{Tickets: 1 << 30},
+		Limits: wasabiclaim.Limits{MaxTickets: 1 << 30},
 	})
 	for i := range b.N {
 		q := wasabiridge.ClaimQuery{
@@ -144,7 +144,7 @@
 			for range b.N {
 				before := heapInUse()
 				k := wasabiclaim.New(wasabiclaim.Options{
-					Self: "a", Incarnation: 1, Clock: wasabiclock.NewVirtual(start), Limits: wasabiclaim.Limits{KeptAnswers: 1},
+					Self: "a", Incarnation: 1, Clock: wasabiclock.NewVirtual(start), Limits: wasabiclaim.Limits{MaxCachedAnswers: 1},
 				})
 				for i := range n {
 					q := wasabiridge.ClaimQuery{Account: "lifts", Key: k.Ticket("lifts"), Request: wasabiridge.RequestID(fmt.Sprint(i))}
--- a/internal/wasabiclaim/cluster_test.go
+++ b/internal/wasabiclaim/cluster_test.go
@@ -26,19 +26,19 @@
 // network connects Keepers by direct calls. Calls to a crashed instance fail.
 type network struct {
 	wasabiridge.PeerClient
-	mu      sync.Mutex
-	keepers map[string]*wasabiclaim.Keeper
+	mu          sync.Mutex
+	controllers map[string]*wasabiclaim.Controller
 	// nextFault returns the fault of the next call. It is called with mu held.
 	nextFault func() callFault
 }
 
-func (n *network) keeper(address string) *wasabiclaim.Keeper {
+func (n *network) controller(address string) *wasabiclaim.Controller {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.keepers[address]
+	return n.controllers[address]
 }
 
-func (n *network) call(address string, deliver func(*wasabiclaim.Keeper) error) error {
+func (n *network) call(address string, deliver func(*wasabiclaim.Controller) error) error {
 	var f callFault
 	n.mu.Lock()
 	if n.nextFault != nil {
@@ -46,13 +46,13 @@
 	}
 	n.mu.Unlock()
 	time.Sleep(f.delay)
-	k := n.keeper(address)
+	k := n.controller(address)
 	if k == nil || f.lostCall {
 		return wasabiridge.ErrUnavailable.New("cut")
 	}
 	if f.lateCopy > 0 {
 		time.AfterFunc(f.lateCopy, func() {
-			if k := n.keeper(address); k != nil {
+			if k := n.controller(address); k != nil {
 				_ = deliver(k)
 			}
 		})
@@ -69,7 +69,7 @@
 func (n *network) Claim(ctx context.Context, address string, q wasabiridge.ClaimQuery) (wasabiridge.ClaimOutcome, error) {
 	var mu sync.Mutex
 	var out wasabiridge.ClaimOutcome
-	err := n.call(address, func(k *wasabiclaim.Keeper) error {
+	err := n.call(address, func(k *wasabiclaim.Controller) error {
 		answer, err := k.HandleClaim(ctx, q)
 		mu.Lock()
 		defer mu.Unlock()
@@ -82,7 +82,7 @@
 }
 
 func (n *network) FinishClaim(ctx context.Context, address string, r wasabiridge.ClaimResult) error {
-	return n.call(address, func(k *wasabiclaim.Keeper) error { return k.HandleFinishClaim(ctx, r) })
+	return n.call(address, func(k *wasabiclaim.Controller) error { return k.HandleFinishClaim(ctx, r) })
 }
 
 // cluster is a few instances that share one table.
@@ -114,7 +114,7 @@
 	c := &cluster{
 		clock: clock,
 		table: wasabitable.NewMemory(wasabitable.MemoryOptions{Clock: clock}),
-		net:   &network{keepers: map[string]*wasabiclaim.Keeper{}},
+		net:   &network{controllers: map[string]*wasabiclaim.Controller{}},
 		stop:  map[wasabiridge.InstanceID]context.CancelFunc{},
 
 		members: map[wasabiridge.InstanceID]wasabiridge.Member{},
@@ -128,24 +128,24 @@
 }
 
 // start starts an instance in a new incarnation.
-func (c *cluster) start(id wasabiridge.InstanceID, limits wasabiclaim.Limits) *wasabiclaim.Keeper {
+func (c *cluster) start(id wasabiridge.InstanceID, limits wasabiclaim.Limits) *wasabiclaim.Controller {
 	return c.startWith(id, limits, c.clock)
 }
 
 // startAhead starts an instance whose clock is ahead by a time, or behind if it is
 // negative.
-func (c *cluster) startAhead(id wasabiridge.InstanceID, by wasabiridge.Millis) *wasabiclaim.Keeper {
+func (c *cluster) startAhead(id wasabiridge.InstanceID, by wasabiridge.Millis) *wasabiclaim.Controller {
 	return c.startWith(id, wasabiclaim.Limits{}, skewed{Clock: c.clock, offset: by})
 }
 
-func (c *cluster) startWith(id wasabiridge.InstanceID, limits wasabiclaim.Limits, clock wasabiridge.Clock) *wasabiclaim.Keeper {
+func (c *cluster) startWith(id wasabiridge.InstanceID, limits wasabiclaim.Limits, clock wasabiridge.Clock) *wasabiclaim.Controller {
 	c.incarnation++
 	limits.RetryInterval = 1
 	limits.FinishDelay = 1
 	limits.WritesPerSecond = 1000
 	k := wasabiclaim.New(wasabiclaim.Options{
 		Self: id, Incarnation: c.incarnation, Secret: []byte("secret"), Table: c.table, Peers: c.net, Clock: clock,
-		Members: c.membership, AgreedNow: c.clock.Now, Limits: limits, SweepEvery: -1,
+		Members: c.membership, LogicalTime: c.clock.Now, Limits: limits, SweepInterval: -1,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -157,7 +157,7 @@
 	c.stop[id] = func() { cancel(); <-done }
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
-	c.net.keepers[string(id)] = k
+	c.net.controllers[string(id)] = k
 	entry := wasabiridge.InstanceEntry{ID: id, PeerAddress: string(id)}
 	c.members[id] = wasabiridge.Member{InstanceEntry: entry, Incarnation: c.incarnation}
 	return k
@@ -172,7 +172,7 @@
 
 func (c *cluster) crash(id wasabiridge.InstanceID) {
 	c.net.mu.Lock()
-	delete(c.net.keepers, string(id))
+	delete(c.net.controllers, string(id))
 	c.net.mu.Unlock()
 	c.stop[id]()
 	delete(c.stop, id)
--- a/internal/wasabiclaim/doc.go
+++ b/internal/wasabiclaim/doc.go
@@ -15,24 +15,24 @@
 //
 // # Decisions and I/O
 //
-// ticketMachine and rowMachine are deterministic state machines. Keeper does the
+// ticketMachine and rowMachine are deterministic state machines. Controller does the
 // I/O for them. A mutex guards the ticket machine, and one goroutine owns the row
 // machine. Others read and write the table, and notify issuers of the ends of
 // requests that they did not receive at first.
 //
 // # Usage
 //
-//	keeper := wasabiclaim.New(wasabiclaim.Options{
+//	controller := wasabiclaim.New(wasabiclaim.Options{
 //		Self: "pos-1", Incarnation: incarnation, Secret: secret,
 //		Table: table, Peers: peers, Clock: clock, PeerAddress: locate,
 //	})
-//	go keeper.Run(ctx)
+//	go controller.Run(ctx)
 //	var out wasabiridge.ClaimOutcome
-//	if out, err = keeper.Claim(ctx, query); err != nil {
+//	if out, err = controller.Claim(ctx, query); err != nil {
 //		return err
 //	}
 //	if out.State == wasabiridge.ClaimGranted {
-//		// Call keeper.BeginSend right before the first byte is sent, and
-//		// keeper.Finish exactly once at the end.
+//		// Call controller.BeginSend right before the first byte is sent, and
+//		// controller.Finish exactly once at the end.
 //	}
 package wasabiclaim
--- a/internal/wasabiclaim/failure_test.go
+++ b/internal/wasabiclaim/failure_test.go
@@ -54,8 +54,8 @@
 	// Guards against a granted claim whose request is never sent, because its caller left
 	// at the same moment. Claims by row have the same test.
 	It("releases a claim whose caller left at the moment of its grant", func() {
-		for _, keeper := range []*wasabiclaim.Keeper{b.a, b.b} {
-			Expect(keeper.Claim(cancelledNotDone{context.Background()}, b.query("r"))).To(HaveField("NotSent", true))
+		for _, controller := range []*wasabiclaim.Controller{b.a, b.b} {
+			Expect(controller.Claim(cancelledNotDone{context.Background()}, b.query("r"))).To(HaveField("NotSent", true))
 			b.eventually(b.b, wasabiridge.ClaimGranted)
 			b.key = b.a.Ticket("lifts")
 		}
@@ -128,7 +128,7 @@
 
 	It("refuses claims as not run when the limit of remembered tickets is reached", func() {
 		b.crash("a")
-		b.a = b.start("a", wasabiclaim.Limits{Tickets: 1})
+		b.a = b.start("a", wasabiclaim.Limits{MaxTickets: 1})
 		b.key = b.a.Ticket("lifts")
 		b.claim(b.a, wasabiridge.ClaimGranted)
 		b.key = b.a.Ticket("lifts")
@@ -137,7 +137,7 @@
 
 	It("evicts the oldest answer, but remembers that its request ran", func() {
 		b.crash("a")
-		b.a = b.start("a", wasabiclaim.Limits{KeptAnswers: 1})
+		b.a = b.start("a", wasabiclaim.Limits{MaxCachedAnswers: 1})
 		keys := []string{b.a.Ticket("lifts"), b.a.Ticket("lifts")}
 		for _, key := range keys {
 			b.key = key
@@ -248,7 +248,7 @@
 		behind := b.startAhead("c", -30*wasabiridge.Day)
 		b.claim(behind, wasabiridge.ClaimGranted)
 		b.finish(behind, wasabiridge.Ran)
-		for i, k := range []*wasabiclaim.Keeper{b.a, b.b} {
+		for i, k := range []*wasabiclaim.Controller{b.a, b.b} {
 			b.key = "visit " + string(rune('a'+i))
 			b.claim(k, wasabiridge.ClaimGranted)
 		}
@@ -263,7 +263,7 @@
 		b.claim(b.a, wasabiridge.ClaimGranted)
 		b.finish(b.a, wasabiridge.Ran)
 		b.clock.Advance(2 * wasabiridge.Day)
-		for i, k := range []*wasabiclaim.Keeper{b.a, b.b} {
+		for i, k := range []*wasabiclaim.Controller{b.a, b.b} {
 			b.key = "visit " + string(rune('a'+i))
 			b.claim(k, wasabiridge.ClaimGranted)
 		}
--- a/internal/wasabiclaim/history_test.go
+++ b/internal/wasabiclaim/history_test.go
@@ -97,11 +97,11 @@
 
 // router is one incarnation of an instance.
 type router struct {
-	id     string
-	keeper *wasabiclaim.Keeper
-	ctx    context.Context
-	crash  context.CancelFunc
-	done   chan struct{}
+	id         string
+	controller *wasabiclaim.Controller
+	ctx        context.Context
+	crash      context.CancelFunc
+	done       chan struct{}
 }
 
 // skewed is a clock with a constant offset that jumps ahead by one hour at jumpAt.
@@ -153,26 +153,26 @@
 	h.mu.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &router{id: id, ctx: ctx, crash: cancel, done: make(chan struct{})}
-	r.keeper = wasabiclaim.New(wasabiclaim.Options{
+	r.controller = wasabiclaim.New(wasabiclaim.Options{
 		Self: wasabiridge.InstanceID(id), Incarnation: incarnation, Secret: []byte("secret"), Table: h.table, Peers: h.net,
-		Clock:     skewed{Clock: h.clock, offset: offset, jumpAt: jump},
-		Locate:    func(i wasabiridge.InstanceID) (string, bool) { return string(i), true },
-		Instances: func() int { return 3 },
-		Limits:    wasabiclaim.Limits{KeptAnswers: 4, Unsettled: 6},
+		Clock:         skewed{Clock: h.clock, offset: offset, jumpAt: jump},
+		PeerAddress:   func(i wasabiridge.InstanceID) (string, bool) { return string(i), true },
+		InstanceCount: func() int { return 3 },
+		Limits:        wasabiclaim.Limits{MaxCachedAnswers: 4, MaxUnsettled: 6},
 	})
 	go func() {
 		defer close(r.done)
-		r.keeper.Run(ctx)
+		r.controller.Run(ctx)
 	}()
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
-	h.net.keepers[id] = r.keeper
+	h.net.controllers[id] = r.controller
 	return r
 }
 
 func (h *history) kill(r *router) {
 	h.net.mu.Lock()
-	delete(h.net.keepers, r.id)
+	delete(h.net.controllers, r.id)
 	h.net.mu.Unlock()
 	r.crash()
 	<-r.done
@@ -185,7 +185,7 @@
 	defer cancel()
 	q := wasabiridge.ClaimQuery{Account: "lifts", Key: text, Request: wasabiridge.RequestID(request), Digest: 7}
 	call := h.time.Add(1)
-	out, err := r.keeper.Claim(ctx, q)
+	out, err := r.controller.Claim(ctx, q)
 	if r.ctx.Err() != nil || err != nil {
 		return // The instance crashed; the caller received no response.
 	}
@@ -209,17 +209,17 @@
 	if h.chance(0.15) {
 		go func() {
 			time.Sleep(h.span(3 * time.Millisecond))
-			_ = r.keeper.Finish(r.ctx, wasabiridge.ClaimResult{Query: q, Disposition: wasabiridge.NotRun})
+			_ = r.controller.Finish(r.ctx, wasabiridge.ClaimResult{Query: q, Disposition: wasabiridge.NotRun})
 		}()
 		time.Sleep(h.span(3 * time.Millisecond))
 	}
-	if r.ctx.Err() != nil || r.keeper.BeginSend(q.Request) != nil {
+	if r.ctx.Err() != nil || r.controller.BeginSend(q.Request) != nil {
 		return
 	}
 	call := h.time.Add(1)
 	if h.chance(0.1) {
-		r.keeper.RecordNotRun(q.Request)
-		_ = r.keeper.Finish(r.ctx, wasabiridge.ClaimResult{Query: q, Disposition: wasabiridge.NotRun})
+		r.controller.RecordNotRun(q.Request)
+		_ = r.controller.Finish(r.ctx, wasabiridge.ClaimResult{Query: q, Disposition: wasabiridge.NotRun})
 		return
 	}
 	time.Sleep(h.span(200 * time.Millisecond))
@@ -233,7 +233,7 @@
 	if h.chance(0.2) {
 		result.Disposition = wasabiridge.MaybeRun
 	}
-	_ = r.keeper.Finish(r.ctx, result)
+	_ = r.controller.Finish(r.ctx, result)
 }
 
 // caller sends a request with one key several times, at once or late, to one router
@@ -242,7 +242,7 @@
 	text := fmt.Sprintf("visit %d", key)
 	time.Sleep(h.span(historySpan / 2))
 	if key%2 == 0 {
-		text = pick().keeper.Ticket("lifts")
+		text = pick().controller.Ticket("lifts")
 	}
 	var wg sync.WaitGroup
 	for i := range 6 {
@@ -274,7 +274,7 @@
 	h := &history{
 		seed: seed, sendUnknown: sendUnknown, clock: clock,
 		table:  wasabitable.NewMemory(wasabitable.MemoryOptions{Clock: clock, Plan: faults(seed)}),
-		net:    &network{keepers: map[string]*wasabiclaim.Keeper{}},
+		net:    &network{controllers: map[string]*wasabiclaim.Controller{}},
 		rng:    rand.New(rand.NewPCG(seed, 1)),
 		counts: map[wasabiridge.ClaimState]int{},
 	}
--- a/internal/wasabiclaim/issuer.go
+++ b/internal/wasabiclaim/issuer.go
@@ -23,7 +23,7 @@
 	peerTimeout = 2 * time.Second
 )
 
-func (k *Keeper) claimTicket(ctx context.Context, q wasabiridge.ClaimQuery) (wasabiridge.ClaimOutcome, error) {
+func (k *Controller) claimTicket(ctx context.Context, q wasabiridge.ClaimQuery) (wasabiridge.ClaimOutcome, error) {
 	t, err := decodeTicket(k.secret, q.Account, q.Key)
 	if err != nil {
 		// The ticket is forged, or was made with a secret that was changed
@@ -56,13 +56,13 @@
 	return out, nil
 }
 
-func (k *Keeper) decideTicket(t ticket, q wasabiridge.ClaimQuery) wasabiridge.ClaimOutcome {
+func (k *Controller) decideTicket(t ticket, q wasabiridge.ClaimQuery) wasabiridge.ClaimOutcome {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.tickets.claim(k.options.Clock.Now(), t, q)
 }
 
-func (k *Keeper) finishTicket(ctx context.Context, r wasabiridge.ClaimResult) error {
+func (k *Controller) finishTicket(ctx context.Context, r wasabiridge.ClaimResult) error {
 	t, err := decodeTicket(k.secret, r.Query.Account, r.Query.Key)
 	if err != nil {
 		return err
@@ -77,13 +77,13 @@
 	return nil
 }
 
-func (k *Keeper) endTicket(t ticket, r wasabiridge.ClaimResult) {
+func (k *Controller) endTicket(t ticket, r wasabiridge.ClaimResult) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.tickets.finish(k.options.Clock.Now(), t, r)
 }
 
-func (k *Keeper) notifyIssuer(ctx context.Context, issuer wasabiridge.InstanceID, r wasabiridge.ClaimResult) error {
+func (k *Controller) notifyIssuer(ctx context.Context, issuer wasabiridge.InstanceID, r wasabiridge.ClaimResult) error {
 	address, ok := k.locate(issuer)
 	if !ok {
 		return wasabiridge.ErrUnavailable.New("claim: no peer address for ticket issuer %s", issuer)
@@ -93,7 +93,7 @@
 	return k.options.Peers.FinishClaim(ctx, address, r)
 }
 
-func (k *Keeper) deferFinish(r wasabiridge.ClaimResult) {
+func (k *Controller) deferFinish(r wasabiridge.ClaimResult) {
 	select {
 	case k.releases <- r:
 	default:
@@ -103,7 +103,7 @@
 
 // HandleClaim decides on a claim for a ticket that this instance issued. It
 // implements the method of wasabiridge.PeerHandler.
-func (k *Keeper) HandleClaim(_ context.Context, q wasabiridge.ClaimQuery) (wasabiridge.ClaimOutcome, error) {
+func (k *Controller) HandleClaim(_ context.Context, q wasabiridge.ClaimQuery) (wasabiridge.ClaimOutcome, error) {
 	t, err := decodeTicket(k.secret, q.Account, q.Key)
 	if err != nil {
 		return unknownNotSent(), nil
@@ -114,7 +114,7 @@
 // HandleFinishClaim records the end of a request whose ticket this instance
 // issued. It implements the method of wasabiridge.PeerHandler. It returns
 // ErrInvalid for a ticket that cannot be verified.
-func (k *Keeper) HandleFinishClaim(_ context.Context, r wasabiridge.ClaimResult) error {
+func (k *Controller) HandleFinishClaim(_ context.Context, r wasabiridge.ClaimResult) error {
 	t, err := decodeTicket(k.secret, r.Query.Account, r.Query.Key)
 	if err != nil {
 		return err
@@ -125,7 +125,7 @@
 
 // release sends queued ends to the issuers of their tickets until the context
 // ends.
-func (k *Keeper) release(ctx context.Context) {
+func (k *Controller) release(ctx context.Context) {
 	for {
 		select {
 		case r := <-k.releases:
@@ -136,7 +136,7 @@
 	}
 }
 
-func (k *Keeper) releaseOne(ctx context.Context, r wasabiridge.ClaimResult) {
+func (k *Controller) releaseOne(ctx context.Context, r wasabiridge.ClaimResult) {
 	t, err := decodeTicket(k.secret, r.Query.Account, r.Query.Key)
 	if err != nil {
 		return
--- a/internal/wasabiclaim/keeper.go
+++ b/internal/wasabiclaim/keeper.go
@@ -38,35 +38,35 @@
 	Table  wasabiridge.Table
 	Peers  wasabiridge.PeerClient
 	Clock  wasabiridge.Clock
-	// Members returns the instances in the membership view. Keeper uses the peer
+	// Members returns the instances in the membership view. Controller uses the peer
 	// addresses of ticket issuers, the number of instances that share the table's
 	// writes, and the incarnations, by which it recognises that a holder has
 	// restarted. Without Members and Peers only tickets of this instance are
 	// decided; the outcome of others is unknown.
 	Members func() []wasabiridge.Member
-	// Locate returns the peer address of an instance, and InstanceCount the number of
-	// instances. They replace Members for these uses. Both may be nil.
-	Locate    func(wasabiridge.InstanceID) (string, bool)
-	Instances func() int
-	// AgreedNow returns a time that is no earlier than any time received from
+	// PeerAddress returns the peer address of an instance, and InstanceCount the number
+	// of instances. They replace Members for these uses. Both may be nil.
+	PeerAddress   func(wasabiridge.InstanceID) (string, bool)
+	InstanceCount func() int
+	// LogicalTime returns a time that is no earlier than any time received from
 	// other instances, such as the hybrid time of the timeline. It prevents the
 	// retention of rows from ending early when the clock of this instance is
 	// behind. With nil only the write times of rows are used for that.
-	AgreedNow func() wasabiridge.Millis
-	// SweepEvery is the interval between two sweeps of rows whose retention is
+	LogicalTime func() wasabiridge.Millis
+	// SweepInterval is the interval between two sweeps of rows whose retention is
 	// over. One instance sweeps for all. Zero means one hour, and a negative value
 	// disables sweeps.
-	SweepEvery wasabiridge.Millis
+	SweepInterval wasabiridge.Millis
 	// Recorder receives timeline events. With nil none are recorded.
 	Recorder wasabiridge.Recorder
 	Limits   Limits
 }
 
-// Keeper implements wasabiridge.Claimer and wasabiridge.ClaimGate. It is safe
+// Controller implements wasabiridge.Claimer and wasabiridge.ClaimGate. It is safe
 // for concurrent use. Claims by row are decided only while Run is running. Claims
 // by ticket need Run only to send releases to issuers that could not be reached at
 // first.
-type Keeper struct {
+type Controller struct {
 	options Options
 	secret  []byte
 
@@ -93,8 +93,8 @@
 }
 
 var (
-	_ wasabiridge.Claimer   = (*Keeper)(nil)
-	_ wasabiridge.ClaimGate = (*Keeper)(nil)
+	_ wasabiridge.Claimer   = (*Controller)(nil)
+	_ wasabiridge.ClaimGate = (*Controller)(nil)
 )
 
 // message is an event from a caller. For a claim, reply receives the outcome of the
@@ -106,13 +106,13 @@
 }
 
 // New returns a Controller without claims.
-func New(o Options) *Keeper {
+func New(o Options) *Controller {
 	o.Limits = o.Limits.withDefaults()
-	if o.SweepEvery == 0 {
-		o.SweepEvery = wasabiridge.Hour
+	if o.SweepInterval == 0 {
+		o.SweepInterval = wasabiridge.Hour
 	}
 	issuer := ticket{Instance: o.Self, Incarnation: o.Incarnation, Nonce: randomNonce()}
-	return &Keeper{
+	return &Controller{
 		options:  o,
 		secret:   append([]byte(nil), o.Secret...),
 		tickets:  newTicketMachine(issuer, o.Limits),
@@ -134,7 +134,7 @@
 
 // Ticket issues a new key for the client account. Claims with it are decided by
 // this instance without a write.
-func (k *Keeper) Ticket(account wasabiridge.ClientAccountID) string {
+func (k *Controller) Ticket(account wasabiridge.ClientAccountID) string {
 	k.mu.Lock()
 	t := k.tickets.issue(k.options.Clock.Now())
 	k.mu.Unlock()
@@ -147,7 +147,7 @@
 // Every call claims under an identifier of its own. The release of an earlier,
 // abandoned call may still be in flight to an issuer; it must never release what a
 // later call for the same request was granted.
-func (k *Keeper) Claim(ctx context.Context, q wasabiridge.ClaimQuery) (wasabiridge.ClaimOutcome, error) {
+func (k *Controller) Claim(ctx context.Context, q wasabiridge.ClaimQuery) (wasabiridge.ClaimOutcome, error) {
 	request := q.Request
 	q.Holder, q.Incarnation = k.options.Self, k.options.Incarnation
 	call := k.calls.Add(1)
@@ -169,20 +169,20 @@
 // BeginSend must be called right before the first byte of a claimed request is
 // sent. It returns ErrConflict when the request holds no claim, or no longer; then
 // it must not be sent.
-func (k *Keeper) BeginSend(request wasabiridge.RequestID) error {
+func (k *Controller) BeginSend(request wasabiridge.RequestID) error {
 	return k.gate.countSend(request)
 }
 
 // RecordNotRun records that the last send of the request did not run, as reported
 // by its backend server.
-func (k *Keeper) RecordNotRun(request wasabiridge.RequestID) {
+func (k *Controller) RecordNotRun(request wasabiridge.RequestID) {
 	k.gate.uncountSend(request)
 }
 
 // Finish records the end of a granted request. It returns ErrConflict when the
 // request holds no claim. It may return before the end is written to the table;
 // Drain waits for that.
-func (k *Keeper) Finish(ctx context.Context, r wasabiridge.ClaimResult) error {
+func (k *Controller) Finish(ctx context.Context, r wasabiridge.ClaimResult) error {
 	r.Query.Holder, r.Query.Incarnation = k.options.Self, k.options.Incarnation
 	held := k.gate.close(r.Query.Request)
 	if held == nil {
@@ -198,7 +198,7 @@
 	return k.post(context.WithoutCancel(ctx), message{event: claimEnded{Result: r}})
 }
 
-func (k *Keeper) claimRow(ctx context.Context, call uint64, q wasabiridge.ClaimQuery) (wasabiridge.ClaimOutcome, error) {
+func (k *Controller) claimRow(ctx context.Context, call uint64, q wasabiridge.ClaimQuery) (wasabiridge.ClaimOutcome, error) {
 	m := message{call: call, reply: make(chan wasabiridge.ClaimOutcome, 1)}
 	m.event = claimRequested{Call: claimCall{number: m.call, query: q}}
 	if err := k.post(ctx, m); err != nil {
@@ -223,7 +223,7 @@
 	return unknownNotSent(), nil
 }
 
-func (k *Keeper) post(ctx context.Context, m message) error {
+func (k *Controller) post(ctx context.Context, m message) error {
 	k.posted.Add(1)
 	select {
 	case k.inbox <- m:
@@ -235,7 +235,7 @@
 	return wasabiridge.ErrUnavailable.New("claim: queue for claims by row is full, or Run has ended")
 }
 
-func (k *Keeper) record(r wasabiridge.RequestID, a wasabiridge.ClientAccountID, out wasabiridge.ClaimOutcome) {
+func (k *Controller) record(r wasabiridge.RequestID, a wasabiridge.ClientAccountID, out wasabiridge.ClaimOutcome) {
 	if k.options.Recorder == nil {
 		return
 	}
--- a/internal/wasabiclaim/keeper_test.go
+++ b/internal/wasabiclaim/keeper_test.go
@@ -22,7 +22,7 @@
 // of a cluster.
 type booking struct {
 	*cluster
-	a, b *wasabiclaim.Keeper
+	a, b *wasabiclaim.Controller
 	key  string
 	// claims is the number of requests so far, and last the query that was granted
 	// last.
@@ -31,13 +31,13 @@
 }
 
 // claim claims the key for a new request and expects the state.
-func (b *booking) claim(k *wasabiclaim.Keeper, want wasabiridge.ClaimState) wasabiridge.ClaimOutcome {
+func (b *booking) claim(k *wasabiclaim.Controller, want wasabiridge.ClaimState) wasabiridge.ClaimOutcome {
 	GinkgoHelper()
 	return b.claimDigest(k, 7, want)
 }
 
 // claimDigest is claim for a request body with another digest.
-func (b *booking) claimDigest(k *wasabiclaim.Keeper, digest uint64, want wasabiridge.ClaimState) wasabiridge.ClaimOutcome {
+func (b *booking) claimDigest(k *wasabiclaim.Controller, digest uint64, want wasabiridge.ClaimState) wasabiridge.ClaimOutcome {
 	GinkgoHelper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -56,7 +56,7 @@
 }
 
 // eventually claims with new requests until the state is returned.
-func (b *booking) eventually(k *wasabiclaim.Keeper, want wasabiridge.ClaimState) {
+func (b *booking) eventually(k *wasabiclaim.Controller, want wasabiridge.ClaimState) {
 	GinkgoHelper()
 	Eventually(func(g Gomega) {
 		b.claims++
@@ -70,14 +70,14 @@
 	}).WithTimeout(10 * time.Second).Should(Succeed())
 }
 
-func (b *booking) finish(k *wasabiclaim.Keeper, d wasabiridge.Disposition) {
+func (b *booking) finish(k *wasabiclaim.Controller, d wasabiridge.Disposition) {
 	GinkgoHelper()
 	answer := wasabiridge.Answer{Status: 201, Body: []byte("van 4")}
 	Expect(k.Finish(context.Background(), wasabiridge.ClaimResult{Query: b.last, Disposition: d, Answer: answer})).To(Succeed())
 	b.drain(k)
 }
 
-func (b *booking) drain(k *wasabiclaim.Keeper) {
+func (b *booking) drain(k *wasabiclaim.Controller) {
 	GinkgoHelper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -95,7 +95,7 @@
 	"a repeat after the answer gets the first answer": func(b *booking) {
 		b.claim(b.b, wasabiridge.ClaimGranted)
 		b.finish(b.b, wasabiridge.Ran)
-		for _, k := range []*wasabiclaim.Keeper{b.a, b.b} {
+		for _, k := range []*wasabiclaim.Controller{b.a, b.b} {
 			Expect(b.claim(k, wasabiridge.ClaimAnswered).Answer.Body).To(Equal([]byte("van 4")))
 		}
 	},
--- a/internal/wasabiclaim/members.go
+++ b/internal/wasabiclaim/members.go
@@ -25,7 +25,7 @@
 }
 
 // members returns the instances in the membership view, or nil without one.
-func (k *Keeper) members() []wasabiridge.Member {
+func (k *Controller) members() []wasabiridge.Member {
 	if k.options.Members == nil {
 		return nil
 	}
@@ -34,9 +34,9 @@
 
 // instances returns the number of instances that share the table's writes, this
 // one included.
-func (k *Keeper) instances(members []wasabiridge.Member) int {
-	if k.options.Instances != nil {
-		return k.options.Instances()
+func (k *Controller) instances(members []wasabiridge.Member) int {
+	if k.options.InstanceCount != nil {
+		return k.options.InstanceCount()
 	}
 	n := 1
 	for _, m := range members {
@@ -49,12 +49,12 @@
 
 // locate returns the peer address of a ticket's issuer. Without a peer client there
 // is none, so that only the tickets of this instance are decided.
-func (k *Keeper) locate(issuer wasabiridge.InstanceID) (string, bool) {
+func (k *Controller) locate(issuer wasabiridge.InstanceID) (string, bool) {
 	if k.options.Peers == nil {
 		return "", false
 	}
-	if k.options.Locate != nil {
-		return k.options.Locate(issuer)
+	if k.options.PeerAddress != nil {
+		return k.options.PeerAddress(issuer)
 	}
 	for _, m := range k.members() {
 		if m.ID == issuer && m.PeerAddress != "" {
--- a/internal/wasabiclaim/rowmachine.go
+++ b/internal/wasabiclaim/rowmachine.go
@@ -111,7 +111,7 @@
 		incarnation: incarnation,
 		entries:     make(map[string]*rowEntry),
 		lastSent:    -wasabiridge.Day,
-		cached:      newAnswerRing(limits.KeptAnswers, limits.KeptBytes),
+		cached:      newAnswerRing(limits.MaxCachedAnswers, limits.MaxCachedBytes),
 		unsettled:   list.New(),
 	}
 	b.setInstances(1)
@@ -230,7 +230,7 @@
 // that the outcome is unknown, and nothing runs twice.
 func (b *rowMachine) addUnsettled(e *rowEntry) {
 	e.unsettled = b.unsettled.PushBack(e)
-	for b.unsettled.Len() > b.limits.Unsettled {
+	for b.unsettled.Len() > b.limits.MaxUnsettled {
 		oldest := b.unsettled.Front().Value.(*rowEntry)
 		b.dropped++
 		b.refuseWaiters(oldest)
--- a/internal/wasabiclaim/run.go
+++ b/internal/wasabiclaim/run.go
@@ -11,7 +11,7 @@
 // Run decides on claims by row, sends queued releases and sweeps rows until the
 // context ends. It must be called once. It returns after all goroutines that it
 // started have ended.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Controller) Run(ctx context.Context) {
 	jobs := make(chan rowEffect, jobsSize)
 	commits := make(chan rowEffect, 1)
 	var wg sync.WaitGroup
@@ -37,7 +37,7 @@
 
 // decide owns the row machine: it passes events to it and its effects on until the
 // context ends.
-func (k *Keeper) decide(ctx context.Context, commits, jobs chan<- rowEffect) {
+func (k *Controller) decide(ctx context.Context, commits, jobs chan<- rowEffect) {
 	machine := newRowMachine(k.options.Self, k.options.Incarnation, k.options.Limits)
 	machine.handle(k.options.Clock.Now(), k.ticked())
 	waiting := make(map[uint64]chan wasabiridge.ClaimOutcome)
@@ -88,11 +88,11 @@
 
 // ticked returns the tick event for the row machine, with the current membership
 // and time, and updates the incarnations of the ticket machine.
-func (k *Keeper) ticked() rowTicked {
+func (k *Controller) ticked() rowTicked {
 	members := k.members()
 	t := rowTicked{Instances: k.instances(members), Incarnations: incarnationsOf(members)}
-	if k.options.AgreedNow != nil {
-		t.Agreed = k.options.AgreedNow()
+	if k.options.LogicalTime != nil {
+		t.Agreed = k.options.LogicalTime()
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -113,7 +113,7 @@
 // It returns ErrUnavailable when the context ends first. Repeats of requests whose
 // ends are not written are answered that the outcome is unknown, once this
 // instance is gone.
-func (k *Keeper) Drain(ctx context.Context) error {
+func (k *Controller) Drain(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
@@ -130,7 +130,7 @@
 
 // callTable executes effects on the table, one at a time, and passes on their
 // results.
-func (k *Keeper) callTable(ctx context.Context, jobs <-chan rowEffect) {
+func (k *Controller) callTable(ctx context.Context, jobs <-chan rowEffect) {
 	for {
 		var result rowEvent
 		select {
@@ -147,7 +147,7 @@
 	}
 }
 
-func (k *Keeper) execute(ctx context.Context, job rowEffect) rowEvent {
+func (k *Controller) execute(ctx context.Context, job rowEffect) rowEvent {
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
 	if c, ok := job.(commitBatch); ok {
--- a/internal/wasabiclaim/sweep.go
+++ b/internal/wasabiclaim/sweep.go
@@ -59,7 +59,7 @@
 // returns their number. One instance at a time should sweep; several do no harm.
 // The first pass of an instance deletes nothing: it computes the horizon from the
 // clocks of all writers.
-func (k *Keeper) Sweep(ctx context.Context) (int, error) {
+func (k *Controller) Sweep(ctx context.Context) (int, error) {
 	k.sweepMu.Lock()
 	defer k.sweepMu.Unlock()
 	deleted, after := 0, ""
@@ -94,8 +94,8 @@
 // sweepUnderLease sweeps periodically while this instance holds the lease for it.
 // Two instances that sweep at once delete the same rows and do no other harm, so a
 // sweep is not cancelled when the lease ends.
-func (k *Keeper) sweepUnderLease(ctx context.Context) {
-	if k.options.SweepEvery < 0 {
+func (k *Controller) sweepUnderLease(ctx context.Context) {
+	if k.options.SweepInterval < 0 {
 		return
 	}
 	lease := wasabilease.New(wasabilease.Options{
@@ -116,7 +116,7 @@
 		defer close(done)
 		lease.Run(ctx)
 	}()
-	ticker := time.NewTicker(k.options.SweepEvery.Duration())
+	ticker := time.NewTicker(k.options.SweepInterval.Duration())
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/wasabiclaim/ticketmachine.go
+++ b/internal/wasabiclaim/ticketmachine.go
@@ -99,7 +99,7 @@
 		issuer: issuer,
 		claims: make(map[uint64]*ticketClaim),
 		order:  list.New(),
-		cached: newAnswerRing(limits.KeptAnswers, limits.KeptBytes),
+		cached: newAnswerRing(limits.MaxCachedAnswers, limits.MaxCachedBytes),
 	}
 }
 
@@ -208,7 +208,7 @@
 // open adds a free claim for a ticket. It returns nil when Limits.MaxTickets claims
 // are remembered already; nothing ran under the ticket then.
 func (b *ticketMachine) open(t ticket) *ticketClaim {
-	if len(b.claims) >= b.limits.Tickets {
+	if len(b.claims) >= b.limits.MaxTickets {
 		return nil
 	}
 	c := &ticketClaim{serial: t.Serial, expires: t.Expires}
--- a/internal/wasabidaemon/components.go
+++ b/internal/wasabidaemon/components.go
@@ -59,7 +59,7 @@
 	backendEvents *wasabibackend.Ring
 	intake        *wasabibackend.Monitor
 	runner        *wasabibackend.Runner
-	claims        *wasabiclaim.Keeper
+	claims        *wasabiclaim.Controller
 	// quarantine blocks requests that crash the backend servers that run them.
 	quarantine *wasabiquarantine.Keeper
 	// quota enforces the limits of client accounts.
@@ -176,15 +176,15 @@
 		return
 	}
 	d.components.claims = wasabiclaim.New(wasabiclaim.Options{
-		Self:        d.options.Settings.Instance,
-		Incarnation: d.incarnation,
-		Secret:      d.ticketSecret(),
-		Table:       d.components.platform.Table,
-		Peers:       d.peerClient(),
-		Clock:       d.options.Clock,
-		Locate:      d.locate,
-		Instances:   func() int { return len(d.members()) + 1 },
-		Recorder:    d.components.timeline,
+		Self:          d.options.Settings.Instance,
+		Incarnation:   d.incarnation,
+		Secret:        d.ticketSecret(),
+		Table:         d.components.platform.Table,
+		Peers:         d.peerClient(),
+		Clock:         d.options.Clock,
+		PeerAddress:   d.locate,
+		InstanceCount: func() int { return len(d.members()) + 1 },
+		Recorder:      d.components.timeline,
 	})
 	d.options.Claimer = d.components.claims
 }
