--- a/internal/wasabiclient/call.go
+++ b/internal/wasabiclient/call.go
@@ -156,9 +156,9 @@
 	return started, err
 }
 
-// SteerRollout applies an action to a rollout: it pauses, resumes or rolls it
+// ApplyRolloutAction applies an action to a rollout: it pauses, resumes or rolls it
 // back. It returns the changed rollout.
-func (c *Client) SteerRollout(ctx context.Context, id, action string) (wasabiridge.Rollout, error) {
+func (c *Client) ApplyRolloutAction(ctx context.Context, id, action string) (wasabiridge.Rollout, error) {
 	var changed wasabiridge.Rollout
 	err := c.post(ctx, "/v1/rollouts/"+url.PathEscape(id)+"/"+action, nil, &changed)
 	return changed, err
--- a/internal/wasabiclient/client.go
+++ b/internal/wasabiclient/client.go
@@ -42,9 +42,9 @@
 var (
 	// ErrUnauthorized means that the router rejected the key.
 	ErrUnauthorized = wasabiridge.Errors.NewType("unauthorized")
-	// ErrNotBuilt means that the router does not implement the request, for
+	// ErrNotImplemented means that the router does not implement the request, for
 	// example because it runs without the component that handles it.
-	ErrNotBuilt = wasabiridge.Errors.NewType("not_built")
+	ErrNotImplemented = wasabiridge.Errors.NewType("not_built")
 	// ErrRouter means that a router returned an internal error, or an error code
 	// that this client does not know.
 	ErrRouter = wasabiridge.Errors.NewType("router")
@@ -56,9 +56,9 @@
 // in force at the router.
 var theirs = errorx.RegisterProperty("theirs")
 
-// Theirs returns the configuration with which a change was in conflict, if the
+// ConflictingConfig returns the configuration with which a change was in conflict, if the
 // error contains it.
-func Theirs(err error) (wasabioperator.DocumentBody, bool) {
+func ConflictingConfig(err error) (wasabioperator.DocumentBody, bool) {
 	value, found := errorx.ExtractProperty(err, theirs)
 	if !found {
 		return wasabioperator.DocumentBody{}, false
@@ -209,7 +209,7 @@
 	wasabioperator.CodeConflict:       wasabiridge.ErrConflict,
 	wasabioperator.CodeUnavailable:    wasabiridge.ErrUnavailable,
 	wasabioperator.CodeOutcomeUnknown: wasabiridge.ErrOutcomeUnknown,
-	wasabioperator.CodeNotImplemented: ErrNotBuilt,
+	wasabioperator.CodeNotImplemented: ErrNotImplemented,
 }
 
 // readError converts an error answer to an error. It returns ErrInvalid when the
--- a/internal/wasabicommand/config.go
+++ b/internal/wasabicommand/config.go
@@ -178,7 +178,7 @@
 // showConflict prints the version that another operator has put since the base
 // version, and the differences to the base.
 func (a *app) showConflict(ctx context.Context, client *wasabiclient.Client, base wasabiridge.ConfigVersion, conflict error) {
-	document, known := wasabiclient.Theirs(conflict)
+	document, known := wasabiclient.ConflictingConfig(conflict)
 	if !known {
 		return
 	}
--- a/internal/wasabicommand/rollout.go
+++ b/internal/wasabicommand/rollout.go
@@ -71,7 +71,7 @@
 		Example: "  wasabictl rollout " + action + " answers-12",
 		RunE: func(c *cobra.Command, args []string) error {
 			return a.rollout(c.Context(), func(ctx context.Context, s rolloutClient) (wasabiridge.Rollout, error) {
-				return s.SteerRollout(ctx, args[0], action)
+				return s.ApplyRolloutAction(ctx, args[0], action)
 			})
 		},
 	}
@@ -80,7 +80,7 @@
 // rolloutClient is the part of the client that the rollout commands use.
 type rolloutClient interface {
 	StartRollout(ctx context.Context, r wasabiridge.Rollout) (wasabiridge.Rollout, error)
-	SteerRollout(ctx context.Context, id, action string) (wasabiridge.Rollout, error)
+	ApplyRolloutAction(ctx context.Context, id, action string) (wasabiridge.Rollout, error)
 }
 
 func (a *app) rollout(ctx context.Context, do func(context.Context, rolloutClient) (wasabiridge.Rollout, error)) error {
