--- a/examples/config/main.go
+++ b/examples/config/main.go
@@ -32,7 +32,7 @@
 
 func main() {
 	clock := wasabiclock.System()
-	controller := wasabiconfig.NewKeeper(wasabiconfig.Options{
+	controller := wasabiconfig.NewController(wasabiconfig.Options{
 		Self: "pos-1", Incarnation: 1, Clock: clock, Membership: noPeers{},
 		Table:   wasabitable.NewMemory(wasabitable.MemoryOptions{Clock: clock}),
 		Adopted: func(cfg wasabiridge.Config) { fmt.Printf("in force: version %d\n", cfg.Version) },
@@ -46,7 +46,7 @@
 }
 
 // put sends an edit of version base and prints the outcome.
-func put(ctx context.Context, controller *wasabiconfig.Keeper, base wasabiridge.ConfigVersion, author, text string) {
+func put(ctx context.Context, controller *wasabiconfig.Controller, base wasabiridge.ConfigVersion, author, text string) {
 	version, err := controller.Put(ctx, base, []byte(text), author)
 	switch {
 	case errorx.IsOfType(err, wasabiridge.ErrConflict):
--- a/internal/wasabiconfig/config_test.go
+++ b/internal/wasabiconfig/config_test.go
@@ -150,7 +150,7 @@
 				body := rapid.SampledFrom([]string{text("a"), "broken"}).Draw(t, "text")
 				peer := rapid.SampledFrom([]string{"p", "q"}).Draw(t, "peer")
 				events := []wasabiconfig.Event{
-					wasabiconfig.Heard{Address: peer, Version: version},
+					wasabiconfig.VersionReceived{Address: peer, Version: version},
 					wasabiconfig.Fetched{Address: peer, Document: document(version, body)},
 					wasabiconfig.Fetched{Address: peer, Err: wasabiridge.ErrUnavailable.New("gone")},
 					wasabiconfig.TableRead{Document: document(version, body)},
@@ -177,11 +177,11 @@
 	It("keeps the old version when it cannot parse the new one", func() {
 		m := wasabiconfig.NewMachine(1)
 		m.Handle(0, wasabiconfig.Accepted{Document: document(1, text("a"))})
-		Expect(m.Handle(1, wasabiconfig.Heard{Address: "p", Version: 2})).To(ContainElement(BeAssignableToTypeOf(wasabiconfig.FetchFromPeer{})))
+		Expect(m.Handle(1, wasabiconfig.VersionReceived{Address: "p", Version: 2})).To(ContainElement(BeAssignableToTypeOf(wasabiconfig.FetchFromPeer{})))
 		Expect(m.Handle(2, wasabiconfig.Fetched{Address: "p", Document: document(2, `{"rulez": []}`)})).To(ContainElement(BeAssignableToTypeOf(wasabiconfig.Reject{})))
-		Expect(m.Handle(3, wasabiconfig.Heard{Address: "p", Version: 2})).To(BeEmpty())
+		Expect(m.Handle(3, wasabiconfig.VersionReceived{Address: "p", Version: 2})).To(BeEmpty())
 		Expect(m.Version()).To(BeEquivalentTo(1))
-		m.Handle(4, wasabiconfig.Heard{Address: "p", Version: 3})
+		m.Handle(4, wasabiconfig.VersionReceived{Address: "p", Version: 3})
 		m.Handle(5, wasabiconfig.Fetched{Address: "p", Document: document(3, text("b"))})
 		Expect(m.Version()).To(BeEquivalentTo(3))
 	})
--- a/internal/wasabiconfig/event.go
+++ b/internal/wasabiconfig/event.go
@@ -9,8 +9,8 @@
 // file.
 type Effect interface{ isEffect() }
 
-// Heard reports the version in force at a peer.
-type Heard struct {
+// VersionReceived reports the version in force at a peer.
+type VersionReceived struct {
 	Address string
 	Version wasabiridge.ConfigVersion
 }
@@ -33,20 +33,20 @@
 // instance.
 type Accepted struct{ Document wasabiridge.ConfigDocument }
 
-// Doubted reports that the outcome of a write by this instance is unknown, so that the
-// table should be read soon.
-type Doubted struct{}
+// OutcomeUnknown reports that the outcome of a write by this instance is unknown, so
+// that the table should be read soon.
+type OutcomeUnknown struct{}
 
 // Ticked reports the passage of time. Instances is the number of instances that share
 // the read budget of the table, including this one.
 type Ticked struct{ Instances int }
 
-func (Heard) isEvent()     {}
-func (Fetched) isEvent()   {}
-func (TableRead) isEvent() {}
-func (Accepted) isEvent()  {}
-func (Doubted) isEvent()   {}
-func (Ticked) isEvent()    {}
+func (VersionReceived) isEvent() {}
+func (Fetched) isEvent()         {}
+func (TableRead) isEvent()       {}
+func (Accepted) isEvent()        {}
+func (OutcomeUnknown) isEvent()  {}
+func (Ticked) isEvent()          {}
 
 // FetchFromPeer requests the configuration in force at a peer. One Fetched follows;
 // when it takes too long, the machine queries another peer.
--- a/internal/wasabiconfig/history_test.go
+++ b/internal/wasabiconfig/history_test.go
@@ -42,7 +42,7 @@
 	instances       = 5
 )
 
-// history runs complete keepers in a synctest bubble.
+// history runs complete controllers in a synctest bubble.
 type history struct {
 	*cluster
 	rng       *rand.Rand
@@ -63,9 +63,9 @@
 
 // process is one incarnation of an instance.
 type process struct {
-	keeper *wasabiconfig.Keeper
-	end    context.CancelFunc
-	gate   *gate
+	controller *wasabiconfig.Controller
+	end        context.CancelFunc
+	gate       *gate
 }
 
 // gate pauses a process: none of its calls is sent and none of their responses is
@@ -99,16 +99,16 @@
 	l := &process{gate: &gate{}}
 	var ctx context.Context
 	ctx, l.end = context.WithCancel(context.Background())
-	l.keeper = wasabiconfig.NewKeeper(wasabiconfig.Options{
+	l.controller = wasabiconfig.NewController(wasabiconfig.Options{
 		Self: wasabiridge.InstanceID(name), Incarnation: incarnation, Clock: h.clock, Seed: uint64(i) + uint64(incarnation),
 		Table: pausableTable{Table: h.startTable, gate: l.gate}, Peers: h, Membership: membershipView{cluster: h.cluster, self: name},
 		Adopted: func(cfg wasabiridge.Config) { h.adopted(name, cfg.Version) },
 	})
 	h.cluster.mu.Lock()
-	h.keepers[name] = l.keeper
+	h.controllers[name] = l.controller
 	h.cluster.mu.Unlock()
 	h.processes[i] = l
-	go l.keeper.Run(ctx)
+	go l.controller.Run(ctx)
 	go func() {
 		for ctx.Err() == nil {
 			time.Sleep(time.Second)
@@ -123,7 +123,7 @@
 func (h *history) adopted(name string, v wasabiridge.ConfigVersion) {
 	h.cluster.mu.Lock()
 	lowest := v
-	for other, k := range h.keepers {
+	for other, k := range h.controllers {
 		if other != name {
 			lowest = min(lowest, k.Version())
 		}
@@ -138,7 +138,7 @@
 }
 
 // put edits the version in force at an instance, after some time for thinking.
-func (h *history) put(k *wasabiconfig.Keeper, thinkTime time.Duration) {
+func (h *history) put(k *wasabiconfig.Controller, thinkTime time.Duration) {
 	base := k.Version()
 	time.Sleep(thinkTime)
 	h.mu.Lock()
@@ -163,7 +163,7 @@
 		time.AfterFunc(time.Duration(h.rng.Int64N(int64(3*time.Second))), func() { l.gate.stop(episode / 2) })
 	case operatorsRace:
 		for i := range instances {
-			go h.put(h.processes[i].keeper, time.Duration(h.rng.Int64N(int64(100*time.Millisecond))))
+			go h.put(h.processes[i].controller, time.Duration(h.rng.Int64N(int64(100*time.Millisecond))))
 		}
 	case routersRestart:
 		survivor := h.rng.IntN(instances)
@@ -176,7 +176,7 @@
 	}
 }
 
-// TestHistoriesNeverRevert runs complete keepers under each failure, alone, twice and
+// TestHistoriesNeverRevert runs complete controllers under each failure, alone, twice and
 // in pairs, while an operator edits.
 //
 // It guards against these failures: a changed rule reverts to its old form; an edit
@@ -258,13 +258,13 @@
 		}
 		time.Sleep(2 * time.Second)
 	}()
-	h.put(h.processes[0].keeper, 0)
+	h.put(h.processes[0].controller, 0)
 	for range episodes {
 		for _, failure := range together {
 			h.inject(failure)
 		}
 		for range editsPerEpisode {
-			go h.put(h.processes[h.rng.IntN(instances)].keeper, time.Duration(h.rng.Int64N(int64(time.Second))))
+			go h.put(h.processes[h.rng.IntN(instances)].controller, time.Duration(h.rng.Int64N(int64(time.Second))))
 			time.Sleep(episode / editsPerEpisode)
 		}
 		h.table.Faults().SetPlan(wasabifault.Plan{})
@@ -283,7 +283,7 @@
 	defer h.mu.Unlock()
 	found := h.reverts
 	report := func(format string, args ...any) { found = append(found, fmt.Sprintf(format, args...)) }
-	accepted, err := h.processes[0].keeper.History(context.Background(), 1000)
+	accepted, err := h.processes[0].controller.History(context.Background(), 1000)
 	if err != nil || len(accepted) == 0 {
 		report("no history: %v", err)
 		return found
@@ -299,8 +299,8 @@
 		versions[d.Author] = d.Version
 	}
 	for i, l := range h.processes {
-		if l.keeper.Version() != accepted[0].Version {
-			report("instance %d has version %d, not %d", i, l.keeper.Version(), accepted[0].Version)
+		if l.controller.Version() != accepted[0].Version {
+			report("instance %d has version %d, not %d", i, l.controller.Version(), accepted[0].Version)
 		}
 	}
 	for rule, answer := range h.puts {
--- a/internal/wasabiconfig/keeper.go
+++ b/internal/wasabiconfig/keeper.go
@@ -9,14 +9,14 @@
 //
 // # Usage
 //
-//	keeper := wasabiconfig.NewController(wasabiconfig.Options{
+//	controller := wasabiconfig.NewController(wasabiconfig.Options{
 //		Self: "pos-1", Incarnation: 17, Clock: clock, Table: table,
 //		Peers: peers, Membership: members,
 //		Adopted: func(cfg wasabiridge.Config) { decide(cfg) },
 //	})
-//	go keeper.Run(ctx)
-//	keeper.Heard(member)
-//	version, err := keeper.Put(ctx, base, text, "ana")
+//	go controller.Run(ctx)
+//	controller.Receive(member)
+//	version, err := controller.Put(ctx, base, text, "ana")
 package wasabiconfig
 
 import (
@@ -58,8 +58,8 @@
 	Table       wasabiridge.Table
 	Peers       wasabiridge.PeerClient
 	Membership  Membership
-	// Adopted is called by the goroutine of the keeper for each version that comes into
-	// force, in ascending order. It must not block for long.
+	// Adopted is called by the goroutine of the controller for each version that comes
+	// into force, in ascending order. It must not block for long.
 	Adopted func(cfg wasabiridge.Config)
 	Log     zerolog.Logger
 	// Seed makes the random choices differ between instances.
@@ -68,8 +68,8 @@
 	Sleep wasabifault.SleepFunc
 }
 
-// Keeper is a wasabiridge.ConfigController. It is safe for concurrent use.
-type Keeper struct {
+// Controller is a wasabiridge.ConfigController. It is safe for concurrent use.
+type Controller struct {
 	options Options
 	archive archive
 	// inbox carries events from callers and from calls in flight to the goroutine of
@@ -93,15 +93,15 @@
 	done  chan struct{}
 }
 
-var _ wasabiridge.ConfigController = (*Keeper)(nil)
+var _ wasabiridge.ConfigController = (*Controller)(nil)
 
-// NewKeeper returns a keeper without a configuration. Run starts it.
-func NewKeeper(o Options) *Keeper {
+// NewController returns a controller without a configuration. Run starts it.
+func NewController(o Options) *Controller {
 	writer := wasabitable.NewWriter(o.Table, wasabitable.WriterOptions{
 		Name:  fmt.Sprintf("%s/%d/config", o.Self, o.Incarnation),
 		Sleep: o.Sleep,
 	})
-	k := &Keeper{
+	k := &Controller{
 		options: o,
 		archive: archive{table: o.Table, writer: writer},
 		inbox:   make(chan delivery, inboxSize),
@@ -112,7 +112,7 @@
 }
 
 // Run drives the machine until the context ends. It is called once.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Controller) Run(ctx context.Context) {
 	defer close(k.ended)
 	machine := NewMachine(k.options.Seed)
 	ticker := time.NewTicker(tick)
@@ -137,7 +137,7 @@
 
 // carryOut executes an effect. At most one fetch and one table read of the machine are
 // waited for at a time, so the goroutines are few.
-func (k *Keeper) carryOut(ctx context.Context, e Effect) {
+func (k *Controller) carryOut(ctx context.Context, e Effect) {
 	switch e := e.(type) {
 	case FetchFromPeer:
 		go k.fetch(ctx, e.Address)
@@ -156,14 +156,14 @@
 	}
 }
 
-func (k *Keeper) fetch(ctx context.Context, address string) {
+func (k *Controller) fetch(ctx context.Context, address string) {
 	bounded, cancel := context.WithTimeout(ctx, maxFetchTimeout.Duration())
 	defer cancel()
 	d, err := k.options.Peers.FetchConfig(bounded, address)
 	k.deliver(ctx, Fetched{Address: address, Document: d, Err: err})
 }
 
-func (k *Keeper) readTable(ctx context.Context, have wasabiridge.ConfigVersion) {
+func (k *Controller) readTable(ctx context.Context, have wasabiridge.ConfigVersion) {
 	bounded, cancel := context.WithTimeout(ctx, readTimeout.Duration())
 	defer cancel()
 	d, err := k.archive.newer(bounded, have)
@@ -172,7 +172,7 @@
 
 // deliver enqueues an event and waits until it was handled, or until Run or the context
 // ends.
-func (k *Keeper) deliver(ctx context.Context, e Event) {
+func (k *Controller) deliver(ctx context.Context, e Event) {
 	d := delivery{event: e, done: make(chan struct{})}
 	select {
 	case k.inbox <- d:
@@ -188,28 +188,28 @@
 	}
 }
 
-// Heard receives the version in force at another instance. It never blocks.
-func (k *Keeper) Heard(m wasabiridge.Member) {
+// Receive receives the version in force at another instance. It never blocks.
+func (k *Controller) Receive(m wasabiridge.Member) {
 	if m.Config <= k.Version() {
 		return
 	}
 	select {
-	case k.inbox <- delivery{event: Heard{Address: m.PeerAddress, Version: m.Config}}:
+	case k.inbox <- delivery{event: VersionReceived{Address: m.PeerAddress, Version: m.Config}}:
 	default:
 	}
 }
 
 // Version returns the version in force at this instance, for heartbeats.
-func (k *Keeper) Version() wasabiridge.ConfigVersion { return k.current.Load().document.Version }
+func (k *Controller) Version() wasabiridge.ConfigVersion { return k.current.Load().document.Version }
 
 // Current returns the document and the configuration in force at this instance.
-func (k *Keeper) Current() (wasabiridge.ConfigDocument, wasabiridge.Config) {
+func (k *Controller) Current() (wasabiridge.ConfigDocument, wasabiridge.Config) {
 	s := k.current.Load()
 	return s.document, s.config
 }
 
 // HandleFetchConfig returns the configuration in force at this instance to a peer.
-func (k *Keeper) HandleFetchConfig(context.Context) (wasabiridge.ConfigDocument, error) {
+func (k *Controller) HandleFetchConfig(context.Context) (wasabiridge.ConfigDocument, error) {
 	d, _ := k.Current()
 	if d.Version == 0 {
 		return d, wasabiridge.ErrNotFound.New("no configuration is in force at this instance")
@@ -218,7 +218,7 @@
 }
 
 // Put checks a configuration as a whole and stores it as the successor of base.
-func (k *Keeper) Put(ctx context.Context, base wasabiridge.ConfigVersion, text []byte, author string) (wasabiridge.ConfigVersion, error) {
+func (k *Controller) Put(ctx context.Context, base wasabiridge.ConfigVersion, text []byte, author string) (wasabiridge.ConfigVersion, error) {
 	if len(text) > MaxText {
 		return 0, wasabiridge.ErrInvalid.New("configuration has %d bytes, more than %d", len(text), MaxText)
 	}
@@ -248,7 +248,7 @@
 // newest returns the newest known version. A table that was restored from a backup may
 // be behind the version in force. A successor of its head would then never come into
 // force at any instance, because versions only increase.
-func (k *Keeper) newest(h head) wasabiridge.ConfigDocument {
+func (k *Controller) newest(h head) wasabiridge.ConfigDocument {
 	if d, _ := k.Current(); d.Version > h.document.Version {
 		return d
 	}
@@ -257,9 +257,9 @@
 
 // explainFailure returns the error for a failed write. After a lost race it reads the
 // competing version.
-func (k *Keeper) explainFailure(ctx context.Context, base wasabiridge.ConfigVersion, err error) error {
+func (k *Controller) explainFailure(ctx context.Context, base wasabiridge.ConfigVersion, err error) error {
 	if errorx.IsOfType(err, wasabiridge.ErrOutcomeUnknown) {
-		k.deliver(ctx, Doubted{})
+		k.deliver(ctx, OutcomeUnknown{})
 		return wasabiridge.ErrOutcomeUnknown.Wrap(err, "version %d may have been accepted; check the history", base+1)
 	}
 	if !errorx.IsOfType(err, wasabiridge.ErrConflict) {
@@ -272,7 +272,7 @@
 	return k.conflict(ctx, base, h.document)
 }
 
-func (k *Keeper) conflict(ctx context.Context, base wasabiridge.ConfigVersion, newest wasabiridge.ConfigDocument) error {
+func (k *Controller) conflict(ctx context.Context, base wasabiridge.ConfigVersion, newest wasabiridge.ConfigDocument) error {
 	c := Conflict{Base: base, Version: newest.Version, Author: newest.Author, At: newest.At}
 	from, fromErr := k.document(ctx, base)
 	to, toErr := k.document(ctx, newest.Version)
@@ -282,7 +282,7 @@
 	return c.err()
 }
 
-func (k *Keeper) document(ctx context.Context, v wasabiridge.ConfigVersion) (wasabiridge.ConfigDocument, error) {
+func (k *Controller) document(ctx context.Context, v wasabiridge.ConfigVersion) (wasabiridge.ConfigDocument, error) {
 	if v == 0 {
 		return wasabiridge.ConfigDocument{}, nil
 	}
@@ -293,13 +293,13 @@
 }
 
 // History returns accepted documents, newest first.
-func (k *Keeper) History(ctx context.Context, limit int) ([]wasabiridge.ConfigDocument, error) {
+func (k *Controller) History(ctx context.Context, limit int) ([]wasabiridge.ConfigDocument, error) {
 	return k.archive.history(ctx, limit)
 }
 
 // Status returns the version in force at each instance according to the last
 // heartbeats, this instance first.
-func (k *Keeper) Status(context.Context) ([]wasabiridge.InstanceConfig, error) {
+func (k *Controller) Status(context.Context) ([]wasabiridge.InstanceConfig, error) {
 	status := []wasabiridge.InstanceConfig{{Instance: k.options.Self, Version: k.Version(), Reached: true}}
 	for _, m := range k.options.Membership.Members() {
 		status = append(status, wasabiridge.InstanceConfig{Instance: m.ID, Version: m.Config, Reached: !m.Suspect})
--- a/internal/wasabiconfig/keeper_test.go
+++ b/internal/wasabiconfig/keeper_test.go
@@ -16,34 +16,34 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabitable"
 )
 
-// cluster connects keepers in one process. It is the PeerClient of all of them.
+// cluster connects controllers in one process. It is the PeerClient of all of them.
 type cluster struct {
 	wasabiridge.PeerClient
 	table *wasabitable.Memory
-	// startTable is the table that keepers use which are started from now on.
+	// startTable is the table that controllers use which are started from now on.
 	startTable wasabiridge.Table
 	clock      wasabiridge.Clock
 
-	mu      sync.Mutex
-	keepers map[string]*wasabiconfig.Keeper
-	ends    map[string]context.CancelFunc
+	mu          sync.Mutex
+	controllers map[string]*wasabiconfig.Controller
+	ends        map[string]context.CancelFunc
 }
 
 func newCluster() *cluster {
 	clock := wasabiclock.System()
 	table := wasabitable.NewMemory(wasabitable.MemoryOptions{Clock: clock})
-	return &cluster{table: table, startTable: table, clock: clock, keepers: map[string]*wasabiconfig.Keeper{}, ends: map[string]context.CancelFunc{}}
+	return &cluster{table: table, startTable: table, clock: clock, controllers: map[string]*wasabiconfig.Controller{}, ends: map[string]context.CancelFunc{}}
 }
 
-// start runs a keeper until the spec ends.
-func (m *cluster) start(name string, incarnation wasabiridge.Incarnation) *wasabiconfig.Keeper {
-	k := wasabiconfig.NewKeeper(wasabiconfig.Options{
+// start runs a controller until the spec ends.
+func (m *cluster) start(name string, incarnation wasabiridge.Incarnation) *wasabiconfig.Controller {
+	k := wasabiconfig.NewController(wasabiconfig.Options{
 		Self: wasabiridge.InstanceID(name), Incarnation: incarnation, Clock: m.clock,
 		Table: m.startTable, Peers: m, Membership: membershipView{cluster: m, self: name}, Seed: uint64(len(name)) + uint64(incarnation),
 		Sleep: func(ctx context.Context, _ wasabiridge.Millis) bool { return ctx.Err() == nil },
 	})
 	m.mu.Lock()
-	m.keepers[name] = k
+	m.controllers[name] = k
 	m.mu.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
 	DeferCleanup(cancel)
@@ -52,12 +52,12 @@
 	return k
 }
 
-// stop stops a keeper.
+// stop stops a controller.
 func (m *cluster) stop(name string) { m.ends[name]() }
 
 func (m *cluster) FetchConfig(ctx context.Context, address string) (wasabiridge.ConfigDocument, error) {
 	m.mu.Lock()
-	k := m.keepers[address]
+	k := m.controllers[address]
 	m.mu.Unlock()
 	return k.HandleFetchConfig(ctx)
 }
@@ -71,7 +71,7 @@
 	v.cluster.mu.Lock()
 	defer v.cluster.mu.Unlock()
 	var members []wasabiridge.Member
-	for name, k := range v.cluster.keepers {
+	for name, k := range v.cluster.controllers {
 		if name != v.self {
 			entry := wasabiridge.InstanceEntry{ID: wasabiridge.InstanceID(name), PeerAddress: name}
 			members = append(members, wasabiridge.Member{InstanceEntry: entry, Config: k.Version()})
@@ -80,14 +80,14 @@
 	return members
 }
 
-// Announce exchanges heartbeats with all keepers, in both directions.
+// Announce exchanges heartbeats with all controllers, in both directions.
 func (v membershipView) Announce(int) {
 	v.cluster.mu.Lock()
 	defer v.cluster.mu.Unlock()
-	self := v.cluster.keepers[v.self]
-	for name, k := range v.cluster.keepers {
-		k.Heard(wasabiridge.Member{InstanceEntry: wasabiridge.InstanceEntry{PeerAddress: v.self}, Config: self.Version()})
-		self.Heard(wasabiridge.Member{InstanceEntry: wasabiridge.InstanceEntry{PeerAddress: name}, Config: k.Version()})
+	self := v.cluster.controllers[v.self]
+	for name, k := range v.cluster.controllers {
+		k.Receive(wasabiridge.Member{InstanceEntry: wasabiridge.InstanceEntry{PeerAddress: v.self}, Config: self.Version()})
+		self.Receive(wasabiridge.Member{InstanceEntry: wasabiridge.InstanceEntry{PeerAddress: name}, Config: k.Version()})
 	}
 }
 
@@ -124,7 +124,7 @@
 	Expect(errorx.IsOfType(err, want)).To(BeTrue(), "%v", err)
 }
 
-var _ = Describe("The keeper", func() {
+var _ = Describe("The controller", func() {
 	It("puts a valid version in force at every instance and stores the history", func(ctx SpecContext) {
 		m := newCluster()
 		a, b := m.start("a", 1), m.start("b", 1)
@@ -171,12 +171,12 @@
 
 	It("lets exactly one of many racing operators win each version", func(ctx SpecContext) {
 		m := newCluster()
-		keepers := []*wasabiconfig.Keeper{m.start("a", 1), m.start("b", 1), m.start("c", 1)}
+		controllers := []*wasabiconfig.Controller{m.start("a", 1), m.start("b", 1), m.start("c", 1)}
 		wins := make(chan wasabiridge.ConfigVersion, 30)
 		var operators sync.WaitGroup
 		for i := range 30 {
 			operators.Go(func() {
-				version, err := keepers[i%3].Put(ctx, 0, []byte(text("race")), "ana")
+				version, err := controllers[i%3].Put(ctx, 0, []byte(text("race")), "ana")
 				if err == nil {
 					wins <- version
 				}
--- a/internal/wasabiconfig/machine.go
+++ b/internal/wasabiconfig/machine.go
@@ -46,7 +46,7 @@
 	rejected wasabiridge.ConfigVersion
 
 	// sources are peers known to have a newer version, the most recent first.
-	sources       []Heard
+	sources       []VersionReceived
 	fetching      string
 	fetchDeadline wasabiridge.Millis
 	fetchTimeouts int
@@ -80,7 +80,7 @@
 func (m *Machine) Handle(now wasabiridge.Millis, e Event) []Effect {
 	m.effects = m.effects[:0]
 	switch e := e.(type) {
-	case Heard:
+	case VersionReceived:
 		m.recordSource(e)
 	case Fetched:
 		m.fetched(e)
@@ -88,7 +88,7 @@
 		m.tableRead(now, e)
 	case Accepted:
 		m.adopt(e.Document)
-	case Doubted:
+	case OutcomeUnknown:
 		m.failures = 0
 		m.nextRead = now
 	case Ticked:
@@ -109,12 +109,12 @@
 
 // recordSource records a peer with a newer version before the earlier ones, which are
 // more likely to be unreachable.
-func (m *Machine) recordSource(h Heard) {
+func (m *Machine) recordSource(h VersionReceived) {
 	if !m.isCandidate(h.Version) {
 		return
 	}
 	m.dropSource(h.Address)
-	m.sources = append([]Heard{h}, m.sources...)
+	m.sources = append([]VersionReceived{h}, m.sources...)
 	if len(m.sources) > maxSources {
 		m.sources = m.sources[:maxSources]
 	}
@@ -139,7 +139,7 @@
 		return
 	}
 	source := m.sources[0]
-	m.sources = append(append([]Heard(nil), m.sources[1:]...), source)
+	m.sources = append(append([]VersionReceived(nil), m.sources[1:]...), source)
 	m.fetching = source.Address
 	m.fetchDeadline = now + m.currentFetchTimeout()
 	m.emit(FetchFromPeer{Address: m.fetching})
--- a/internal/wasabiconfig/spread_test.go
+++ b/internal/wasabiconfig/spread_test.go
@@ -147,7 +147,7 @@
 		case wasabimember.Reply:
 			reply = effect.Heartbeat
 		case wasabimember.Heard:
-			s.handle(i, wasabiconfig.Heard{Address: effect.Member.PeerAddress, Version: effect.Member.Config})
+			s.handle(i, wasabiconfig.VersionReceived{Address: effect.Member.PeerAddress, Version: effect.Member.Config})
 		}
 	}
 	return reply
--- a/internal/wasabidaemon/components.go
+++ b/internal/wasabidaemon/components.go
@@ -65,7 +65,7 @@
 	// quota enforces the limits of client accounts.
 	quota    *wasabiquota.Keeper
 	outcomes *wasabioutcome.Recorder
-	config   *wasabiconfig.Keeper
+	config   *wasabiconfig.Controller
 	rollouts *wasabirollout.Keeper
 	peers    peers
 	book     *wasabiaddress.Selector
@@ -228,7 +228,7 @@
 	if d.components.platform.Table == nil {
 		return
 	}
-	d.components.config = wasabiconfig.NewKeeper(wasabiconfig.Options{
+	d.components.config = wasabiconfig.NewController(wasabiconfig.Options{
 		Self:        d.options.Settings.Instance,
 		Incarnation: d.incarnation,
 		Clock:       d.options.Clock,
--- a/internal/wasabidaemon/peers.go
+++ b/internal/wasabidaemon/peers.go
@@ -139,7 +139,7 @@
 // configuration keeper. It must not block.
 func (d *Daemon) receiveMember(m wasabiridge.Member) {
 	if d.components.config != nil {
-		d.components.config.Heard(m)
+		d.components.config.Receive(m)
 	}
 }
 
