--- a/internal/wasabiconn/pool.go
+++ b/internal/wasabiconn/pool.go
@@ -50,43 +50,43 @@
 	// idleMargin is how long before the server's time-out an idle connection is
 	// closed. It covers the transit of a request.
 	idleMargin = 400 * wasabiridge.Millis(1)
-	// DefaultSilence is how long sent bytes or keep-alive probes may stay
+	// DefaultUserTimeout is how long sent bytes or keep-alive probes may stay
 	// unacknowledged before the system closes the connection. A network partition
 	// cannot be detected in any other way.
-	DefaultSilence = 3 * wasabiridge.Second
+	DefaultUserTimeout = 3 * wasabiridge.Second
 	// unusedIdle is how long a connection is kept on which nothing was ever sent.
 	// The server closes it long before.
 	unusedIdle = wasabiridge.Minute
 )
 
-// ErrFull is the type of the error that Get returns when Requirements.MaxConnections
-// connections are in use.
-var ErrFull = wasabiridge.ErrUnavailable.NewSubtype("full")
+// ErrLimitReached is the type of the error that Get returns when
+// Requirements.MaxConnections connections are in use.
+var ErrLimitReached = wasabiridge.ErrUnavailable.NewSubtype("full")
 
 // Options configure a Pool. Clock is required.
 type Options struct {
 	Clock wasabiridge.Clock
 	// DialTimeout bounds opening a connection. Zero means DefaultDialTimeout.
 	DialTimeout wasabiridge.Millis
-	// Silence is how long sent bytes or keep-alive probes may stay unacknowledged.
+	// UserTimeout is how long sent bytes or keep-alive probes may stay unacknowledged.
 	// Zero means DefaultUserTimeout.
-	Silence wasabiridge.Millis
+	UserTimeout wasabiridge.Millis
 }
 
-// Want describes the connection that a request needs. With the zero value any
+// Requirements describes the connection that a request needs. With the zero value any
 // connection will do.
-type Want struct {
-	// Limit bounds the connections to the address, idle ones included. Zero
+type Requirements struct {
+	// MaxConnections bounds the connections to the address, idle ones included. Zero
 	// means no limit.
-	Limit int
+	MaxConnections int
 	// MaxIdle is how long the connection may have been idle. Zero means any
 	// time. Requests that must run at most once need a short one: the server may
 	// have closed an idle connection without the pool having noticed, and then the
 	// request is lost.
 	MaxIdle wasabiridge.Millis
-	// Fresh requires a new connection, which shows that the server can be reached
+	// NewConnection requires a new connection, which shows that the server can be reached
 	// now.
-	Fresh bool
+	NewConnection bool
 }
 
 // Pool holds idle connections by address. It is safe for concurrent use.
@@ -114,13 +114,13 @@
 	if o.DialTimeout == 0 {
 		o.DialTimeout = DefaultDialTimeout
 	}
-	if o.Silence == 0 {
-		o.Silence = DefaultSilence
+	if o.UserTimeout == 0 {
+		o.UserTimeout = DefaultUserTimeout
 	}
 	p := &Pool{options: o, hosts: map[string]*host{}}
 	p.dialer = net.Dialer{
 		Timeout:         o.DialTimeout.Duration(),
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: max(1, int(o.Silence/wasabiridge.Second))},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: max(1, int(o.UserTimeout/wasabiridge.Second))},
 		Control:         p.setUserTimeout,
 	}
 	return p
@@ -131,7 +131,7 @@
 func (p *Pool) setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(p.options.Silence))
+		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(p.options.UserTimeout))
 	})
 	if err != nil {
 		return err
@@ -142,7 +142,7 @@
 // Get returns an idle or a new connection to an address, given as IP:port. It
 // returns ErrUnavailable when none can be opened, and its subtype ErrLimitReached when
 // the limit is reached; nothing was sent then. The caller must release the connection.
-func (p *Pool) Get(ctx context.Context, address string, w Want) (*Conn, error) {
+func (p *Pool) Get(ctx context.Context, address string, w Requirements) (*Conn, error) {
 	c, err := p.take(address, w)
 	if c != nil || err != nil {
 		return c, err
@@ -155,11 +155,11 @@
 	return newConn(p, address, raw), nil
 }
 
-// Reach reports whether an address can be reached. It checks an idle connection if
+// Probe reports whether an address can be reached. It checks an idle connection if
 // the pool has an open one, and otherwise opens a connection and keeps it. It sends
 // nothing.
-func (p *Pool) Reach(ctx context.Context, address string) bool {
-	c, err := p.Get(ctx, address, Want{})
+func (p *Pool) Probe(ctx context.Context, address string) bool {
+	c, err := p.Get(ctx, address, Requirements{})
 	if err != nil {
 		return false
 	}
@@ -169,7 +169,7 @@
 
 // take returns an idle connection. It returns nil when the caller must open a new
 // one, which is counted already.
-func (p *Pool) take(address string, w Want) (*Conn, error) {
+func (p *Pool) take(address string, w Requirements) (*Conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
@@ -182,7 +182,7 @@
 	}
 	now := p.options.Clock.Now()
 	h.dropExpired(now)
-	for !w.Fresh && len(h.idle) > 0 {
+	for !w.NewConnection && len(h.idle) > 0 {
 		c := h.idle[len(h.idle)-1]
 		if w.MaxIdle > 0 && now-c.idleSince > w.MaxIdle {
 			break
@@ -195,9 +195,9 @@
 		h.open--
 		c.close()
 	}
-	if w.Limit > 0 && h.open >= w.Limit {
+	if w.MaxConnections > 0 && h.open >= w.MaxConnections {
 		if len(h.idle) == 0 {
-			return nil, ErrFull.New("conn: all %d connections to %s are in use", w.Limit, address)
+			return nil, ErrLimitReached.New("conn: all %d connections to %s are in use", w.MaxConnections, address)
 		}
 		h.open--
 		h.idle[0].close()
@@ -265,9 +265,9 @@
 	}
 }
 
-// Drop closes the idle connections to an address. It is for a server that has left,
+// CloseIdle closes the idle connections to an address. It is for a server that has left,
 // or an address that another server has now.
-func (p *Pool) Drop(address string) {
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	h := p.hosts[address]
@@ -281,9 +281,9 @@
 	h.idle = nil
 }
 
-// Opened returns the number of new connections, including failed attempts, since
+// Dials returns the number of new connections, including failed attempts, since
 // the pool was created.
-func (p *Pool) Opened() uint64 {
+func (p *Pool) Dials() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.opened
--- a/internal/wasabiconn/pool_test.go
+++ b/internal/wasabiconn/pool_test.go
@@ -49,29 +49,29 @@
 		pool := wasabiconn.New(wasabiconn.Options{Clock: wasabiclock.System()})
 		DeferCleanup(pool.Close)
 		address := s.Addr().String()
-		reach := func() bool { return pool.Reach(context.Background(), address) }
+		reach := func() bool { return pool.Probe(context.Background(), address) }
 		for range 5 {
 			Expect(reach()).To(BeTrue())
 		}
-		Expect(pool.Opened()).To(BeEquivalentTo(1))
+		Expect(pool.Dials()).To(BeEquivalentTo(1))
 		var idle net.Conn
 		Eventually(s.accepted).Should(Receive(&idle))
 		Expect(idle.Close()).To(Succeed())
-		Eventually(func() uint64 { Expect(reach()).To(BeTrue()); return pool.Opened() }).Should(BeEquivalentTo(2))
+		Eventually(func() uint64 { Expect(reach()).To(BeTrue()); return pool.Dials() }).Should(BeEquivalentTo(2))
 		Eventually(s.accepted).Should(Receive(&idle))
 		Expect(s.Close()).To(Succeed())
 		Expect(idle.Close()).To(Succeed())
 		Eventually(reach).Should(BeFalse())
 	})
 
-	It("leaves a connection that Drop closes", func() {
+	It("leaves a connection that CloseIdle closes", func() {
 		s := listen("127.0.0.1:0")
-		pool := wasabiconn.New(wasabiconn.Options{Clock: wasabiclock.System(), Silence: wasabiridge.Second})
+		pool := wasabiconn.New(wasabiconn.Options{Clock: wasabiclock.System(), UserTimeout: wasabiridge.Second})
 		DeferCleanup(pool.Close)
-		Expect(pool.Reach(context.Background(), s.Addr().String())).To(BeTrue())
+		Expect(pool.Probe(context.Background(), s.Addr().String())).To(BeTrue())
 		var idle net.Conn
 		Eventually(s.accepted).Should(Receive(&idle))
-		pool.Drop(s.Addr().String())
+		pool.CloseIdle(s.Addr().String())
 		_, err := idle.Read(make([]byte, 1))
 		Expect(err).To(HaveOccurred())
 	})
--- a/internal/wasabikept/watch.go
+++ b/internal/wasabikept/watch.go
@@ -34,11 +34,11 @@
 
 // Reacher keeps a connection to each address that it has reached.
 type Reacher interface {
-	// Reach reports whether an address can be reached, through the open connection or
+	// Probe reports whether an address can be reached, through the open connection or
 	// through a new one.
-	Reach(ctx context.Context, address string) bool
-	// Drop closes the connection to an address, if there is one.
-	Drop(address string)
+	Probe(ctx context.Context, address string) bool
+	// CloseIdle closes the connection to an address, if there is one.
+	CloseIdle(address string)
 }
 
 // Options configures a Monitor. Both fields are required.
@@ -74,9 +74,9 @@
 	seen := make([]Seen, 0, len(stores))
 	for _, s := range stores {
 		listed[s.Address] = true
-		reachable := !active || w.options.Reacher.Reach(ctx, s.Address)
+		reachable := !active || w.options.Reacher.Probe(ctx, s.Address)
 		if !active {
-			w.options.Reacher.Drop(s.Address)
+			w.options.Reacher.CloseIdle(s.Address)
 		}
 		previous, known := w.reachable[s.Address]
 		w.reachable[s.Address] = reachable
@@ -84,7 +84,7 @@
 	}
 	for address := range w.reachable {
 		if !listed[address] {
-			w.options.Reacher.Drop(address)
+			w.options.Reacher.CloseIdle(address)
 			delete(w.reachable, address)
 		}
 	}
--- a/internal/wasabikept/watch_test.go
+++ b/internal/wasabikept/watch_test.go
@@ -28,25 +28,25 @@
 	return &network{idlePolls: idlePolls, down: map[string]bool{}, age: map[string]int{}}
 }
 
-// Reach implements wasabikept.Prober.
-func (n *network) Reach(_ context.Context, address string) bool {
+// Probe implements wasabikept.Prober.
+func (n *network) Probe(_ context.Context, address string) bool {
 	if n.down[address] {
-		n.Drop(address)
+		n.CloseIdle(address)
 		return false
 	}
 	if age, kept := n.age[address]; kept && age < n.idlePolls {
 		n.age[address]++
 		return true
 	}
-	n.Drop(address)
+	n.CloseIdle(address)
 	n.age[address] = 1
 	n.opened++
 	n.open++
 	return true
 }
 
-// Drop implements wasabikept.Prober.
-func (n *network) Drop(address string) {
+// CloseIdle implements wasabikept.Prober.
+func (n *network) CloseIdle(address string) {
 	if _, kept := n.age[address]; kept {
 		delete(n.age, address)
 		n.open--
--- a/internal/wasabinode/background.go
+++ b/internal/wasabinode/background.go
@@ -83,7 +83,7 @@
 	if !n.waitFor(ctx, wasabiridge.Day, n.hasConfig) {
 		return
 	}
-	pool := wasabiconn.New(wasabiconn.Options{Clock: n.options.Clock, DialTimeout: cacheStoreDialTimeout, Silence: cacheStoreAckTimeout})
+	pool := wasabiconn.New(wasabiconn.Options{Clock: n.options.Clock, DialTimeout: cacheStoreDialTimeout, UserTimeout: cacheStoreAckTimeout})
 	defer pool.Close()
 	settled := false
 	watch := wasabikept.New(wasabikept.Options{Reacher: pool, Active: func() bool { return settled && n.isActive() }})
