--- a/internal/wasabicontract/contract.go
+++ b/internal/wasabicontract/contract.go
@@ -21,8 +21,8 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabifault"
 )
 
-// ErrBroken is the type of errors for an implementation that violates the contract.
-var ErrBroken = wasabiridge.Errors.NewType("contract_broken")
+// ErrViolated is the type of errors for an implementation that violates the contract.
+var ErrViolated = wasabiridge.Errors.NewType("contract_broken")
 
 // Checks maps names to checks. A check returns nil, or an error of type ErrViolated.
 type Checks map[string]func(ctx context.Context) error
@@ -38,9 +38,9 @@
 	return names
 }
 
-// Script sets the fates of the next operations of the given kind on a subject: the fault
-// that is injected into each, if any.
-type Script func(op wasabifault.Op, fates ...wasabifault.Fate)
+// InjectFaults sets the fates of the next operations of the given kind on a subject:
+// the fault that is injected into each, if any.
+type InjectFaults func(op wasabifault.Op, fates ...wasabifault.Fate)
 
 // Specs registers a Ginkgo spec for each check. Call it inside a container node.
 func Specs(checks Checks) {
@@ -58,9 +58,9 @@
 func expectType(operation string, err error, want *errorx.Type) error {
 	switch {
 	case want == nil && err != nil:
-		return ErrBroken.Wrap(err, "%s failed", operation)
+		return ErrViolated.Wrap(err, "%s failed", operation)
 	case want != nil && !errorx.IsOfType(err, want):
-		return ErrBroken.New("%s: got error %v, want an error of type %s", operation, err, want)
+		return ErrViolated.New("%s: got error %v, want an error of type %s", operation, err, want)
 	}
 	return nil
 }
@@ -70,7 +70,7 @@
 	if ok {
 		return nil
 	}
-	return ErrBroken.New(format, args...)
+	return ErrViolated.New(format, args...)
 }
 
 // runSteps runs the steps in order until one fails, and returns its error.
--- a/internal/wasabicontract/list.go
+++ b/internal/wasabicontract/list.go
@@ -15,7 +15,7 @@
 	Set    func(e wasabiridge.InstanceEntry)
 	Remove func(id wasabiridge.InstanceID)
 	Wait   func()
-	Script Script
+	Script InjectFaults
 }
 
 // Instances returns the checks for wasabiridge.InstanceList. Fresh is called for each check
@@ -81,7 +81,7 @@
 	return func() error {
 		got, err := s.List.Instances(s.ctx)
 		if err != nil {
-			return ErrBroken.Wrap(err, "read of the instance list failed")
+			return ErrViolated.Wrap(err, "read of the instance list failed")
 		}
 		return expect(slices.Equal(got, want), "instance list: got %+v, want %+v", got, want)
 	}
--- a/internal/wasabicontract/object.go
+++ b/internal/wasabicontract/object.go
@@ -14,7 +14,7 @@
 // ObjectSubject is an empty object store under test.
 type ObjectSubject struct {
 	Store  wasabiridge.ObjectStore
-	Script Script
+	Script InjectFaults
 }
 
 // Objects returns the checks for wasabiridge.ObjectStore. Fresh is called for each check
@@ -93,7 +93,7 @@
 	return func() error {
 		data, err := s.Store.Get(s.ctx, name)
 		if err != nil {
-			return ErrBroken.Wrap(err, "read of %q failed", name)
+			return ErrViolated.Wrap(err, "read of %q failed", name)
 		}
 		return expect(bytes.Equal(data, want), "object %q: got %d bytes that differ from the %d bytes written", name, len(data), len(want))
 	}
@@ -103,7 +103,7 @@
 	return func() error {
 		names, err := s.Store.List(s.ctx, prefix, after, limit)
 		if err != nil {
-			return ErrBroken.Wrap(err, "list of %q failed", prefix)
+			return ErrViolated.Wrap(err, "list of %q failed", prefix)
 		}
 		return expect(slices.Equal(names, want), "list of %q after %q: got %q, want %q", prefix, after, names, want)
 	}
--- a/internal/wasabicontract/table.go
+++ b/internal/wasabicontract/table.go
@@ -13,7 +13,7 @@
 // TableSubject is an empty table under test.
 type TableSubject struct {
 	Table  wasabiridge.Table
-	Script Script
+	Script InjectFaults
 }
 
 // Table returns the checks for wasabiridge.Table without faults. Fresh is called for each
@@ -208,7 +208,7 @@
 	return func() error {
 		rows, err := t.Table.List(t.ctx, prefix, after, limit)
 		if err != nil {
-			return ErrBroken.Wrap(err, "list of %q failed", prefix)
+			return ErrViolated.Wrap(err, "list of %q failed", prefix)
 		}
 		ok := len(rows) == len(want)
 		for i := 0; ok && i < len(want); i++ {
--- a/internal/wasabicontract/weights.go
+++ b/internal/wasabicontract/weights.go
@@ -14,7 +14,7 @@
 type WeightSubject struct {
 	Store   wasabiridge.WeightStore
 	Publish func(ctx context.Context, m wasabiridge.ModelID, a wasabiridge.AdapterID, v wasabiridge.WeightsVersion) error
-	Script  Script
+	Script  InjectFaults
 }
 
 // Weights returns the checks for wasabiridge.WeightStore. Fresh is called for each check
