--- a/internal/wasabicore/attempt.go
+++ b/internal/wasabicore/attempt.go
@@ -67,7 +67,7 @@
 	if a == nil {
 		return
 	}
-	a.ended, a.serverEnded = true, e.ServerCrashed
+	a.ended, a.serverCrashed = true, e.ServerCrashed
 	if e.Result == wasabiridge.AttemptNotRun {
 		a.disposition = wasabiridge.NotRun
 	}
--- a/internal/wasabicore/quarantine.go
+++ b/internal/wasabicore/quarantine.go
@@ -2,7 +2,7 @@
 
 import "github.com/wasabiridge/wasabiridge"
 
-// standing returns the quarantine state of a request. It is checked before every
+// quarantineVerdict returns the quarantine state of a request. It is checked before every
 // dispatch: a first attempt, a retry, a resumption, a hedge, and the continuation of a
 // moved run. The transport never resends a request by itself, so no other dispatches
 // exist.
@@ -11,7 +11,7 @@
 // server after the other, by this instance or, after its caller repeats it, by another
 // instance, until all servers of the pool have terminated and the streams of all callers
 // are cut.
-func (c *Core) standing(now wasabiridge.Millis, rs *requestState) wasabiridge.QuarantineVerdict {
+func (c *Core) quarantineVerdict(now wasabiridge.Millis, rs *requestState) wasabiridge.QuarantineVerdict {
 	if c.options.Quarantine == nil {
 		return wasabiridge.QuarantineFree
 	}
@@ -28,7 +28,7 @@
 // refused. A blocked request gets no Retry-After time, because a repeat would be refused
 // as well.
 func (c *Core) refuseQuarantined(now wasabiridge.Millis, rs *requestState) bool {
-	switch c.standing(now, rs) {
+	switch c.quarantineVerdict(now, rs) {
 	case wasabiridge.QuarantineBlocked:
 		c.refuse(now, rs, wasabiridge.RefusedQuarantined, 0)
 	case wasabiridge.QuarantineDeferred:
@@ -42,7 +42,7 @@
 // isolation returns the fingerprint of a suspect request, for which the placer selects
 // the server that all instances use for this fingerprint. It returns zero for others.
 func (c *Core) isolation(now wasabiridge.Millis, rs *requestState) wasabiridge.Fingerprint {
-	if c.standing(now, rs) != wasabiridge.QuarantineSuspect {
+	if c.quarantineVerdict(now, rs) != wasabiridge.QuarantineSuspect {
 		return 0
 	}
 	return rs.request.Fingerprint
--- a/internal/wasabicore/quarantine_test.go
+++ b/internal/wasabicore/quarantine_test.go
@@ -11,11 +11,11 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabicore"
 )
 
-// fixedVerdict is a quarantine that reports the same standing for every request.
-type fixedVerdict struct{ standing wasabiridge.QuarantineVerdict }
+// fixedVerdict is a quarantine that returns the same verdict for every request.
+type fixedVerdict struct{ verdict wasabiridge.QuarantineVerdict }
 
 func (v *fixedVerdict) Check(wasabiridge.Millis, wasabiridge.Request) wasabiridge.QuarantineVerdict {
-	return v.standing
+	return v.verdict
 }
 
 func (*fixedVerdict) Sent(wasabiridge.Millis, wasabiridge.Request, wasabiridge.AttemptID, wasabiridge.BackendServer) {
@@ -68,13 +68,13 @@
 	for _, name := range slices.Sorted(maps.Keys(cases)) {
 		It(name, func() {
 			c := cases[name]
-			judge, limit := &fixedVerdict{standing: c.first}, &countingLimiter{}
-			core := wasabicore.New(wasabicore.Options{Placer: firstServer{}, Limiter: limit, Quarantine: judge})
+			check, limit := &fixedVerdict{verdict: c.first}, &countingLimiter{}
+			core := wasabicore.New(wasabicore.Options{Placer: firstServer{}, Limiter: limit, Quarantine: check})
 			core.Handle(0, wasabiridge.ConfigAdopted{Config: wasabiridge.Config{Version: 1, Pools: []wasabiridge.Pool{{
 				ID: "p", Backends: []wasabiridge.BackendServer{{ID: "e0"}, {ID: "e1"}, {ID: "e2"}, {ID: "e5"}},
 			}}}})
 			effects := withoutRecords(core.Handle(1, wasabiridge.RequestArrived{Request: request(c.action)}))
-			judge.standing = c.later
+			check.verdict = c.later
 			attempts := 0
 			for now := wasabiridge.Millis(2); ; now += 1000 {
 				Expect(effects).NotTo(BeEmpty())
--- a/internal/wasabicore/quota_test.go
+++ b/internal/wasabicore/quota_test.go
@@ -12,10 +12,10 @@
 )
 
 // countingQuota admits a fixed number of requests, and counts checks and charges.
-type countingQuota struct{ left, judged, charged int }
+type countingQuota struct{ left, checked, charged int }
 
 func (a *countingQuota) Check(wasabiridge.Millis, wasabiridge.Request) wasabiridge.QuotaVerdict {
-	a.judged++
+	a.checked++
 	a.left--
 	return wasabiridge.QuotaVerdict{Allowed: a.left >= 0, RetryAfter: 700}
 }
@@ -56,7 +56,7 @@
 					Request: "r", Attempt: first.Attempt, Backend: first.Backend.ID, Result: tc.result, Delivered: tc.delivered, Moved: tc.moved,
 				})
 			}
-			Expect(quota.judged).To(Equal(1))
+			Expect(quota.checked).To(Equal(1))
 			Expect(quota.charged).To(Equal(tc.charged))
 		})
 	}
--- a/internal/wasabicore/request.go
+++ b/internal/wasabicore/request.go
@@ -2,9 +2,9 @@
 
 import "github.com/wasabiridge/wasabiridge"
 
-// maxServerEnds is the number of backend servers that may terminate while running a
+// maxServerCrashes is the number of backend servers that may terminate while running a
 // request before the request is refused instead of sent to another server.
-const maxServerEnds = 2
+const maxServerCrashes = 2
 
 // requestState is the state of one open request.
 type requestState struct {
@@ -41,8 +41,8 @@
 	firstToken bool
 	// moved is set when the run continues at another server, with its KV cache.
 	moved bool
-	// serverEnded is set when the server terminated while it ran the attempt.
-	serverEnded bool
+	// serverCrashed is set when the server terminated while it ran the attempt.
+	serverCrashed bool
 }
 
 func (e *requestState) find(id wasabiridge.AttemptID) *attempt {
@@ -95,11 +95,11 @@
 func (e *requestState) serverEndsExhausted() bool {
 	n := 0
 	for i := range e.attempts {
-		if e.attempts[i].serverEnded {
+		if e.attempts[i].serverCrashed {
 			n++
 		}
 	}
-	return n >= maxServerEnds
+	return n >= maxServerCrashes
 }
 
 // attemptsExhausted reports whether the attempts that ran or may have run have
--- a/internal/wasabicore/timer.go
+++ b/internal/wasabicore/timer.go
@@ -124,7 +124,7 @@
 		return
 	}
 	pool, ok := c.config.Pool(rs.request.Action.Pool)
-	if !ok || c.standing(now, rs) != wasabiridge.QuarantineFree || !c.options.Limiter.MayRetry(now, rs.request) {
+	if !ok || c.quarantineVerdict(now, rs) != wasabiridge.QuarantineFree || !c.options.Limiter.MayRetry(now, rs.request) {
 		return
 	}
 	before := rs.excluded
