--- a/internal/wasabicost/cost.go
+++ b/internal/wasabicost/cost.go
@@ -32,7 +32,7 @@
 	// Tokens is the number of tokens to compute. Preceding is the number of tokens before
 	// them that the engine holds already. Each computed token attends to these and to
 	// the computed tokens before it.
-	Tokens, Behind int
+	Tokens, Preceding int
 }
 
 // factorCount is the number of factors of the model.
@@ -181,7 +181,7 @@
 }
 
 func (w Work) features() vector {
-	n, behind := float64(max(w.Tokens, 0)), float64(max(w.Behind, 0))
+	n, behind := float64(max(w.Tokens, 0)), float64(max(w.Preceding, 0))
 	return vector{fixed: 1, perToken: n / tokensUnit, perPair: n * (behind + n/2) / pairsUnit}
 }
 
--- a/internal/wasabicost/cost_test.go
+++ b/internal/wasabicost/cost_test.go
@@ -21,16 +21,16 @@
 
 func (e engine) takes(w wasabicost.Work) float64 {
 	n := float64(w.Tokens)
-	return e.fixed + e.perToken*n + e.perPair*n*(float64(w.Behind)+n/2)
+	return e.fixed + e.perToken*n + e.perPair*n*(float64(w.Preceding)+n/2)
 }
 
 // drawWork draws short prompts and some long ones, most of whose tokens are held
 // already.
 func drawWork(r *rand.Rand) wasabicost.Work {
 	if r.IntN(4) == 0 {
-		return wasabicost.Work{Tokens: 1000 + r.IntN(12000), Behind: r.IntN(16000)}
+		return wasabicost.Work{Tokens: 1000 + r.IntN(12000), Preceding: r.IntN(16000)}
 	}
-	return wasabicost.Work{Tokens: 100 + r.IntN(2500), Behind: r.IntN(600)}
+	return wasabicost.Work{Tokens: 100 + r.IntN(2500), Preceding: r.IntN(600)}
 }
 
 // engines covers the range of 20 to 400 tokens per millisecond.
@@ -56,7 +56,7 @@
 				}
 				costs.Observe(w, took)
 			}
-			for _, w := range []wasabicost.Work{{Tokens: 1800}, {Tokens: 6000, Behind: 5000}, {Tokens: 16000}} {
+			for _, w := range []wasabicost.Work{{Tokens: 1800}, {Tokens: 6000, Preceding: 5000}, {Tokens: 16000}} {
 				Expect(costs.FirstToken(w)).To(BeNumerically("~", e.takes(w), 0.3*e.takes(w)+15), "%+v", w)
 			}
 		})
@@ -91,12 +91,12 @@
 		costs := wasabicost.New()
 		for range rapid.IntRange(0, 60).Draw(t, "answers") {
 			costs.Observe(
-				wasabicost.Work{Tokens: rapid.IntRange(-5, 200000).Draw(t, "tokens"), Behind: rapid.IntRange(-5, 200000).Draw(t, "behind")},
+				wasabicost.Work{Tokens: rapid.IntRange(-5, 200000).Draw(t, "tokens"), Preceding: rapid.IntRange(-5, 200000).Draw(t, "behind")},
 				rapid.Float64Range(-1, 1e6).Draw(t, "took"))
 		}
 		last := 0.0
 		for tokens := 0; tokens < 50000; tokens += 5000 {
-			expected := costs.FirstToken(wasabicost.Work{Tokens: tokens, Behind: 100})
+			expected := costs.FirstToken(wasabicost.Work{Tokens: tokens, Preceding: 100})
 			if expected < last {
 				t.Fatalf("%d tokens: expected %f ms, but %f ms for fewer tokens", tokens, expected, last)
 			}
--- a/internal/wasabireplica/limiter.go
+++ b/internal/wasabireplica/limiter.go
@@ -118,7 +118,7 @@
 	if pl.isLight(pr) {
 		return lightWaitFactor * target
 	}
-	own := pr.costs.FirstToken(wasabicost.Work{Tokens: pr.own, Behind: pr.shared})
+	own := pr.costs.FirstToken(wasabicost.Work{Tokens: pr.own, Preceding: pr.shared})
 	return max(minWaitFactor*target, target/pl.overrun-own)
 }
 
--- a/internal/wasabireplica/observe.go
+++ b/internal/wasabireplica/observe.go
@@ -159,7 +159,7 @@
 	if !a.measuresCost || !a.prompt.engine || a.wait > maxWaitRatio*a.work {
 		return
 	}
-	work := wasabicost.Work{Tokens: a.prompt.tokens() - a.held, Behind: a.held}
+	work := wasabicost.Work{Tokens: a.prompt.tokens() - a.held, Preceding: a.held}
 	a.prompt.costs.Observe(work, float64(now-a.sent)-a.wait)
 }
 
--- a/internal/wasabireplica/prompt.go
+++ b/internal/wasabireplica/prompt.go
@@ -71,7 +71,7 @@
 // compute returns the time, in milliseconds, to compute tokens that follow behind
 // others.
 func (p *prompt) compute(tokens, behind int) float64 {
-	return p.costs.Compute(wasabicost.Work{Tokens: tokens, Behind: behind})
+	return p.costs.Compute(wasabicost.Work{Tokens: tokens, Preceding: behind})
 }
 
 func (p *prompt) tokens() int { return p.shared + p.own }
