--- a/internal/wasabidaemon/components.go
+++ b/internal/wasabidaemon/components.go
@@ -37,10 +37,10 @@
 	// eventRingSize is the number of events about backend servers that can wait
 	// for the decision loop. A full ring drops its oldest event and counts it.
 	eventRingSize = 4096
-	// eventStreams limits the cache event streams that are read. At the target
+	// maxEventStreams limits the cache event streams that are read. At the target
 	// size, an instance does not have the resources to read those of all
 	// replicas.
-	eventStreams = 64
+	maxEventStreams = 64
 	// instancesInterval is how often the number of instances is polled.
 	instancesInterval = time.Second
 	// secretBytes is the size of a generated secret that is not shared with other
@@ -91,7 +91,7 @@
 	}
 	p.backendEvents = wasabibackend.NewRing(eventRingSize)
 	p.intake = wasabibackend.NewMonitor(wasabibackend.MonitorOptions{
-		Clock: d.options.Clock, Ring: p.backendEvents, Seed: d.seed, MaxEventStreams: eventStreams,
+		Clock: d.options.Clock, Ring: p.backendEvents, Seed: d.seed, MaxEventStreams: maxEventStreams,
 	})
 	d.setUpClaims()
 	d.setUpOutcomes()
@@ -168,7 +168,7 @@
 	})
 }
 
-// setUpClaims creates the claim keeper, unless the options contain a claimer. It
+// setUpClaims creates the claim controller, unless the options contain a claimer. It
 // needs the platform's table; without a claimer, requests that must run at most
 // once are refused with the disposition not_run.
 func (d *Daemon) setUpClaims() {
@@ -222,7 +222,7 @@
 	})
 }
 
-// setUpConfig creates the keepers of the configuration and of rollouts, both of
+// setUpConfig creates the controllers of the configuration and of rollouts, both of
 // which are stored in the platform's table.
 func (d *Daemon) setUpConfig() {
 	if d.components.platform.Table == nil {
--- a/internal/wasabidaemon/crash_test.go
+++ b/internal/wasabidaemon/crash_test.go
@@ -41,7 +41,7 @@
 		}
 		first := startDaemon(wasabidaemon.Options{Settings: settings("pos-1")})
 		two := settings("pos-2")
-		two.Peer.Seeds = []wasabisettings.Seed{{Instance: "pos-1", Address: first.Entry().PeerAddress}}
+		two.Peer.Seeds = []wasabisettings.Seed{{Instance: "pos-1", Address: first.InstanceEntry().PeerAddress}}
 		second := startDaemon(wasabidaemon.Options{Settings: two})
 		Eventually(func() int { return len(addresses(first.URL()).Addresses) }, eventuallyTimeout).Should(Equal(2))
 		sendHarmless := func(d *wasabidaemon.Daemon) int {
--- a/internal/wasabidaemon/daemon.go
+++ b/internal/wasabidaemon/daemon.go
@@ -152,8 +152,8 @@
 	return d.caller.url
 }
 
-// Entry returns this instance as an entry of the platform's list of instances.
-func (d *Daemon) Entry() wasabiridge.InstanceEntry {
+// InstanceEntry returns this instance as an entry of the platform's list of instances.
+func (d *Daemon) InstanceEntry() wasabiridge.InstanceEntry {
 	return d.self()
 }
 
--- a/internal/wasabidaemon/listener.go
+++ b/internal/wasabidaemon/listener.go
@@ -39,15 +39,15 @@
 		return l, nil
 	}
 	l.url = strings.Replace(l.url, "http://", "https://", 1)
-	var keeper *wasabitls.Keeper
-	keeper, err = wasabitls.New(wasabitls.Options{
+	var controller *wasabitls.Keeper
+	controller, err = wasabitls.New(wasabitls.Options{
 		Files: *s.TLS, Clock: d.options.Clock, Log: wasabilog.Part(d.log, part), Protocols: []string{"h2", "http/1.1"},
 	})
 	if err != nil {
 		l.close()
 		return nil, err
 	}
-	l.socket = tls.NewListener(socket, keeper.Config())
+	l.socket = tls.NewListener(socket, controller.Config())
 	return l, nil
 }
 
--- a/internal/wasabidaemon/peers.go
+++ b/internal/wasabidaemon/peers.go
@@ -27,7 +27,7 @@
 	ready atomic.Bool
 }
 
-// setUpPeers opens the peer listener and creates the membership keeper. Without a
+// setUpPeers opens the peer listener and creates the membership controller. Without a
 // peer listener the membership view stays empty.
 func (d *Daemon) setUpPeers() error {
 	s := d.options.Settings
@@ -136,7 +136,7 @@
 }
 
 // receiveMember passes the state that another instance announced of itself to the
-// configuration keeper. It must not block.
+// configuration controller. It must not block.
 func (d *Daemon) receiveMember(m wasabiridge.Member) {
 	if d.components.config != nil {
 		d.components.config.Receive(m)
--- a/internal/wasabidaemon/peers_test.go
+++ b/internal/wasabidaemon/peers_test.go
@@ -49,8 +49,8 @@
 		two := settings("pos-2")
 		two.Platform = &platform
 		second, ended := runDaemon(wasabidaemon.Options{Settings: two})
-		standIn.Instances.Set(first.Entry())
-		standIn.Instances.Set(second.Entry())
+		standIn.Instances.Set(first.InstanceEntry())
+		standIn.Instances.Set(second.InstanceEntry())
 
 		text, err := os.ReadFile(writeConfig(engine))
 		Expect(err).NotTo(HaveOccurred())
@@ -68,7 +68,7 @@
 		server.Close()
 		three := settings("pos-3")
 		three.Platform = &platform
-		three.Peer.Seeds = []wasabisettings.Seed{{Instance: "pos-1", Address: first.Entry().PeerAddress}}
+		three.Peer.Seeds = []wasabisettings.Seed{{Instance: "pos-1", Address: first.InstanceEntry().PeerAddress}}
 		third := startDaemon(wasabidaemon.Options{Settings: three})
 		Eventually(serves(third), eventuallyTimeout).Should(BeTrue())
 	})
--- a/internal/wasabidemo/environment.go
+++ b/internal/wasabidemo/environment.go
@@ -146,7 +146,7 @@
 		return err
 	}
 	env.routers = append(env.routers, d)
-	env.standIn.Instances.Set(d.Entry())
+	env.standIn.Instances.Set(d.InstanceEntry())
 	go func() { env.ended <- d.Run() }()
 	return nil
 }
