--- a/cmd/wasabirouter/process_test.go
+++ b/cmd/wasabirouter/process_test.go
@@ -418,10 +418,10 @@
 		want := r.want("Why does the seat stop?", tokens)
 		for _, p := range r.routers {
 			r.eventuallyUses(p, r.engines...)
-			written := r.engines[0].Written() + r.engines[1].Written()
+			written := r.engines[0].WrittenTokens() + r.engines[1].WrittenTokens()
 			got := make(chan reply, 1)
 			go func() { got <- r.caller(0).stream(p.url(), "Why does the seat stop?", tokens) }()
-			Eventually(func() int { return r.engines[0].Written() + r.engines[1].Written() }, waitTimeout).Should(BeNumerically(">", written+10))
+			Eventually(func() int { return r.engines[0].WrittenTokens() + r.engines[1].WrittenTokens() }, waitTimeout).Should(BeNumerically(">", written+10))
 			crashing := r.engines[0]
 			if crashing.Load().Running == 0 {
 				crashing = r.engines[1]
@@ -444,7 +444,7 @@
 		r.routers[0].eventuallyLoses(other)
 		got := make(chan reply, 1)
 		go func() { got <- r.caller(0).stream(r.routers[0].url(), "Why does the seat stop?", tokens) }()
-		Eventually(crashing.Written, waitTimeout).Should(BeNumerically(">", 10))
+		Eventually(crashing.WrittenTokens, waitTimeout).Should(BeNumerically(">", 10))
 		Expect(other.Start("")).To(Succeed())
 		crashing.Crash()
 		var answer reply
@@ -464,7 +464,7 @@
 			ask := func() reply { return r.caller(0).stream(p.url(), manual, 4) }
 			Expect(ask().Code).To(BeEmpty())
 			Expect(ask().Cached).To(BeNumerically(">", 0), "the cache is warm")
-			r.engines[0].LoseEvents(100)
+			r.engines[0].DropEvents(100)
 			r.engines[0].Crash()
 			Expect(r.engines[0].Start("")).To(Succeed())
 			var got reply
@@ -480,20 +480,20 @@
 		r := newRig(rigOptions{routers: 3, engines: 2, spec: slowEngine, fromFile: true})
 		draining := r.engines[0]
 		l := r.startLoad(12, 0)
-		Eventually(draining.Served, waitTimeout).Should(BeNumerically(">", 3))
+		Eventually(draining.StartedAnswers, waitTimeout).Should(BeNumerically(">", 3))
 		began := time.Now()
-		draining.Leave()
+		draining.SetLeaving()
 		var last atomic.Int64
 		Eventually(func(g Gomega) {
-			served := draining.Served()
+			served := draining.StartedAnswers()
 			last.Store(time.Since(began).Milliseconds())
 			l.progress(24, 0)
-			g.Expect(draining.Served()).To(Equal(served))
+			g.Expect(draining.StartedAnswers()).To(Equal(served))
 		}, waitTimeout).Should(Succeed())
 		GinkgoWriter.Printf("no new requests after %d ms\n", last.Load())
-		served := draining.Served()
+		served := draining.StartedAnswers()
 		l.progress(60, 0)
-		Expect(draining.Served()).To(Equal(served))
+		Expect(draining.StartedAnswers()).To(Equal(served))
 		l.verify()
 		Expect(l.codes).To(BeEmpty())
 	})
--- a/cmd/wasabirouter/rig_test.go
+++ b/cmd/wasabirouter/rig_test.go
@@ -286,11 +286,11 @@
 	GinkgoHelper()
 	c := r.caller(0)
 	for _, e := range engines {
-		served, sent := e.Served(), 0
+		served, sent := e.StartedAnswers(), 0
 		Eventually(func() int {
 			sent++
 			c.stream(p.url(), fmt.Sprintf("Question %d", sent), 2)
-			return e.Served()
+			return e.StartedAnswers()
 		}, waitTimeout).Should(BeNumerically(">", served))
 	}
 }
--- a/cmd/wasabistandin/backend.go
+++ b/cmd/wasabistandin/backend.go
@@ -40,7 +40,7 @@
 	f.IntVar(&o.Spec.QueueLimit, "queue", 1024, "requests in the queue of the engine")
 	f.Int64Var((*int64)(&o.Spec.Prefill), "prefill-ms", 0, "time to compute one block of a prompt, in ms")
 	f.Int64Var((*int64)(&o.Spec.Decode), "decode-ms", 0, "time between two tokens of an idle engine, in ms")
-	f.Int64Var((*int64)(&o.LoadLag), "load-lag-ms", 0, "delay of load reports, in ms")
+	f.Int64Var((*int64)(&o.MaxLoadAge), "load-lag-ms", 0, "delay of load reports, in ms")
 	f.Int64Var((*int64)(&o.EventDelay), "event-delay-ms", 0, "delay of cache events, in ms")
 	f.Int64Var((*int64)(&o.LoadTime), "load-time-ms", int64(wasabiridge.Second), "time to load weights, in ms")
 	f.BoolVar(&o.IgnoresFencing, "ignores-fencing", false, "accept orders with any fencing number")
--- a/examples/timeline/main.go
+++ b/examples/timeline/main.go
@@ -119,7 +119,7 @@
 	go func() {
 		time.Sleep(400 * time.Millisecond)
 		for _, e := range engines {
-			if e.Written() > 0 {
+			if e.WrittenTokens() > 0 {
 				e.Crash()
 			}
 		}
--- a/internal/wasabibackend/failure_test.go
+++ b/internal/wasabibackend/failure_test.go
@@ -160,9 +160,9 @@
 		done := make(chan wasabiridge.AttemptEnded)
 		go func() { done <- runner.Run(context.Background(), long, s) }()
 		Eventually(blocked, eventuallyTimeout).Should(BeClosed())
-		Eventually(func() bool { n := e.Written(); time.Sleep(20 * time.Millisecond); return e.Written() == n }, eventuallyTimeout).
+		Eventually(func() bool { n := e.WrittenTokens(); time.Sleep(20 * time.Millisecond); return e.WrittenTokens() == n }, eventuallyTimeout).
 			Should(BeTrue(), "the engine waits for the reader")
-		Expect(e.Written()).To(BeNumerically("<", 90000), "the remaining tokens are not buffered in this process")
+		Expect(e.WrittenTokens()).To(BeNumerically("<", 90000), "the remaining tokens are not buffered in this process")
 		for range 5 {
 			ended, _ := run(runner, streamOf(e.Backend()))
 			Expect(ended.Result).To(Equal(wasabiridge.AttemptCompleted))
@@ -251,7 +251,7 @@
 		ended := newRunner(wasabibackend.Options{}).Run(ctx, streamOf(e.Backend()), s)
 		Expect(ended.Result).To(Equal(wasabiridge.AttemptCancelled))
 		Expect(ended.Delivered).To(Equal(3))
-		Eventually(e.Cancelled, 10*time.Second).Should(Equal(1), "the engine detected the cancellation")
+		Eventually(e.CancelledAnswers, 10*time.Second).Should(Equal(1), "the engine detected the cancellation")
 	})
 
 	It("is the result when the sink returns an error", func() {
--- a/internal/wasabibackend/intake_test.go
+++ b/internal/wasabibackend/intake_test.go
@@ -154,7 +154,7 @@
 		runner := newRunner(wasabibackend.Options{})
 		run(runner, blocksOf(e.Backend(), 0xa))
 		Eventually(n.sequences, eventuallyTimeout).Should(HaveLen(1))
-		e.LoseEvents(1)
+		e.DropEvents(1)
 		run(runner, blocksOf(e.Backend(), 0xb))
 		run(runner, blocksOf(e.Backend(), 0xc))
 		Eventually(n.sequences, eventuallyTimeout).Should(Equal([]uint64{1, 3}))
--- a/internal/wasabibackend/send_test.go
+++ b/internal/wasabibackend/send_test.go
@@ -132,7 +132,7 @@
 		ended, s := run(newRunner(wasabibackend.Options{}), a)
 		Expect(ended.Result).To(Equal(wasabiridge.AttemptNotRun))
 		Expect(s.sent).To(BeZero())
-		Expect(e.Served()).To(BeZero())
+		Expect(e.StartedAnswers()).To(BeZero())
 	},
 		Entry("body is not JSON", func(a *wasabiridge.Attempt) { a.Body = []byte(`{"cache_salt":"x",}`) }),
 		Entry("body is not an object", func(a *wasabiridge.Attempt) { a.Body = []byte(`[]`) }),
@@ -148,7 +148,7 @@
 		Expect(ended.Result).To(Equal(wasabiridge.AttemptNotRun))
 		Expect(ended.Usage.Weights).To(BeEquivalentTo(1))
 		Expect(s.status).To(BeZero())
-		Expect(e.Served()).To(BeZero())
+		Expect(e.StartedAnswers()).To(BeZero())
 	},
 		Entry("other weights", func(a *wasabiridge.Attempt) { a.Weights = 2 }),
 		Entry("another incarnation", func(a *wasabiridge.Attempt) { a.Incarnation = 9 }),
--- a/internal/wasabidaemon/crash_test.go
+++ b/internal/wasabidaemon/crash_test.go
@@ -55,7 +55,7 @@
 		}
 		crashes := 0
 		for _, e := range engines {
-			crashes += e.Ends()
+			crashes += e.CrashCount()
 		}
 		Expect(crashes).To(BeNumerically("<=", allowed+further))
 		Expect(last.StatusCode).To(Equal(http.StatusUnprocessableEntity))
--- a/internal/wasabidaemon/drain_test.go
+++ b/internal/wasabidaemon/drain_test.go
@@ -92,7 +92,7 @@
 				}
 			}()
 		}
-		Eventually(engine.Served).Should(BeNumerically(">=", 20))
+		Eventually(engine.StartedAnswers).Should(BeNumerically(">=", 20))
 		Expect(d.Drain(context.Background())).To(Succeed())
 		Expect(addresses(d.URL()).Addresses).To(HaveExactElements(HaveField("Zone", wasabiridge.AvailabilityZone("arima"))))
 		Expect(d.Drain(context.Background())).To(Succeed())
@@ -116,7 +116,7 @@
 		}})
 		result := make(chan bool, 1)
 		go func() { result <- streamComplete(http.DefaultClient, d.URL(), longStream) }()
-		Eventually(engine.Served).Should(Equal(1))
+		Eventually(engine.StartedAnswers).Should(Equal(1))
 		Expect(d.Drain(context.Background())).To(Succeed())
 		Eventually(ended, "10s").Should(Receive(MatchError(ContainSubstring("drain limit passed"))))
 		Eventually(result).Should(Receive(BeFalse()))
--- a/internal/wasabiengine/engine.go
+++ b/internal/wasabiengine/engine.go
@@ -46,9 +46,9 @@
 	Spec  wasabifake.Spec
 	Model wasabiridge.ModelID
 	Clock wasabiridge.Clock
-	// LoadLag is the maximum age of a load report. A report is served again
+	// MaxLoadAge is the maximum age of a load report. A report is served again
 	// until it is that old.
-	LoadLag wasabiridge.Millis
+	MaxLoadAge wasabiridge.Millis
 	// EventDelay is the delay before cache events are sent.
 	EventDelay wasabiridge.Millis
 	// LoadTime is the time to load weights, during which requests are refused.
@@ -156,28 +156,28 @@
 // Load returns a current load report, without MaxLoadAge.
 func (e *Engine) Load() wasabiridge.LoadReport { return e.runner.load() }
 
-// Ends returns how many crashes requests with the text CrashOn have caused.
-func (e *Engine) Ends() int { return int(e.requestCrashes.Load()) }
+// CrashCount returns how many crashes requests with the text CrashOn have caused.
+func (e *Engine) CrashCount() int { return int(e.requestCrashes.Load()) }
 
-// Served returns how many answers were started.
-func (e *Engine) Served() int { return int(e.served.Load()) }
+// StartedAnswers returns how many answers were started.
+func (e *Engine) StartedAnswers() int { return int(e.served.Load()) }
 
-// Cancelled returns how many answers ended because the caller disconnected.
-func (e *Engine) Cancelled() int { return int(e.cancelled.Load()) }
+// CancelledAnswers returns how many answers ended because the caller disconnected.
+func (e *Engine) CancelledAnswers() int { return int(e.cancelled.Load()) }
 
-// Written returns how many tokens were written to streams.
-func (e *Engine) Written() int { return int(e.written.Load()) }
+// WrittenTokens returns how many tokens were written to streams.
+func (e *Engine) WrittenTokens() int { return int(e.written.Load()) }
 
-// Leave sets the leaving flag of the load reports, which requests that no new
+// SetLeaving sets the leaving flag of the load reports, which requests that no new
 // work is placed here. The engine still accepts requests.
-func (e *Engine) Leave() {
+func (e *Engine) SetLeaving() {
 	e.runner.mu.Lock()
 	defer e.runner.mu.Unlock()
 	e.runner.model.Leave()
 }
 
-// LoseEvents drops the next count cache events.
-func (e *Engine) LoseEvents(count int) {
+// DropEvents drops the next count cache events.
+func (e *Engine) DropEvents(count int) {
 	e.runner.mu.Lock()
 	defer e.runner.mu.Unlock()
 	e.runner.eventsToDrop += count
@@ -185,7 +185,7 @@
 
 // loadReport returns a load report that is at most MaxLoadAge old.
 func (e *Engine) loadReport() wasabiridge.LoadReport {
-	if r := e.report.Load(); r != nil && e.opts.Clock.Now()-r.MeasuredAt < e.opts.LoadLag {
+	if r := e.report.Load(); r != nil && e.opts.Clock.Now()-r.MeasuredAt < e.opts.MaxLoadAge {
 		return *r
 	}
 	r := e.runner.load()
--- a/internal/wasabiengine/engine_test.go
+++ b/internal/wasabiengine/engine_test.go
@@ -140,7 +140,7 @@
 
 var _ = Describe("load reports", func() {
 	It("are served again within LoadLag, with their age", func() {
-		e := start(wasabiengine.Options{LoadLag: wasabiridge.Hour})
+		e := start(wasabiengine.Options{MaxLoadAge: wasabiridge.Hour})
 		read := func() map[string]any {
 			_, text := call(http.MethodGet, e.URL()+"/load", "")
 			var body map[string]any
