--- a/internal/wasabiengine/engine.go
+++ b/internal/wasabiengine/engine.go
@@ -173,7 +173,7 @@
 func (e *Engine) SetLeaving() {
 	e.runner.mu.Lock()
 	defer e.runner.mu.Unlock()
-	e.runner.model.Leave()
+	e.runner.model.SetLeaving()
 }
 
 // DropEvents drops the next count cache events.
--- a/internal/wasabiengine/runner.go
+++ b/internal/wasabiengine/runner.go
@@ -249,7 +249,7 @@
 func (r *modelRunner) restart() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.model.Return()
+	r.model.Restart()
 	r.wakeDriver()
 }
 
--- a/internal/wasabifake/engine.go
+++ b/internal/wasabifake/engine.go
@@ -140,9 +140,9 @@
 // Down reports whether the engine has crashed and was not restarted.
 func (e *Engine) Down() bool { return e.down }
 
-// Leave sets the leaving flag of the load reports, which requests that no new
+// SetLeaving sets the leaving flag of the load reports, which requests that no new
 // work is placed here. The engine still accepts jobs.
-func (e *Engine) Leave() { e.leaving = true }
+func (e *Engine) SetLeaving() { e.leaving = true }
 
 // Submit queues a job behind those of the same or a higher priority and starts it
 // if possible. It reports false if the engine is down or its queue is full; the
--- a/internal/wasabifake/engine_test.go
+++ b/internal/wasabifake/engine_test.go
@@ -83,7 +83,7 @@
 		Expect(lost[0].Job.Attempt).To(Equal(wasabiridge.AttemptID(2)))
 		Expect(lost[1].Produced).To(Equal(3))
 		Expect(e.Submit(160, job(3, 10))).To(BeFalse())
-		e.Return()
+		e.Restart()
 		Expect(e.Incarnation()).To(Equal(wasabiridge.Incarnation(2)))
 		Expect(e.CachedTokens(job(0, 10).Chain)).To(BeZero())
 		Expect(e.TakeEvents()).To(ConsistOf(HaveField("Kind", wasabiridge.CacheCleared)))
--- a/internal/wasabifake/state.go
+++ b/internal/wasabifake/state.go
@@ -4,8 +4,8 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Lost is a job that was queued or running in an engine when it crashed.
-type Lost struct {
+// LostJob is a job that was queued or running in an engine when it crashed.
+type LostJob struct {
 	Job Job
 	// Produced is the number of output tokens until the crash, which the caller
 	// may have received.
@@ -14,17 +14,17 @@
 
 // Crash ends the current incarnation: the cache, unread events and all jobs are
 // lost. It returns the jobs. The engine stays down until Restart.
-func (e *Engine) Crash(now wasabiridge.Millis) []Lost {
+func (e *Engine) Crash(now wasabiridge.Millis) []LostJob {
 	e.advanceTo(now)
-	var lost []Lost
+	var lost []LostJob
 	for _, r := range e.queue {
-		lost = append(lost, Lost{Job: r.job})
+		lost = append(lost, LostJob{Job: r.job})
 	}
 	if e.prefilling != nil {
-		lost = append(lost, Lost{Job: e.prefilling.job})
+		lost = append(lost, LostJob{Job: e.prefilling.job})
 	}
 	for _, r := range e.decoding {
-		lost = append(lost, Lost{Job: r.job, Produced: r.produced(now)})
+		lost = append(lost, LostJob{Job: r.job, Produced: r.produced(now)})
 	}
 	e.down = true
 	e.queue, e.prefilling, e.decoding = nil, nil, nil
@@ -33,9 +33,9 @@
 	return lost
 }
 
-// Return restarts a crashed engine as the next incarnation, with an empty cache.
+// Restart restarts a crashed engine as the next incarnation, with an empty cache.
 // It does nothing if the engine is not down.
-func (e *Engine) Return() {
+func (e *Engine) Restart() {
 	if !e.down {
 		return
 	}
--- a/internal/wasabimeasure/fault.go
+++ b/internal/wasabimeasure/fault.go
@@ -140,7 +140,7 @@
 		if s.pool.ID == pool.ID && count > 0 {
 			count--
 			sim.crash(s)
-			sim.schedule(sim.now+downtime, s.Return)
+			sim.schedule(sim.now+downtime, s.Restart)
 		}
 	}
 }
@@ -151,13 +151,13 @@
 	}
 	sim.crash(s)
 	sim.schedule(sim.now+flapInterval, func() {
-		s.Return()
+		s.Restart()
 		sim.schedule(sim.now+flapInterval, func() { sim.flap(s) })
 	})
 }
 
 func (sim *simulation) leave(s *server) {
-	s.Leave()
+	s.SetLeaving()
 	sim.checker.leaving[s.backend.ID] = sim.now
 	for i := range sim.instances {
 		notifiedAt := sim.now + leavingSpread*wasabiridge.Millis(i)/wasabiridge.Millis(len(sim.instances))
