--- a/cmd/wasabirouter/process_test.go
+++ b/cmd/wasabirouter/process_test.go
@@ -334,20 +334,20 @@
 	// reported as rejected nowhere, and one with an unknown outcome everywhere or nowhere.
 	// No instance may revert to an older version.
 	It("are accepted everywhere or nowhere, and never revert", func() {
-		lost, late := wasabifault.Fate{Kind: wasabifault.LostAnswer}, wasabifault.Fate{Kind: wasabifault.LateEffect, Late: 300}
-		never, unavailable := wasabifault.Fate{Kind: wasabifault.LostRequest}, wasabifault.Fate{Kind: wasabifault.Unavailable}
+		lost, late := wasabifault.Outcome{Kind: wasabifault.LostAnswer}, wasabifault.Outcome{Kind: wasabifault.LateEffect, EffectDelay: 300}
+		never, unavailable := wasabifault.Outcome{Kind: wasabifault.LostRequest}, wasabifault.Outcome{Kind: wasabifault.Unavailable}
 		cases := map[string]struct {
-			fates []wasabifault.Fate
+			fates []wasabifault.Outcome
 			// crash terminates the store while the response is in flight.
 			crash bool
 			exits []wasabicommand.Exit
 		}{
-			"answer lost":                   {fates: []wasabifault.Fate{lost}, exits: []wasabicommand.Exit{accepted}},
-			"answer lost, store terminated": {fates: []wasabifault.Fate{{Kind: wasabifault.LostAnswer, After: wasabiridge.Second}}, crash: true, exits: []wasabicommand.Exit{wasabicommand.ExitUnknown}},
-			"request lost":                  {fates: []wasabifault.Fate{never}, exits: []wasabicommand.Exit{accepted, wasabicommand.ExitUnknown}},
-			"requests lost":                 {fates: []wasabifault.Fate{never, never, never, never, never, never}, exits: []wasabicommand.Exit{wasabicommand.ExitUnknown}},
-			"late effect":                   {fates: []wasabifault.Fate{late}, exits: []wasabicommand.Exit{accepted, wasabicommand.ExitUnknown}},
-			"unavailable":                   {fates: []wasabifault.Fate{unavailable}, exits: []wasabicommand.Exit{wasabicommand.ExitUnavailable, accepted}},
+			"answer lost":                   {fates: []wasabifault.Outcome{lost}, exits: []wasabicommand.Exit{accepted}},
+			"answer lost, store terminated": {fates: []wasabifault.Outcome{{Kind: wasabifault.LostAnswer, After: wasabiridge.Second}}, crash: true, exits: []wasabicommand.Exit{wasabicommand.ExitUnknown}},
+			"request lost":                  {fates: []wasabifault.Outcome{never}, exits: []wasabicommand.Exit{accepted, wasabicommand.ExitUnknown}},
+			"requests lost":                 {fates: []wasabifault.Outcome{never, never, never, never, never, never}, exits: []wasabicommand.Exit{wasabicommand.ExitUnknown}},
+			"late effect":                   {fates: []wasabifault.Outcome{late}, exits: []wasabicommand.Exit{accepted, wasabicommand.ExitUnknown}},
+			"unavailable":                   {fates: []wasabifault.Outcome{unavailable}, exits: []wasabicommand.Exit{wasabicommand.ExitUnavailable, accepted}},
 		}
 		r := newRig(rigOptions{routers: 3, engines: 1})
 		stop := r.watchVersions()
@@ -355,7 +355,7 @@
 		for i, name := range wasabitest.Names(cases) {
 			c := cases[name]
 			base := r.converge()
-			r.platform.Table.Faults().Script(wasabifault.Write, c.fates...)
+			r.platform.Table.Faults().SetNextOutcomes(wasabifault.Write, c.fates...)
 			put := make(chan wasabicommand.Exit, 1)
 			go func() {
 				defer GinkgoRecover()
--- a/internal/wasabiclaim/failure_test.go
+++ b/internal/wasabiclaim/failure_test.go
@@ -174,7 +174,7 @@
 	// Guards against a claim that is refused by its own row. The table commits the claim
 	// and the response is lost; the instance must recognise the row as its own.
 	It("recognises its own claim after a lost response", func() {
-		b.table.Faults().Script(wasabifault.Write, wasabifault.Fate{Kind: wasabifault.LostAnswer})
+		b.table.Faults().SetNextOutcomes(wasabifault.Write, wasabifault.Outcome{Kind: wasabifault.LostAnswer})
 		b.claim(b.a, wasabiridge.ClaimGranted)
 		b.claim(b.b, wasabiridge.ClaimRunning)
 		Expect(b.table.Stats().Committed).To(BeEquivalentTo(1))
@@ -184,8 +184,8 @@
 	// no response, and the table cannot be read either, so the caller is refused. The write
 	// takes effect later, when the request was abandoned long before.
 	It("frees a row that a late write claimed for a refused request", func() {
-		b.table.Faults().Script(wasabifault.Write, wasabifault.Fate{Kind: wasabifault.LateEffect, Late: 100})
-		b.table.Faults().Script(wasabifault.Read, wasabifault.Fate{Kind: wasabifault.Unavailable})
+		b.table.Faults().SetNextOutcomes(wasabifault.Write, wasabifault.Outcome{Kind: wasabifault.LateEffect, EffectDelay: 100})
+		b.table.Faults().SetNextOutcomes(wasabifault.Read, wasabifault.Outcome{Kind: wasabifault.Unavailable})
 		b.claim(b.a, wasabiridge.ClaimUnknown)
 		b.drain(b.a)
 		b.clock.Advance(wasabiridge.Second)
--- a/internal/wasabiclaim/history_test.go
+++ b/internal/wasabiclaim/history_test.go
@@ -263,7 +263,7 @@
 func faults(seed uint64) wasabifault.Plan {
 	plan := wasabifault.Plan{
 		Seed: seed, Unavailable: 0.05, LostRequest: 0.05, LostAnswer: 0.1, LateEffect: 0.1,
-		Lateness: 20 * wasabiridge.Second, DelayMin: 1, DelayMax: 120,
+		MaxEffectDelay: 20 * wasabiridge.Second, DelayMin: 1, DelayMax: 120,
 	}
 	from := wasabiridge.MillisAt(time.Now()) + 20*wasabiridge.Second
 	return plan.WithWindows(wasabifault.Outage(from, from+15*wasabiridge.Second))
--- a/internal/wasabiconfig/history_test.go
+++ b/internal/wasabiconfig/history_test.go
@@ -157,7 +157,7 @@
 	case storeDown:
 		h.table.Faults().SetPlan(wasabifault.Plan{Seed: h.rng.Uint64(), Unavailable: 0.9, DelayMin: 500, DelayMax: 4000})
 	case responsesLost:
-		h.table.Faults().SetPlan(wasabifault.Plan{Seed: h.rng.Uint64(), LostAnswer: 0.25, LateEffect: 0.1, Lateness: 9000, DelayMax: 60})
+		h.table.Faults().SetPlan(wasabifault.Plan{Seed: h.rng.Uint64(), LostAnswer: 0.25, LateEffect: 0.1, MaxEffectDelay: 9000, DelayMax: 60})
 	case instancePaused:
 		l := h.processes[h.rng.IntN(instances)]
 		time.AfterFunc(time.Duration(h.rng.Int64N(int64(3*time.Second))), func() { l.gate.stop(episode / 2) })
@@ -218,8 +218,8 @@
 		"an accepted edit that was reported as a conflict": {
 			func(h *history) {
 				h.startTable = misreportingTable{h.table}
-				lost := wasabifault.Fate{Kind: wasabifault.LostAnswer}
-				h.table.Faults().Script(wasabifault.Write, wasabifault.Fate{}, lost, lost, lost)
+				lost := wasabifault.Outcome{Kind: wasabifault.LostAnswer}
+				h.table.Faults().SetNextOutcomes(wasabifault.Write, wasabifault.Outcome{}, lost, lost, lost)
 			}, "was answered with version 0",
 		},
 		"an old version that comes into force again": {
--- a/internal/wasabiconfig/keeper_test.go
+++ b/internal/wasabiconfig/keeper_test.go
@@ -193,7 +193,7 @@
 	It("recognises its own version when the response of the table is lost", func(ctx SpecContext) {
 		m := newCluster()
 		a := m.start("a", 1)
-		m.table.Faults().Script(wasabifault.Write, wasabifault.Fate{Kind: wasabifault.LostAnswer})
+		m.table.Faults().SetNextOutcomes(wasabifault.Write, wasabifault.Outcome{Kind: wasabifault.LostAnswer})
 		Expect(a.Put(ctx, 0, []byte(text("first")), "ana")).To(BeEquivalentTo(1))
 		Expect(a.History(ctx, 10)).To(HaveLen(1))
 	})
--- a/internal/wasabicontract/contract.go
+++ b/internal/wasabicontract/contract.go
@@ -40,7 +40,7 @@
 
 // InjectFaults sets the fates of the next operations of the given kind on a subject:
 // the fault that is injected into each, if any.
-type InjectFaults func(op wasabifault.Op, fates ...wasabifault.Fate)
+type InjectFaults func(op wasabifault.Op, fates ...wasabifault.Outcome)
 
 // Specs registers a Ginkgo spec for each check. Call it inside a container node.
 func Specs(checks Checks) {
--- a/internal/wasabicontract/list.go
+++ b/internal/wasabicontract/list.go
@@ -54,7 +54,7 @@
 		return runSteps(s.set(entryOne), s.shows(), s.wait(), s.shows(entryOne))
 	},
 	"an outage is reported as unavailable, not as an empty list": func(s listSteps) error {
-		s.Script(wasabifault.Read, wasabifault.Fate{Kind: wasabifault.Unavailable})
+		s.Script(wasabifault.Read, wasabifault.Outcome{Kind: wasabifault.Unavailable})
 		_, err := s.List.Instances(s.ctx)
 		return expectType("read of the list", err, wasabiridge.ErrUnavailable)
 	},
--- a/internal/wasabicontract/object.go
+++ b/internal/wasabicontract/object.go
@@ -75,7 +75,7 @@
 }
 
 func (s objectSteps) script(kind wasabifault.Kind) {
-	s.Script(wasabifault.Write, wasabifault.Fate{Kind: kind})
+	s.Script(wasabifault.Write, wasabifault.Outcome{Kind: kind})
 }
 
 func (s objectSteps) put(name string, data []byte, want *errorx.Type) func() error {
--- a/internal/wasabicontract/table.go
+++ b/internal/wasabicontract/table.go
@@ -109,28 +109,28 @@
 
 var tableFaultChecks = map[string]func(t tableSteps) error{
 	"a write that is reported as unavailable has no effect": func(t tableSteps) error {
-		t.Script(wasabifault.Write, wasabifault.Fate{Kind: wasabifault.Unavailable})
+		t.Script(wasabifault.Write, wasabifault.Outcome{Kind: wasabifault.Unavailable})
 		return runSteps(
 			t.commit("w1", wasabiridge.ErrUnavailable, change("a", 0, "1")),
 			func() error { return t.revisionIs("a", 0) },
 		)
 	},
 	"a write with a lost answer is reported as unknown and has an effect": func(t tableSteps) error {
-		t.Script(wasabifault.Write, wasabifault.Fate{Kind: wasabifault.LostAnswer})
+		t.Script(wasabifault.Write, wasabifault.Outcome{Kind: wasabifault.LostAnswer})
 		return runSteps(
 			t.commit("w1", wasabiridge.ErrOutcomeUnknown, change("a", 0, "1")),
 			t.holds("a", "1", "w1"),
 		)
 	},
 	"a lost write request is reported as unknown and has no effect": func(t tableSteps) error {
-		t.Script(wasabifault.Write, wasabifault.Fate{Kind: wasabifault.LostRequest})
+		t.Script(wasabifault.Write, wasabifault.Outcome{Kind: wasabifault.LostRequest})
 		return runSteps(
 			t.commit("w1", wasabiridge.ErrOutcomeUnknown, change("a", 0, "1")),
 			func() error { return t.revisionIs("a", 0) },
 		)
 	},
 	"a delayed copy of an applied write has no effect": func(t tableSteps) error {
-		t.Script(wasabifault.Write, wasabifault.Fate{Kind: wasabifault.LateEffect}, wasabifault.Fate{})
+		t.Script(wasabifault.Write, wasabifault.Outcome{Kind: wasabifault.LateEffect}, wasabifault.Outcome{})
 		return runSteps(
 			t.commit("w1", wasabiridge.ErrOutcomeUnknown, change("a", 0, "1")),
 			t.commit("w1", wasabiridge.ErrConflict, change("a", 0, "1")),
@@ -138,14 +138,14 @@
 		)
 	},
 	"a concurrent change is a conflict": func(t tableSteps) error {
-		t.Script(wasabifault.Write, wasabifault.Fate{}, wasabifault.Fate{Kind: wasabifault.Race})
+		t.Script(wasabifault.Write, wasabifault.Outcome{}, wasabifault.Outcome{Kind: wasabifault.Race})
 		return runSteps(
 			t.commit("w1", nil, change("a", 0, "1")),
 			t.replace("w2", wasabiridge.ErrConflict, "a", "2"),
 		)
 	},
 	"a failed read is reported as unavailable": func(t tableSteps) error {
-		t.Script(wasabifault.Read, wasabifault.Fate{Kind: wasabifault.Unavailable})
+		t.Script(wasabifault.Read, wasabifault.Outcome{Kind: wasabifault.Unavailable})
 		_, err := t.Table.Get(t.ctx, "a")
 		return expectType("read", err, wasabiridge.ErrUnavailable)
 	},
--- a/internal/wasabicontract/weights.go
+++ b/internal/wasabicontract/weights.go
@@ -48,7 +48,7 @@
 		)
 	},
 	"a store above its request rate is reported as unavailable, not as empty": func(s weightSteps) error {
-		s.Script(wasabifault.Read, wasabifault.Fate{Kind: wasabifault.Unavailable})
+		s.Script(wasabifault.Read, wasabifault.Outcome{Kind: wasabifault.Unavailable})
 		return s.latest("large", "", 0, wasabiridge.ErrUnavailable)()
 	},
 }
--- a/internal/wasabifault/call.go
+++ b/internal/wasabifault/call.go
@@ -28,7 +28,7 @@
 // Read draws the outcome of a read and applies its delays and failure. Every
 // failure is ErrUnavailable, because a read has no effect.
 func (i *Injector) Read(ctx context.Context, key string) error {
-	outcome := i.Draw(Read, key)
+	outcome := i.NextOutcome(Read, key)
 	if !i.sleep(ctx, outcome.Before+outcome.After) {
 		return wasabiridge.ErrUnavailable.New("read of %q timed out", key)
 	}
@@ -44,8 +44,8 @@
 // Its error is returned unless the answer is lost: then the error is
 // ErrOutcomeUnknown, as for every call whose context ends during a delay. The
 // error of a rejected write is ErrUnavailable.
-func (i *Injector) Write(ctx context.Context, key string, effect func(f Fate) error) error {
-	outcome := i.Draw(Write, key)
+func (i *Injector) Write(ctx context.Context, key string, effect func(f Outcome) error) error {
+	outcome := i.NextOutcome(Write, key)
 	if outcome.Kind == Unavailable {
 		return wasabiridge.ErrUnavailable.New("write of %q rejected before any effect", key)
 	}
@@ -62,7 +62,7 @@
 	return err
 }
 
-func (f Fate) losesAnswer() bool {
+func (f Outcome) losesAnswer() bool {
 	return f.Kind == LostRequest || f.Kind == LostAnswer || f.Kind == LateEffect
 }
 
--- a/internal/wasabifault/fault.go
+++ b/internal/wasabifault/fault.go
@@ -55,14 +55,14 @@
 	Write Op = "write"
 )
 
-// Fate is the outcome of one call. The zero value is an immediate success.
-type Fate struct {
+// Outcome is the outcome of one call. The zero value is an immediate success.
+type Outcome struct {
 	Kind Kind
 	// Before and After are the delays before and after the effect.
 	Before wasabiridge.Millis
 	After  wasabiridge.Millis
-	// Late is the delay after which a write of kind LateEffect takes effect.
-	Late wasabiridge.Millis
+	// EffectDelay is the delay after which a write of kind LateEffect takes effect.
+	EffectDelay wasabiridge.Millis
 }
 
 // Window gives all calls in the time interval from From, inclusive, to Until,
@@ -89,10 +89,10 @@
 	LostAnswer  float64 `json:"lost_answer,omitempty"`
 	LateEffect  float64 `json:"late_effect,omitempty"`
 	Race        float64 `json:"race,omitempty"`
-	// Lateness is the maximum delay of the effect of a write of kind
+	// MaxEffectDelay is the maximum delay of the effect of a write of kind
 	// LateEffect. The delay is uniformly distributed; in a window it is always
 	// MaxEffectDelay.
-	Lateness wasabiridge.Millis `json:"lateness_ms,omitempty"`
+	MaxEffectDelay wasabiridge.Millis `json:"lateness_ms,omitempty"`
 	// DelayMin and DelayMax are the bounds of the uniformly distributed delay
 	// of each call. Half of it is applied before the effect and half after it.
 	DelayMin wasabiridge.Millis `json:"delay_min_ms,omitempty"`
--- a/internal/wasabifault/injector.go
+++ b/internal/wasabifault/injector.go
@@ -19,7 +19,7 @@
 	mu      sync.Mutex
 	plan    Plan
 	calls   map[string]uint64
-	scripts map[Op][]Fate
+	scripts map[Op][]Outcome
 	buckets map[Op]*bucket
 }
 
@@ -28,7 +28,7 @@
 	if sleep == nil {
 		sleep = Sleep
 	}
-	i := &Injector{clock: clock, sleep: sleep, calls: map[string]uint64{}, scripts: map[Op][]Fate{}}
+	i := &Injector{clock: clock, sleep: sleep, calls: map[string]uint64{}, scripts: map[Op][]Outcome{}}
 	i.SetPlan(plan)
 	return i
 }
@@ -42,17 +42,17 @@
 	i.buckets = map[Op]*bucket{}
 }
 
-// Script sets the outcomes of the next calls of an operation, after those of
+// SetNextOutcomes sets the outcomes of the next calls of an operation, after those of
 // earlier calls of SetNextOutcomes. They take precedence over the plan.
-func (i *Injector) Script(op Op, outcomes ...Fate) {
+func (i *Injector) SetNextOutcomes(op Op, outcomes ...Outcome) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.scripts[op] = append(i.scripts[op], outcomes...)
 }
 
-// Draw determines the outcome of the next call and advances the state of the
+// NextOutcome determines the outcome of the next call and advances the state of the
 // injector. Read and Write call it.
-func (i *Injector) Draw(op Op, key string) Fate {
+func (i *Injector) NextOutcome(op Op, key string) Outcome {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if script := i.scripts[op]; len(script) > 0 {
@@ -61,24 +61,24 @@
 	}
 	now := i.clock.Now()
 	if kind, ok := i.plan.kindInWindow(now); ok {
-		return Fate{Kind: kind, Late: i.plan.Lateness}
+		return Outcome{Kind: kind, EffectDelay: i.plan.MaxEffectDelay}
 	}
 	if !i.takeToken(op, now) {
-		return Fate{Kind: Unavailable}
+		return Outcome{Kind: Unavailable}
 	}
 	return i.drawRandom(op, key)
 }
 
 // drawRandom uses a random generator that is seeded for this call only, so that the
 // outcome does not depend on the order of calls with other keys.
-func (i *Injector) drawRandom(op Op, key string) Fate {
+func (i *Injector) drawRandom(op Op, key string) Outcome {
 	name := string(op) + "\x00" + key
 	i.calls[name]++
 	stream := xxhash.Sum64String(name + "\x00" + strconv.FormatUint(i.calls[name], 10))
 	rng := rand.New(rand.NewPCG(i.plan.Seed, stream))
-	outcome := Fate{Kind: i.plan.kindFor(rng.Float64())}
+	outcome := Outcome{Kind: i.plan.kindFor(rng.Float64())}
 	if outcome.Kind == LateEffect {
-		outcome.Late = randomMillis(rng, 0, i.plan.Lateness)
+		outcome.EffectDelay = randomMillis(rng, 0, i.plan.MaxEffectDelay)
 	}
 	wait := randomMillis(rng, i.plan.DelayMin, i.plan.DelayMax)
 	outcome.Before = wait / 2
--- a/internal/wasabiinstances/instances_test.go
+++ b/internal/wasabiinstances/instances_test.go
@@ -24,7 +24,7 @@
 			clock := wasabiclock.NewVirtual(0)
 			m := wasabiinstances.NewMemory(wasabiinstances.MemoryOptions{Clock: clock, Lag: lag})
 			return wasabicontract.ListSubject{
-				List: adapter(m), Set: m.Set, Remove: m.Remove, Script: m.Faults().Script,
+				List: adapter(m), Set: m.Set, Remove: m.Remove, Script: m.Faults().SetNextOutcomes,
 				Wait: func() { clock.Advance(lag) },
 			}
 		}
--- a/internal/wasabilease/lease_test.go
+++ b/internal/wasabilease/lease_test.go
@@ -148,7 +148,7 @@
 	// it holds the lease, but its term counts from before it sent that write.
 	"a grant whose response was lost": func(t *leaseTest) {
 		t.table = wasabitable.NewMemory(wasabitable.MemoryOptions{Clock: t.clock})
-		t.table.Faults().Script(wasabifault.Write, wasabifault.Fate{Kind: wasabifault.LostAnswer})
+		t.table.Faults().SetNextOutcomes(wasabifault.Write, wasabifault.Outcome{Kind: wasabifault.LostAnswer})
 		c := t.contender("c", 1, t.clock)
 		sent := t.clock.Now()
 		c.feed(wasabilease.Contended{Wanted: true})
@@ -161,8 +161,8 @@
 	"a renewal that takes effect late": func(t *leaseTest) {
 		t.run(wasabiridge.Second, t.a)
 		until := t.a.grant.Until
-		late := wasabifault.Fate{Kind: wasabifault.LateEffect, Late: 12 * wasabiridge.Second}
-		t.table.Faults().Script(wasabifault.Write, late, late, late, late, late, late, late, late)
+		late := wasabifault.Outcome{Kind: wasabifault.LateEffect, EffectDelay: 12 * wasabiridge.Second}
+		t.table.Faults().SetNextOutcomes(wasabifault.Write, late, late, late, late, late, late, late, late)
 		t.run(5*wasabiridge.Second, t.a)
 		Expect(t.a.grant.Until).To(Equal(until))
 	},
--- a/internal/wasabiobject/memory.go
+++ b/internal/wasabiobject/memory.go
@@ -86,12 +86,12 @@
 		return wasabiridge.ErrInvalid.New("object has no name")
 	}
 	stored := append([]byte{}, data...)
-	return m.faults.Write(ctx, name, func(f wasabifault.Fate) error {
+	return m.faults.Write(ctx, name, func(f wasabifault.Outcome) error {
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		m.applyLate()
 		if f.Kind == wasabifault.LateEffect {
-			m.late = append(m.late, lateObject{due: m.clock.Now() + f.Late, name: name, data: stored})
+			m.late = append(m.late, lateObject{due: m.clock.Now() + f.EffectDelay, name: name, data: stored})
 			return nil
 		}
 		m.objects[name] = stored
--- a/internal/wasabiobject/object_test.go
+++ b/internal/wasabiobject/object_test.go
@@ -19,7 +19,7 @@
 	fresh := func(adapter func(m *wasabiobject.Memory) wasabiridge.ObjectStore) func() wasabicontract.ObjectSubject {
 		return func() wasabicontract.ObjectSubject {
 			m := wasabiobject.NewMemory(wasabiobject.MemoryOptions{Clock: wasabiclock.NewVirtual(0)})
-			return wasabicontract.ObjectSubject{Store: adapter(m), Script: m.Faults().Script}
+			return wasabicontract.ObjectSubject{Store: adapter(m), Script: m.Faults().SetNextOutcomes}
 		}
 	}
 	Context("in memory", func() {
--- a/internal/wasabiorder/history_test.go
+++ b/internal/wasabiorder/history_test.go
@@ -69,7 +69,7 @@
 		simulation: newSimulation(seed), machines: map[string]*wasabilease.Machine{}, grants: map[string]wasabilease.Grant{},
 	}
 	c.table = wasabitable.NewMemory(wasabitable.MemoryOptions{Clock: c.clock, Sleep: noSleep, Plan: wasabifault.Plan{
-		Seed: seed, Unavailable: 0.05, LostRequest: 0.05, LostAnswer: 0.1, LateEffect: 0.1, Lateness: 20 * wasabiridge.Second,
+		Seed: seed, Unavailable: 0.05, LostRequest: 0.05, LostAnswer: 0.1, LateEffect: 0.1, MaxEffectDelay: 20 * wasabiridge.Second,
 	}})
 	for _, id := range []string{"a", "b", "c"} {
 		n := c.addInstance(id, func() wasabilease.Grant { return c.grants[id] })
--- a/internal/wasabioutcome/outcome_test.go
+++ b/internal/wasabioutcome/outcome_test.go
@@ -102,7 +102,7 @@
 		"store down for two days":    faultWindow(wasabifault.Unavailable, wasabiridge.Hour, 2*wasabiridge.Day),
 		"responses lost for a day":   faultWindow(wasabifault.LostAnswer, wasabiridge.Hour, wasabiridge.Day),
 		"a third of responses lost":  {Seed: wasabitest.Seed, LostAnswer: 0.33},
-		"late writes and lost calls": {Seed: wasabitest.Seed, LateEffect: 0.2, LostRequest: 0.2, Lateness: 45 * wasabiridge.Second},
+		"late writes and lost calls": {Seed: wasabitest.Seed, LateEffect: 0.2, LostRequest: 0.2, MaxEffectDelay: 45 * wasabiridge.Second},
 	}
 	for _, name := range slices.Sorted(maps.Keys(plans)) {
 		// The store fails in different ways while an instance keeps running.
@@ -132,7 +132,7 @@
 		failures := 0
 		for incarnation := range wasabiridge.Incarnation(60) {
 			plan := faultWindow(wasabifault.LateEffect, 12*wasabiridge.Hour-20*wasabiridge.Second, 12*wasabiridge.Hour)
-			plan.Lateness = 50 * wasabiridge.Second
+			plan.MaxEffectDelay = 50 * wasabiridge.Second
 			w := newEnvironment(plan)
 			w.clock.Advance(12*wasabiridge.Hour - 20*wasabiridge.Minute)
 			l := w.start("a", incarnation)
--- a/internal/wasabiplatform/platform_test.go
+++ b/internal/wasabiplatform/platform_test.go
@@ -50,14 +50,14 @@
 	Context("its objects", func() {
 		wasabicontract.Specs(wasabicontract.Objects(func() wasabicontract.ObjectSubject {
 			standIn, platform, _ := start()
-			return wasabicontract.ObjectSubject{Store: platform.Objects, Script: standIn.Objects.Faults().Script}
+			return wasabicontract.ObjectSubject{Store: platform.Objects, Script: standIn.Objects.Faults().SetNextOutcomes}
 		}))
 	})
 	Context("its weights", func() {
 		wasabicontract.Specs(wasabicontract.Weights(func() wasabicontract.WeightSubject {
 			standIn, platform, _ := start()
 			publish := wasabiweights.NewStore(standIn.Weights).Publish
-			return wasabicontract.WeightSubject{Store: platform.Weights, Publish: publish, Script: standIn.Weights.Faults().Script}
+			return wasabicontract.WeightSubject{Store: platform.Weights, Publish: publish, Script: standIn.Weights.Faults().SetNextOutcomes}
 		}))
 	})
 
--- a/internal/wasabitable/memory.go
+++ b/internal/wasabitable/memory.go
@@ -130,18 +130,18 @@
 		return err
 	}
 	m.count(func(s *Stats) { s.Writes++ })
-	return m.faults.Write(ctx, tx.Changes[0].Key, func(f wasabifault.Fate) error {
+	return m.faults.Write(ctx, tx.Changes[0].Key, func(f wasabifault.Outcome) error {
 		return m.execute(tx, f)
 	})
 }
 
-func (m *Memory) execute(tx wasabiridge.Transaction, fate wasabifault.Fate) error {
+func (m *Memory) execute(tx wasabiridge.Transaction, fate wasabifault.Outcome) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.applyLate()
 	switch fate.Kind {
 	case wasabifault.LateEffect:
-		m.late = append(m.late, lateTransaction{due: m.clock.Now() + fate.Late, tx: copyTransaction(tx)})
+		m.late = append(m.late, lateTransaction{due: m.clock.Now() + fate.EffectDelay, tx: copyTransaction(tx)})
 		return nil
 	case wasabifault.Race:
 		m.touch(tx)
--- a/internal/wasabitable/table_test.go
+++ b/internal/wasabitable/table_test.go
@@ -36,7 +36,7 @@
 var _ = Describe("The table in memory", func() {
 	fresh := func() wasabicontract.TableSubject {
 		m, _ := virtualTable(noFaults)
-		return wasabicontract.TableSubject{Table: m, Script: m.Faults().Script}
+		return wasabicontract.TableSubject{Table: m, Script: m.Faults().SetNextOutcomes}
 	}
 	wasabicontract.Specs(wasabicontract.Table(fresh))
 	wasabicontract.Specs(wasabicontract.TableFaults(fresh))
@@ -56,7 +56,7 @@
 		m, _ := virtualTable(noFaults)
 		server := httptest.NewServer(wasabitable.Handler(m))
 		DeferCleanup(server.Close)
-		return wasabicontract.TableSubject{Table: newClient(server.URL), Script: m.Faults().Script}
+		return wasabicontract.TableSubject{Table: newClient(server.URL), Script: m.Faults().SetNextOutcomes}
 	}
 	wasabicontract.Specs(wasabicontract.Table(fresh))
 	wasabicontract.Specs(wasabicontract.TableFaults(fresh))
@@ -72,7 +72,7 @@
 	// must not assume that nothing took effect.
 	It("times out on a table that hangs and reports an unknown outcome", func(ctx SpecContext) {
 		m := wasabitable.NewMemory(wasabitable.MemoryOptions{Clock: wasabiclock.System()})
-		m.Faults().Script(wasabifault.Write, wasabifault.Fate{After: wasabiridge.Minute})
+		m.Faults().SetNextOutcomes(wasabifault.Write, wasabifault.Outcome{After: wasabiridge.Minute})
 		server := httptest.NewServer(wasabitable.Handler(m))
 		DeferCleanup(server.Close)
 		client := newClient(server.URL)
@@ -122,21 +122,21 @@
 	// the table, the second write is a new one.
 	It("takes effect twice with a blind retry", func(ctx SpecContext) {
 		table, _ := virtualTable(noFaults)
-		table.Faults().Script(wasabifault.Write, wasabifault.Fate{Kind: wasabifault.LostAnswer})
+		table.Faults().SetNextOutcomes(wasabifault.Write, wasabifault.Outcome{Kind: wasabifault.LostAnswer})
 		Expect(blindRetry(ctx, table, "blind")).To(Succeed())
 		Expect(table.Get(ctx, counter)).To(HaveField("Value", BeEquivalentTo("2")))
 	})
 
 	// The same sequence of events with a Writer: it reads back, finds its own
 	// identifier and does not write again.
-	fates := map[string][]wasabifault.Fate{
+	fates := map[string][]wasabifault.Outcome{
 		"the response is lost":                   {{Kind: wasabifault.LostAnswer}},
 		"the request is lost":                    {{Kind: wasabifault.LostRequest}},
 		"the request is lost twice":              {{Kind: wasabifault.LostRequest}, {Kind: wasabifault.LostRequest}},
 		"rejected, then the response is lost":    {{Kind: wasabifault.Unavailable}, {Kind: wasabifault.LostAnswer}},
 		"the request is lost, then the response": {{Kind: wasabifault.LostRequest}, {Kind: wasabifault.LostAnswer}},
-		"the first copy takes effect late":       {{Kind: wasabifault.LateEffect, Late: 70}},
-		"the first copy takes effect last":       {{Kind: wasabifault.LateEffect, Late: 5000}},
+		"the first copy takes effect late":       {{Kind: wasabifault.LateEffect, EffectDelay: 70}},
+		"the first copy takes effect last":       {{Kind: wasabifault.LateEffect, EffectDelay: 5000}},
 	}
 	names := make([]string, 0, len(fates))
 	for name := range fates {
@@ -146,7 +146,7 @@
 	for _, name := range names {
 		It("takes effect once with a Writer when "+name, func(ctx SpecContext) {
 			table, sleep := virtualTable(noFaults)
-			table.Faults().Script(wasabifault.Write, fates[name]...)
+			table.Faults().SetNextOutcomes(wasabifault.Write, fates[name]...)
 			writer := wasabitable.NewWriter(table, wasabitable.WriterOptions{Name: "w", Sleep: sleep})
 			Expect(writer.Commit(ctx, wasabitable.Write{Changes: []wasabiridge.RowChange{increment(wasabiridge.Row{})}})).To(Succeed())
 			sleep(ctx, wasabiridge.Minute)
@@ -159,7 +159,7 @@
 		writer := wasabitable.NewWriter(table, wasabitable.WriterOptions{Name: "w", Sleep: sleep})
 		write := wasabitable.Write{Changes: []wasabiridge.RowChange{increment(wasabiridge.Row{})}}
 		Expect(errorx.IsOfType(writer.Commit(ctx, write), wasabiridge.ErrUnavailable)).To(BeTrue())
-		table.Faults().Script(wasabifault.Write, wasabifault.Fate{Kind: wasabifault.LostAnswer})
+		table.Faults().SetNextOutcomes(wasabifault.Write, wasabifault.Outcome{Kind: wasabifault.LostAnswer})
 		Expect(errorx.IsOfType(writer.Commit(ctx, write), wasabiridge.ErrOutcomeUnknown)).To(BeTrue())
 	})
 
@@ -182,7 +182,7 @@
 				Expect(blindRetry(ctx, table, "other")).To(Succeed())
 				return true
 			}
-			table.Faults().Script(wasabifault.Write, wasabifault.Fate{Kind: c.first, Late: wasabiridge.Minute})
+			table.Faults().SetNextOutcomes(wasabifault.Write, wasabifault.Outcome{Kind: c.first, EffectDelay: wasabiridge.Minute})
 			writer := wasabitable.NewWriter(table, wasabitable.WriterOptions{Name: "w", Sleep: overtake})
 			changes := []wasabiridge.RowChange{increment(wasabiridge.Row{}), {Key: "witness/1", Value: []byte("1")}}
 			err := writer.Commit(ctx, wasabitable.Write{Changes: changes, Witness: "witness/1"})
@@ -196,7 +196,7 @@
 
 	It("takes effect at most once per write under all kinds of fault at once", func(ctx SpecContext) {
 		for seed := range uint64(200) {
-			plan := wasabifault.Plan{Seed: seed, Unavailable: 0.1, LostRequest: 0.1, LostAnswer: 0.2, LateEffect: 0.1, Race: 0.1, Lateness: 400}
+			plan := wasabifault.Plan{Seed: seed, Unavailable: 0.1, LostRequest: 0.1, LostAnswer: 0.2, LateEffect: 0.1, Race: 0.1, MaxEffectDelay: 400}
 			table, sleep := virtualTable(plan)
 			writer := wasabitable.NewWriter(table, wasabitable.WriterOptions{Name: "w", Sleep: sleep})
 			committed, unknown := 0, 0
--- a/internal/wasabiweights/weights_test.go
+++ b/internal/wasabiweights/weights_test.go
@@ -18,6 +18,6 @@
 	wasabicontract.Specs(wasabicontract.Weights(func() wasabicontract.WeightSubject {
 		m := wasabiobject.NewMemory(wasabiobject.MemoryOptions{Clock: wasabiclock.NewVirtual(0)})
 		store := wasabiweights.NewStore(m)
-		return wasabicontract.WeightSubject{Store: store, Publish: store.Publish, Script: m.Faults().Script}
+		return wasabicontract.WeightSubject{Store: store, Publish: store.Publish, Script: m.Faults().SetNextOutcomes}
 	}))
 })
