--- a/internal/wasabifingerprint/fingerprint.go
+++ b/internal/wasabifingerprint/fingerprint.go
@@ -8,8 +8,8 @@
 //
 // # Usage
 //
-//	namer := wasabifingerprint.New(key)
-//	f := namer.Fingerprint(wasabifingerprint.Content{Account: "shop", Method: "POST", Path: "/v1/x", Body: body})
+//	hasher := wasabifingerprint.New(key)
+//	f := hasher.Fingerprint(wasabifingerprint.Content{Account: "shop", Method: "POST", Path: "/v1/x", Body: body})
 package wasabifingerprint
 
 import (
@@ -34,18 +34,18 @@
 	Blocks []wasabiridge.BlockHash
 }
 
-// Namer computes fingerprints. The zero value uses an empty key. It is safe for concurrent
-// use.
-type Namer struct {
+// Hasher computes fingerprints. The zero value uses an empty key. It is safe for
+// concurrent use.
+type Hasher struct {
 	key []byte
 }
 
 // New returns a Hasher. All instances must use the same key to get the same fingerprints.
 // The key must not be changed afterwards.
-func New(key []byte) Namer { return Namer{key: key} }
+func New(key []byte) Hasher { return Hasher{key: key} }
 
-// Name returns the fingerprint of a request. It is never zero.
-func (n Namer) Name(c Content) wasabiridge.Fingerprint {
+// Fingerprint returns the fingerprint of a request. It is never zero.
+func (n Hasher) Fingerprint(c Content) wasabiridge.Fingerprint {
 	mac := hmac.New(sha256.New, n.key)
 	var length [8]byte
 	field := func(data []byte) {
--- a/internal/wasabifingerprint/fingerprint_test.go
+++ b/internal/wasabifingerprint/fingerprint_test.go
@@ -33,15 +33,15 @@
 		"no body and no segments":           {func(c *wasabifingerprint.Content) { c.Body, c.Blocks = nil, nil }, false},
 	}
 	g := NewWithT(t)
-	namer := wasabifingerprint.New([]byte("key"))
+	hasher := wasabifingerprint.New([]byte("key"))
 	for _, name := range wasabitest.Names(cases) {
 		changed := base
 		cases[name].change(&changed)
-		g.Expect(namer.Name(changed) == namer.Name(base)).To(Equal(cases[name].same), name)
+		g.Expect(hasher.Fingerprint(changed) == hasher.Fingerprint(base)).To(Equal(cases[name].same), name)
 	}
 	empty, other := base, base
 	empty.Body, other.Body, other.Blocks = nil, nil, []wasabiridge.BlockHash{1, 3}
-	g.Expect(namer.Name(empty)).NotTo(Equal(namer.Name(other)), "segments of a request without a body")
-	g.Expect(wasabifingerprint.New([]byte("other")).Name(base)).NotTo(Equal(namer.Name(base)), "another key")
-	g.Expect(namer.Name(base).String()).To(HaveLen(16))
+	g.Expect(hasher.Fingerprint(empty)).NotTo(Equal(hasher.Fingerprint(other)), "segments of a request without a body")
+	g.Expect(wasabifingerprint.New([]byte("other")).Fingerprint(base)).NotTo(Equal(hasher.Fingerprint(base)), "another key")
+	g.Expect(hasher.Fingerprint(base).String()).To(HaveLen(16))
 }
--- a/internal/wasabigateway/gateway.go
+++ b/internal/wasabigateway/gateway.go
@@ -69,7 +69,7 @@
 	Config func() *wasabiridge.Config
 	// Names computes the fingerprints of requests. The zero value uses an empty
 	// key.
-	Names wasabifingerprint.Namer
+	Names wasabifingerprint.Hasher
 	// Claimer grants the claims of non-idempotent requests. If it is nil, such
 	// requests are refused as not run.
 	Claimer wasabiridge.Claimer
--- a/internal/wasabirelay/exchange.go
+++ b/internal/wasabirelay/exchange.go
@@ -82,7 +82,7 @@
 
 // computeFingerprint returns the keyed hash of the request's content.
 func (c *call) computeFingerprint() wasabiridge.Fingerprint {
-	return c.relay.options.Names.Name(wasabifingerprint.Content{
+	return c.relay.options.Names.Fingerprint(wasabifingerprint.Content{
 		Account: c.account.ID, Method: c.r.Method, Host: hostOf(c.r), Path: c.r.URL.RequestURI(), Model: c.parsed.Model, Body: c.body, Blocks: c.parsed.Blocks,
 	})
 }
--- a/internal/wasabirelay/relay.go
+++ b/internal/wasabirelay/relay.go
@@ -94,7 +94,7 @@
 	// Mover moves running answers between engines. Nil disables moves.
 	Mover wasabiridge.RequestMigrator
 	// Names computes the fingerprints of requests. The zero value uses an empty key.
-	Names wasabifingerprint.Namer
+	Names wasabifingerprint.Hasher
 	// Leaving reports whether the instance is shutting down. Nil means never.
 	Leaving func() bool
 }
