--- a/internal/wasabidaemon/components.go
+++ b/internal/wasabidaemon/components.go
@@ -265,7 +265,7 @@
 		Loop:        d.components.loop,
 		Runner:      runner,
 		Config:      d.current,
-		Names:       wasabifingerprint.New(d.ticketSecret()),
+		Hasher:      wasabifingerprint.New(d.ticketSecret()),
 		Claimer:     d.options.Claimer,
 		Addresses:   d.components.book,
 		Limits:      d.options.Settings.Limits,
--- a/internal/wasabidaemon/daemon.go
+++ b/internal/wasabidaemon/daemon.go
@@ -236,7 +236,7 @@
 	defer cancel()
 	err := server.Shutdown(ctx)
 	if err != nil {
-		d.log.Error().Int("open", d.components.gateway.Open()).Msg("Drain limit expired; aborting the open requests.")
+		d.log.Error().Int("open", d.components.gateway.OpenRequests()).Msg("Drain limit expired; aborting the open requests.")
 		_ = server.Close()
 		err = wasabiridge.ErrUnavailable.New("daemon: drain limit passed with open requests")
 	}
--- a/internal/wasabidaemon/operator.go
+++ b/internal/wasabidaemon/operator.go
@@ -69,7 +69,7 @@
 		Config:       d.current().Version,
 		Started:      d.started,
 		Leaving:      d.leaving.Load(),
-		OpenRequests: d.components.gateway.Open(),
+		OpenRequests: d.components.gateway.OpenRequests(),
 	}
 	for _, m := range d.members() {
 		s.Members = append(s.Members, wasabiridge.MemberStatus{
@@ -90,7 +90,7 @@
 // registerGauges registers the functions that return the values of gauges.
 func (d *Daemon) registerGauges() {
 	gauges := map[wasabimetrics.Name]func() int64{
-		wasabimetrics.RequestsOpen:    func() int64 { return int64(d.components.gateway.Open()) },
+		wasabimetrics.RequestsOpen:    func() int64 { return int64(d.components.gateway.OpenRequests()) },
 		wasabimetrics.ConfigVersion:   func() int64 { return int64(d.current().Version) },
 		wasabimetrics.MembersKnown:    func() int64 { return int64(len(d.members())) },
 		wasabimetrics.ProcessRoutines: func() int64 { return int64(runtime.NumGoroutine()) },
--- a/internal/wasabigateway/gateway.go
+++ b/internal/wasabigateway/gateway.go
@@ -29,7 +29,7 @@
 //		Clock:    clock,
 //		Loop:     loop,
 //		Runner:   runner,
-//		Config:   keeper.Current,
+//		Config:   controller.Current,
 //	})
 //	server := &http.Server{Handler: g}
 //	...
@@ -67,9 +67,9 @@
 	// configuration has been received. The result must never be modified.
 	// Config must be safe for concurrent use.
 	Config func() *wasabiridge.Config
-	// Names computes the fingerprints of requests. The zero value uses an empty
+	// Hasher computes the fingerprints of requests. The zero value uses an empty
 	// key.
-	Names wasabifingerprint.Hasher
+	Hasher wasabifingerprint.Hasher
 	// Claimer grants the claims of non-idempotent requests. If it is nil, such
 	// requests are refused as not run.
 	Claimer wasabiridge.Claimer
@@ -113,8 +113,8 @@
 	g.router.ServeHTTP(w, r)
 }
 
-// Open returns the number of requests being served.
-func (g *Gateway) Open() int {
+// OpenRequests returns the number of requests being served.
+func (g *Gateway) OpenRequests() int {
 	return int(g.open.Load())
 }
 
--- a/internal/wasabigateway/serve.go
+++ b/internal/wasabigateway/serve.go
@@ -31,7 +31,7 @@
 		return
 	}
 	request := c.request(r)
-	request.Fingerprint = g.options.Names.Fingerprint(wasabifingerprint.Content{
+	request.Fingerprint = g.options.Hasher.Fingerprint(wasabifingerprint.Content{
 		Account: request.Account, Method: r.Method, Host: r.Host, Path: r.URL.RequestURI(), Model: request.Model, Body: c.body.raw,
 	})
 	var ticket claimTicket
