--- a/internal/wasabikept/watch.go
+++ b/internal/wasabikept/watch.go
@@ -15,9 +15,9 @@
 //
 // # Usage
 //
-//	watch := wasabikept.New(wasabikept.Options{Prober: pool, IsServing: node.isActive})
-//	for _, seen := range watch.Poll(ctx, config.CacheStores) {
-//		loop.Observe(seen.CacheStoreChecked)
+//	monitor := wasabikept.New(wasabikept.Options{Prober: pool, IsServing: node.isActive})
+//	for _, seen := range monitor.Poll(ctx, config.CacheStores) {
+//		loop.TryPost(seen.CacheStoreChecked)
 //	}
 package wasabikept
 
@@ -28,12 +28,12 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Interval is the time between two polls. For up to this long, requests are sent in
+// PollInterval is the time between two polls. For up to this long, requests are sent in
 // vain to a store that has died.
-const Interval = time.Second
+const PollInterval = time.Second
 
-// Reacher keeps a connection to each address that it has reached.
-type Reacher interface {
+// Prober keeps a connection to each address that it has reached.
+type Prober interface {
 	// Probe reports whether an address can be reached, through the open connection or
 	// through a new one.
 	Probe(ctx context.Context, address string) bool
@@ -43,48 +43,48 @@
 
 // Options configures a Monitor. Both fields are required.
 type Options struct {
-	Reacher Reacher
-	// Active reports whether this instance serves callers.
-	Active func() bool
+	Prober Prober
+	// IsServing reports whether this instance serves callers.
+	IsServing func() bool
 }
 
-// Watch tracks which stores can be reached. It is not safe for concurrent use.
-type Watch struct {
+// Monitor tracks which stores can be reached. It is not safe for concurrent use.
+type Monitor struct {
 	options   Options
 	reachable map[string]bool
 }
 
 // New returns a Monitor that has not polled any store.
-func New(o Options) *Watch {
-	return &Watch{options: o, reachable: map[string]bool{}}
+func New(o Options) *Monitor {
+	return &Monitor{options: o, reachable: map[string]bool{}}
 }
 
-// Seen is the state of a store. Changed reports that it differs from the last poll, or
-// that this is the first poll of the store.
-type Seen struct {
+// StoreStatus is the state of a store. Changed reports that it differs from the last
+// poll, or that this is the first poll of the store.
+type StoreStatus struct {
 	wasabiridge.CacheStoreChecked
 	Changed bool
 }
 
-// Look returns the state of all stores, in their order. Every poll includes the
+// Poll returns the state of all stores, in their order. Every poll includes the
 // unchanged ones, so that a lost event has no lasting effect.
-func (w *Watch) Look(ctx context.Context, stores []wasabiridge.CacheStore) []Seen {
-	active := w.options.Active()
+func (w *Monitor) Poll(ctx context.Context, stores []wasabiridge.CacheStore) []StoreStatus {
+	active := w.options.IsServing()
 	listed := make(map[string]bool, len(stores))
-	seen := make([]Seen, 0, len(stores))
+	seen := make([]StoreStatus, 0, len(stores))
 	for _, s := range stores {
 		listed[s.Address] = true
-		reachable := !active || w.options.Reacher.Probe(ctx, s.Address)
+		reachable := !active || w.options.Prober.Probe(ctx, s.Address)
 		if !active {
-			w.options.Reacher.CloseIdle(s.Address)
+			w.options.Prober.CloseIdle(s.Address)
 		}
 		previous, known := w.reachable[s.Address]
 		w.reachable[s.Address] = reachable
-		seen = append(seen, Seen{CacheStoreChecked: wasabiridge.CacheStoreChecked{Address: s.Address, Up: reachable}, Changed: !known || previous != reachable})
+		seen = append(seen, StoreStatus{CacheStoreChecked: wasabiridge.CacheStoreChecked{Address: s.Address, Up: reachable}, Changed: !known || previous != reachable})
 	}
 	for address := range w.reachable {
 		if !listed[address] {
-			w.options.Reacher.CloseIdle(address)
+			w.options.Prober.CloseIdle(address)
 			delete(w.reachable, address)
 		}
 	}
--- a/internal/wasabikept/watch_test.go
+++ b/internal/wasabikept/watch_test.go
@@ -61,12 +61,12 @@
 	return out
 }
 
-func up(address string, changed bool) wasabikept.Seen {
-	return wasabikept.Seen{CacheStoreChecked: wasabiridge.CacheStoreChecked{Address: address, Up: true}, Changed: changed}
+func up(address string, changed bool) wasabikept.StoreStatus {
+	return wasabikept.StoreStatus{CacheStoreChecked: wasabiridge.CacheStoreChecked{Address: address, Up: true}, Changed: changed}
 }
 
-func down(address string, changed bool) wasabikept.Seen {
-	return wasabikept.Seen{CacheStoreChecked: wasabiridge.CacheStoreChecked{Address: address}, Changed: changed}
+func down(address string, changed bool) wasabikept.StoreStatus {
+	return wasabikept.StoreStatus{CacheStoreChecked: wasabiridge.CacheStoreChecked{Address: address}, Changed: changed}
 }
 
 var _ = Describe("Connections to the KV cache stores", func() {
@@ -79,9 +79,9 @@
 		opened := 0
 		for i := range instances {
 			n := newNetwork(10)
-			w := wasabikept.New(wasabikept.Options{Reacher: n, Active: func() bool { return i < active }})
+			w := wasabikept.New(wasabikept.Options{Prober: n, IsServing: func() bool { return i < active }})
 			for range polls {
-				w.Look(context.Background(), stores("kv:1", "kv:2"))
+				w.Poll(context.Background(), stores("kv:1", "kv:2"))
 			}
 			opened += n.opened
 		}
@@ -92,15 +92,15 @@
 	// sent there until it can be reached again.
 	It("report a change once when a store is lost, and once when it is back", func() {
 		n := newNetwork(10)
-		w := wasabikept.New(wasabikept.Options{Reacher: n, Active: func() bool { return true }})
-		poll := func() []wasabikept.Seen { return w.Look(context.Background(), stores("kv:1")) }
-		Expect(poll()).To(Equal([]wasabikept.Seen{up("kv:1", true)}))
-		Expect(poll()).To(Equal([]wasabikept.Seen{up("kv:1", false)}))
+		w := wasabikept.New(wasabikept.Options{Prober: n, IsServing: func() bool { return true }})
+		poll := func() []wasabikept.StoreStatus { return w.Poll(context.Background(), stores("kv:1")) }
+		Expect(poll()).To(Equal([]wasabikept.StoreStatus{up("kv:1", true)}))
+		Expect(poll()).To(Equal([]wasabikept.StoreStatus{up("kv:1", false)}))
 		n.down["kv:1"] = true
-		Expect(poll()).To(Equal([]wasabikept.Seen{down("kv:1", true)}))
-		Expect(poll()).To(Equal([]wasabikept.Seen{down("kv:1", false)}))
+		Expect(poll()).To(Equal([]wasabikept.StoreStatus{down("kv:1", true)}))
+		Expect(poll()).To(Equal([]wasabikept.StoreStatus{down("kv:1", false)}))
 		n.down["kv:1"] = false
-		Expect(poll()).To(Equal([]wasabikept.Seen{up("kv:1", true)}))
+		Expect(poll()).To(Equal([]wasabikept.StoreStatus{up("kv:1", true)}))
 	})
 
 	// When callers move to another instance of the availability zone, the connections
@@ -108,24 +108,24 @@
 	// to notice a store that died in the meantime.
 	It("are closed by an instance that no longer serves callers", func() {
 		n, active := newNetwork(10), true
-		w := wasabikept.New(wasabikept.Options{Reacher: n, Active: func() bool { return active }})
-		w.Look(context.Background(), stores("kv:1", "kv:2"))
+		w := wasabikept.New(wasabikept.Options{Prober: n, IsServing: func() bool { return active }})
+		w.Poll(context.Background(), stores("kv:1", "kv:2"))
 		Expect(n.open).To(Equal(2))
 		active = false
-		Expect(w.Look(context.Background(), stores("kv:1", "kv:2"))).To(Equal([]wasabikept.Seen{up("kv:1", false), up("kv:2", false)}))
+		Expect(w.Poll(context.Background(), stores("kv:1", "kv:2"))).To(Equal([]wasabikept.StoreStatus{up("kv:1", false), up("kv:2", false)}))
 		Expect(n.open).To(BeZero())
 		n.down["kv:2"] = true
-		Expect(w.Look(context.Background(), stores("kv:1", "kv:2"))).To(Equal([]wasabikept.Seen{up("kv:1", false), up("kv:2", false)}))
+		Expect(w.Poll(context.Background(), stores("kv:1", "kv:2"))).To(Equal([]wasabikept.StoreStatus{up("kv:1", false), up("kv:2", false)}))
 		active = true
-		Expect(w.Look(context.Background(), stores("kv:1", "kv:2"))).To(Equal([]wasabikept.Seen{up("kv:1", false), down("kv:2", true)}))
+		Expect(w.Poll(context.Background(), stores("kv:1", "kv:2"))).To(Equal([]wasabikept.StoreStatus{up("kv:1", false), down("kv:2", true)}))
 	})
 
 	It("are closed when the configuration removes the store", func() {
 		n := newNetwork(10)
-		w := wasabikept.New(wasabikept.Options{Reacher: n, Active: func() bool { return true }})
-		w.Look(context.Background(), stores("kv:1", "kv:2"))
-		w.Look(context.Background(), stores("kv:2"))
+		w := wasabikept.New(wasabikept.Options{Prober: n, IsServing: func() bool { return true }})
+		w.Poll(context.Background(), stores("kv:1", "kv:2"))
+		w.Poll(context.Background(), stores("kv:2"))
 		Expect(n.open).To(Equal(1))
-		Expect(w.Look(context.Background(), stores("kv:1", "kv:2"))).To(Equal([]wasabikept.Seen{up("kv:1", true), up("kv:2", false)}))
+		Expect(w.Poll(context.Background(), stores("kv:1", "kv:2"))).To(Equal([]wasabikept.StoreStatus{up("kv:1", true), up("kv:2", false)}))
 	})
 })
--- a/internal/wasabinode/background.go
+++ b/internal/wasabinode/background.go
@@ -86,11 +86,11 @@
 	pool := wasabiconn.New(wasabiconn.Options{Clock: n.options.Clock, DialTimeout: cacheStoreDialTimeout, UserTimeout: cacheStoreAckTimeout})
 	defer pool.Close()
 	settled := false
-	watch := wasabikept.New(wasabikept.Options{Reacher: pool, Active: func() bool { return settled && n.isActive() }})
-	ticker := time.NewTicker(wasabikept.Interval)
+	watch := wasabikept.New(wasabikept.Options{Prober: pool, IsServing: func() bool { return settled && n.isActive() }})
+	ticker := time.NewTicker(wasabikept.PollInterval)
 	defer ticker.Stop()
 	for {
-		for _, polled := range watch.Look(ctx, n.activeConfig.Load().config.CacheStores) {
+		for _, polled := range watch.Poll(ctx, n.activeConfig.Load().config.CacheStores) {
 			if polled.Changed {
 				n.log.Info().Str("address", polled.Address).Bool("up", polled.Up).Msg("Reachability of KV cache store changed.")
 			}
