--- a/internal/wasabilife/life.go
+++ b/internal/wasabilife/life.go
@@ -11,8 +11,8 @@
 //
 // # Usage
 //
-//	var life wasabilife.Tracker
-//	switch life.Observe(now, entry.Incarnation) {
+//	var tracker wasabilife.Tracker
+//	switch tracker.Observe(now, entry.Incarnation) {
 //	case wasabilife.Restarted:
 //		forget()
 //	case wasabilife.Ended:
@@ -22,10 +22,10 @@
 
 import "github.com/wasabiridge/wasabiridge"
 
-// Doubt is how long an earlier incarnation must be the only one reported until
+// RollbackDelay is how long an earlier incarnation must be the only one reported until
 // it is accepted as new: servers send a heartbeat every second or so, and
 // instances receive the report within another second.
-const Doubt = 4 * wasabiridge.Second
+const RollbackDelay = 4 * wasabiridge.Second
 
 // Verdict classifies a report by the incarnation that it refers to.
 type Verdict uint8
@@ -34,15 +34,15 @@
 const (
 	// Same means the known incarnation, or a report that names none.
 	Same Verdict = iota
-	// New means that the server has restarted.
-	New
-	// Over means an incarnation that has ended, as far as is known.
-	Over
+	// Restarted means that the server has restarted.
+	Restarted
+	// Ended means an incarnation that has ended, as far as is known.
+	Ended
 )
 
-// Life tracks the incarnation of one backend server. The zero value knows none.
+// Tracker tracks the incarnation of one backend server. The zero value knows none.
 // It is not safe for concurrent use.
-type Life struct {
+type Tracker struct {
 	known wasabiridge.Incarnation
 	// earlier is an incarnation that started before the known one, and since
 	// when it has been the only one reported. Zero means none.
@@ -50,13 +50,13 @@
 	since   wasabiridge.Millis
 }
 
-// Known returns the current incarnation. Zero means that none was reported yet.
-func (l *Life) Known() wasabiridge.Incarnation { return l.known }
+// Current returns the current incarnation. Zero means that none was reported yet.
+func (l *Tracker) Current() wasabiridge.Incarnation { return l.known }
 
-// Take records the incarnation that a report refers to; zero means that the
+// Observe records the incarnation that a report refers to; zero means that the
 // report names none. The first incarnation that is reported is taken to be the
 // one that all earlier reports meant.
-func (l *Life) Take(now wasabiridge.Millis, reported wasabiridge.Incarnation) Verdict {
+func (l *Tracker) Observe(now wasabiridge.Millis, reported wasabiridge.Incarnation) Verdict {
 	switch {
 	case reported == 0:
 		return Same
@@ -65,19 +65,19 @@
 		return Same
 	case reported > l.known:
 		l.known, l.earlier = reported, 0
-		return New
+		return Restarted
 	case reported != l.earlier:
 		l.earlier, l.since = reported, now
-		return Over
-	case now-l.since < Doubt:
-		return Over
+		return Ended
+	case now-l.since < RollbackDelay:
+		return Ended
 	}
 	l.known, l.earlier = reported, 0
-	return New
+	return Restarted
 }
 
-// Due returns an earlier incarnation that has been the only one reported for
+// AcceptedRollback returns an earlier incarnation that has been the only one reported for
 // long enough to be accepted as new. It reports false when there is none.
-func (l *Life) Due(now wasabiridge.Millis) (wasabiridge.Incarnation, bool) {
-	return l.earlier, l.earlier != 0 && now-l.since >= Doubt
+func (l *Tracker) AcceptedRollback(now wasabiridge.Millis) (wasabiridge.Incarnation, bool) {
+	return l.earlier, l.earlier != 0 && now-l.since >= RollbackDelay
 }
--- a/internal/wasabilife/life_test.go
+++ b/internal/wasabilife/life_test.go
@@ -26,7 +26,7 @@
 // An engine restarts under its name. Its entry in the list, its own responses
 // and the updates of other instances arrive in any order, some of them late.
 var _ = Describe("The incarnation of a server", func() {
-	const s, n, o = wasabilife.Same, wasabilife.New, wasabilife.Over
+	const s, n, o = wasabilife.Same, wasabilife.Restarted, wasabilife.Ended
 	cases := map[string][]report{
 		"entry before report":              {{0, 10, s}, {100, 20, n}, {200, 20, s}},
 		"report before entry":              {{0, 10, s}, {100, 20, n}, {150, 10, o}, {1200, 20, s}},
@@ -39,9 +39,9 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(cases)) {
 		It(name, func() {
-			var l wasabilife.Life
+			var l wasabilife.Tracker
 			for _, x := range cases[name] {
-				Expect(l.Take(x.at, x.incarnation)).To(Equal(x.want), "at %d: %d", x.at, x.incarnation)
+				Expect(l.Observe(x.at, x.incarnation)).To(Equal(x.want), "at %d: %d", x.at, x.incarnation)
 			}
 		})
 	}
@@ -53,7 +53,7 @@
 // the end.
 func TestNewestLifeWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var l wasabilife.Life
+		var l wasabilife.Tracker
 		current := wasabiridge.Incarnation(1)
 		starts := map[wasabiridge.Incarnation]wasabiridge.Millis{1: 0}
 		newest := wasabiridge.Incarnation(0)
@@ -71,9 +71,9 @@
 				incarnation--
 			}
 			newest = max(newest, incarnation)
-			l.Take(now, incarnation)
-			if l.Known() != newest {
-				t.Fatalf("at %d incarnation %d is current, but %d was reported", now, l.Known(), newest)
+			l.Observe(now, incarnation)
+			if l.Current() != newest {
+				t.Fatalf("at %d incarnation %d is current, but %d was reported", now, l.Current(), newest)
 			}
 		}
 	})
--- a/internal/wasabireplica/observe.go
+++ b/internal/wasabireplica/observe.go
@@ -66,7 +66,7 @@
 // enough without contradiction.
 func (p *Placer) reviewIncarnations(now wasabiridge.Millis) {
 	for _, r := range p.replicas {
-		if incarnation, due := r.incarnation.Due(now); due {
+		if incarnation, due := r.incarnation.AcceptedRollback(now); due {
 			r.acceptIncarnation(now, incarnation)
 		}
 	}
--- a/internal/wasabireplica/pool.go
+++ b/internal/wasabireplica/pool.go
@@ -161,7 +161,7 @@
 				p.replicas[b.ID] = r
 			}
 			r.acceptIncarnation(now, b.Incarnation)
-			b.Incarnation = r.incarnation.Known()
+			b.Incarnation = r.incarnation.Current()
 			r.server, r.gone = b, false
 			r.memory = cp.CacheTokens
 			r.cache.limit = int(cacheFraction * float64(cp.CacheTokens))
--- a/internal/wasabireplica/replica.go
+++ b/internal/wasabireplica/replica.go
@@ -63,7 +63,7 @@
 type replica struct {
 	server      wasabiridge.BackendServer
 	gone        bool
-	incarnation wasabilife.Life
+	incarnation wasabilife.Tracker
 	// unconfirmedWeights are the weights reported for an earlier incarnation. They
 	// apply if it turns out to be the current one, because the server's clock was set
 	// back.
@@ -125,13 +125,13 @@
 // older weights. It would be sent prompts for segments that it does not hold, and would
 // count as serving the newest weights.
 func (r *replica) acceptIncarnation(now wasabiridge.Millis, incarnation wasabiridge.Incarnation) bool {
-	switch r.incarnation.Take(now, incarnation) {
-	case wasabilife.Over:
+	switch r.incarnation.Observe(now, incarnation) {
+	case wasabilife.Ended:
 		return false
-	case wasabilife.New:
+	case wasabilife.Restarted:
 		r.reset()
 	}
-	r.server.Incarnation = r.incarnation.Known()
+	r.server.Incarnation = r.incarnation.Current()
 	return true
 }
 
--- a/internal/wasabireplica/restart_test.go
+++ b/internal/wasabireplica/restart_test.go
@@ -80,7 +80,7 @@
 		"holds nothing when it restarts with its clock set back": {func(g *rig) {
 			g.setIncarnations(5)
 			g.observe(reported(5, 2))
-			g.now += wasabilife.Doubt
+			g.now += wasabilife.RollbackDelay
 			g.observe(wasabiridge.Ticked{})
 		}, "computed", 2},
 	}
--- a/internal/wasabiupgrade/machine.go
+++ b/internal/wasabiupgrade/machine.go
@@ -170,7 +170,7 @@
 			if !r.observeIncarnation(now, entry.Server.Incarnation) {
 				continue
 			}
-			entry.Server.Incarnation = r.incarnation.Known()
+			entry.Server.Incarnation = r.incarnation.Current()
 			r.server = entry.Server
 			r.serves = max(r.serves, version)
 		}
--- a/internal/wasabiupgrade/replica.go
+++ b/internal/wasabiupgrade/replica.go
@@ -30,7 +30,7 @@
 // replica is the upgrade state of a unit.
 type replica struct {
 	server      wasabiridge.BackendServer
-	incarnation wasabilife.Life
+	incarnation wasabilife.Tracker
 	model       wasabiridge.ModelID
 	// serves is the newest version that the replica was observed to serve, and target
 	// the version to which it is being upgraded.
@@ -65,13 +65,13 @@
 // accepted no orders and may serve older weights, so its upgrade state is reset, and it can
 // be upgraded immediately.
 func (r *replica) observeIncarnation(now wasabiridge.Millis, said wasabiridge.Incarnation) bool {
-	switch r.incarnation.Take(now, said) {
-	case wasabilife.Over:
+	switch r.incarnation.Observe(now, said) {
+	case wasabilife.Ended:
 		return false
-	case wasabilife.New:
+	case wasabilife.Restarted:
 		*r = replica{server: r.server, incarnation: r.incarnation, model: r.model, present: r.present, busy: r.busy}
 	}
-	r.server.Incarnation = r.incarnation.Known()
+	r.server.Incarnation = r.incarnation.Current()
 	return true
 }
 
