--- a/internal/wasabilimit/limit.go
+++ b/internal/wasabilimit/limit.go
@@ -62,11 +62,11 @@
 	// WaitShare is the maximum expected wait of a request, as a share of the
 	// time until its deadline.
 	WaitShare float64
-	// Quiet and ExcessMinFree are the conditions under which an account may exceed
-	// its share: fewer than ExcessMaxWaiting requests wait inside a server on average,
-	// and at least the share ExcessMinFree of the sum of all limits is free.
-	Quiet   float64
-	Reserve float64
+	// ExcessMaxWaiting and ExcessMinFree are the conditions under which an account may
+	// exceed its share: fewer than ExcessMaxWaiting requests wait inside a server on
+	// average, and at least the share ExcessMinFree of the sum of all limits is free.
+	ExcessMaxWaiting float64
+	ExcessMinFree    float64
 	// RetryShare is the number of retries that each first attempt adds to the
 	// budget. RetryBurst is the maximum budget.
 	RetryShare float64
@@ -85,8 +85,8 @@
 	}
 	set(&o.WaitShare, defaultWaitShare)
 	set(&o.Overcommit, defaultOvercommit)
-	set(&o.Quiet, defaultQuiet)
-	set(&o.Reserve, defaultReserve)
+	set(&o.ExcessMaxWaiting, defaultQuiet)
+	set(&o.ExcessMinFree, defaultReserve)
 	set(&o.RetryShare, defaultRetryShare)
 	set(&o.RetryBurst, defaultRetryBurst)
 	return o
--- a/internal/wasabilimit/pool.go
+++ b/internal/wasabilimit/pool.go
@@ -141,7 +141,7 @@
 	others := max(1, float64(p.options.Instances)/2)
 	room := p.total.room - others*float64(p.released)
 	if a.exceedsShare && a.used.now(now) > a.fairUse {
-		return p.meanWaiting < p.options.Quiet && p.extraReleased < maxExtraReleases && room >= p.options.Reserve*p.total.limit
+		return p.meanWaiting < p.options.ExcessMaxWaiting && p.extraReleased < maxExtraReleases && room >= p.options.ExcessMinFree*p.total.limit
 	}
 	return room >= 1 || float64(p.total.own+p.released) < p.total.limit/float64(p.options.Instances)
 }
