--- a/internal/wasabidaemon/peers.go
+++ b/internal/wasabidaemon/peers.go
@@ -148,7 +148,7 @@
 // full; the load reports that this instance polls contain the same information.
 func (d *Daemon) receiveLeaving(backends []wasabiridge.BackendServerID) {
 	for _, b := range backends {
-		d.components.loop.Observe(wasabiridge.BackendLeaving{Backend: b})
+		d.components.loop.TryPost(wasabiridge.BackendLeaving{Backend: b})
 	}
 }
 
--- a/internal/wasabigateway/serve.go
+++ b/internal/wasabigateway/serve.go
@@ -48,7 +48,7 @@
 		g.fail(w, r, failRingFull)
 		return
 	}
-	defer g.options.Loop.Forget(request.ID)
+	defer g.options.Loop.CloseMailbox(request.ID)
 	newRelay(x, w, r).run()
 }
 
--- a/internal/wasabiloop/loop.go
+++ b/internal/wasabiloop/loop.go
@@ -35,8 +35,8 @@
 )
 
 const (
-	// DefaultRing is the default capacity of the ring, in events.
-	DefaultRing = 8192
+	// DefaultRingSize is the default capacity of the ring, in events.
+	DefaultRingSize = 8192
 	// tickInterval is the interval of Ticked events.
 	tickInterval = 20 * time.Millisecond
 	// mailboxSize is the capacity of a mailbox, in effects. A decider emits one
@@ -50,8 +50,9 @@
 	Clock   wasabiridge.Clock
 	// Recorder receives the timeline events. Nil drops them.
 	Recorder wasabiridge.Recorder
-	// Ring is the capacity of the ring, in events. Zero or less means DefaultRingSize.
-	Ring int
+	// RingSize is the capacity of the ring, in events. Zero or less means
+	// DefaultRingSize.
+	RingSize int
 }
 
 // Loop drives a Decider. It is safe for concurrent use.
@@ -80,12 +81,12 @@
 
 // New returns a running Loop. Close stops it.
 func New(o Options) *Loop {
-	if o.Ring <= 0 {
-		o.Ring = DefaultRing
+	if o.RingSize <= 0 {
+		o.RingSize = DefaultRingSize
 	}
 	l := &Loop{
 		options:   o,
-		ring:      make(chan message, o.Ring),
+		ring:      make(chan message, o.RingSize),
 		stop:      make(chan struct{}),
 		done:      make(chan struct{}),
 		mailboxes: map[wasabiridge.RequestID]*Mailbox{},
@@ -117,9 +118,9 @@
 	l.send(message{event: e})
 }
 
-// Observe passes an event that may be lost to the decider. If the ring is full, it
+// TryPost passes an event that may be lost to the decider. If the ring is full, it
 // drops the event, increments the counter of Dropped and returns false.
-func (l *Loop) Observe(e wasabiridge.Event) bool {
+func (l *Loop) TryPost(e wasabiridge.Event) bool {
 	select {
 	case l.ring <- message{event: e}:
 		return true
@@ -129,10 +130,10 @@
 	}
 }
 
-// Forget closes the mailbox of a request that has ended. Dispatches left in the
+// CloseMailbox closes the mailbox of a request that has ended. Dispatches left in the
 // mailbox are reported to the decider as cancelled, so that it does not wait for
 // their results.
-func (l *Loop) Forget(id wasabiridge.RequestID) {
+func (l *Loop) CloseMailbox(id wasabiridge.RequestID) {
 	l.send(message{forget: id})
 }
 
--- a/internal/wasabiloop/loop_test.go
+++ b/internal/wasabiloop/loop_test.go
@@ -44,7 +44,7 @@
 }
 
 func newLoop(d *decider, ring int) *wasabiloop.Loop {
-	l := wasabiloop.New(wasabiloop.Options{Decider: d, Clock: wasabiclock.NewVirtual(1), Ring: ring})
+	l := wasabiloop.New(wasabiloop.Options{Decider: d, Clock: wasabiclock.NewVirtual(1), RingSize: ring})
 	DeferCleanup(l.Close)
 	return l
 }
@@ -71,7 +71,7 @@
 		}
 		Expect(accepted).To(BeNumerically("<=", 7))
 		l.Post(wasabiridge.AttemptEnded{Request: "r", Attempt: 9})
-		for l.Observe(wasabiridge.LoadReported{}) {
+		for l.TryPost(wasabiridge.LoadReported{}) {
 		}
 		Expect(l.Dropped()).To(Equal(uint64(1)))
 		close(d.gate)
@@ -84,7 +84,7 @@
 		d := &decider{dispatches: 3, ended: make(chan wasabiridge.AttemptEnded, 64)}
 		l := newLoop(d, 0)
 		Expect(l.Submit(wasabiridge.Request{ID: "r"}, wasabiloop.NewMailbox())).To(Succeed())
-		l.Forget("r")
+		l.CloseMailbox("r")
 		for i := 1; i <= 3; i++ {
 			Eventually(d.ended).Should(Receive(Equal(wasabiridge.AttemptEnded{
 				Request: "r", Attempt: wasabiridge.AttemptID(i), Result: wasabiridge.AttemptCancelled,
--- a/internal/wasabinode/background.go
+++ b/internal/wasabinode/background.go
@@ -94,7 +94,7 @@
 			if polled.Changed {
 				n.log.Info().Str("address", polled.Address).Bool("up", polled.Up).Msg("Reachability of KV cache store changed.")
 			}
-			n.loop.Observe(polled.CacheStoreChecked)
+			n.loop.TryPost(polled.CacheStoreChecked)
 		}
 		if !settled {
 			// With the first configuration all stores count as reachable. Otherwise an
--- a/internal/wasabinode/config.go
+++ b/internal/wasabinode/config.go
@@ -171,5 +171,5 @@
 	if limit, ok := e.(wasabiridge.LimitAnnounced); ok {
 		n.limits.record(limit, n.options.Clock.Now())
 	}
-	n.loop.Observe(e)
+	n.loop.TryPost(e)
 }
--- a/internal/wasabinode/node.go
+++ b/internal/wasabinode/node.go
@@ -218,7 +218,7 @@
 		FirstAttempt: wasabiridge.AttemptID(n.incarnation) << attemptBits,
 	})
 	n.loop = wasabiloop.New(wasabiloop.Options{
-		Decider: core, Clock: o.Clock, Recorder: placementRecorder{next: n.timeline, wake: n.placed}, Ring: ringSize,
+		Decider: core, Clock: o.Clock, Recorder: placementRecorder{next: n.timeline, wake: n.placed}, RingSize: ringSize,
 	})
 	n.quarantine.Join(n.loop)
 	n.quota.Join(n.loop)
--- a/internal/wasabinode/peers.go
+++ b/internal/wasabinode/peers.go
@@ -48,19 +48,19 @@
 		if update.From != n.options.Settings.Instance {
 			n.upgrade.Hear(r.Backend)
 		}
-		n.loop.Observe(wasabiridge.BackendInBackoff{Backend: r.Backend, Until: now + r.Backoff})
+		n.loop.TryPost(wasabiridge.BackendInBackoff{Backend: r.Backend, Until: now + r.Backoff})
 		if r.Backoff > 0 {
 			n.queueMigration(r.Backend)
 		}
-		n.loop.Observe(wasabiridge.BackendDraining{Backend: r.Backend, Until: now + r.Drain})
+		n.loop.TryPost(wasabiridge.BackendDraining{Backend: r.Backend, Until: now + r.Drain})
 		if r.Weights > 0 {
-			n.loop.Observe(wasabiridge.WeightsReported{Backend: r.Backend, Model: r.Model, Weights: r.Weights, Incarnation: r.Incarnation})
+			n.loop.TryPost(wasabiridge.WeightsReported{Backend: r.Backend, Model: r.Model, Weights: r.Weights, Incarnation: r.Incarnation})
 		}
 	}
 	n.quarantine.Hear(update)
 	n.quota.Hear(update)
 	if len(update.Loads) > 0 || len(update.Segments) > 0 {
-		n.loop.Observe(wasabiridge.PeerPlaced{From: update.From, Loads: update.Loads, Segments: update.Segments})
+		n.loop.TryPost(wasabiridge.PeerPlaced{From: update.From, Loads: update.Loads, Segments: update.Segments})
 	}
 }
 
--- a/internal/wasabinode/restore.go
+++ b/internal/wasabinode/restore.go
@@ -115,9 +115,9 @@
 		segments[i] = wasabiridge.SegmentUpdate{Backend: id, Key: wasabiprefix.PartKey(h.Salt, h.Segment), Tokens: h.Tokens, Ready: true}
 	}
 	if id == "" {
-		n.loop.Observe(wasabiridge.CacheStoreListed{Address: address, Segments: segments})
+		n.loop.TryPost(wasabiridge.CacheStoreListed{Address: address, Segments: segments})
 		return len(segments), nil
 	}
-	n.loop.Observe(wasabiridge.PeerPlaced{From: n.options.Settings.Instance, Segments: segments})
+	n.loop.TryPost(wasabiridge.PeerPlaced{From: n.options.Settings.Instance, Segments: segments})
 	return len(segments), nil
 }
--- a/internal/wasabiquarantine/keeper.go
+++ b/internal/wasabiquarantine/keeper.go
@@ -204,7 +204,7 @@
 // is full; the sender repeats it.
 func (k *Keeper) Hear(n wasabiridge.StateUpdate) {
 	if len(n.Crashes) > 0 {
-		k.loop.Observe(wasabiridge.CrashesReceived{From: n.From, Crashes: n.Crashes})
+		k.loop.TryPost(wasabiridge.CrashesReceived{From: n.From, Crashes: n.Crashes})
 	}
 }
 
--- a/internal/wasabiquota/keeper.go
+++ b/internal/wasabiquota/keeper.go
@@ -177,7 +177,7 @@
 		}
 	}
 	slices.Sort(active)
-	if (!slices.Equal(active, k.active) || count != k.knownCount) && k.loop.Observe(wasabiridge.ActiveKnown{Instances: active, Known: count}) {
+	if (!slices.Equal(active, k.active) || count != k.knownCount) && k.loop.TryPost(wasabiridge.ActiveKnown{Instances: active, Known: count}) {
 		k.active, k.knownCount = active, count
 	}
 }
@@ -266,7 +266,7 @@
 func (k *Keeper) Hear(n wasabiridge.StateUpdate) {
 	k.noteAnswer(n.From)
 	if n.Incarnation > 0 {
-		k.loop.Observe(n.UsageReceived())
+		k.loop.TryPost(n.UsageReceived())
 	}
 }
 
@@ -275,7 +275,7 @@
 func (k *Keeper) probe(ctx context.Context, id wasabiridge.InstanceID) {
 	if address := k.addressOf(id); address != "" && k.endings.HasEnded(ctx, address) {
 		k.options.Log.Info().Str("member", string(id)).Msg("Instance has ended; its share of the limits is free.")
-		k.loop.Observe(wasabiridge.PeerEnded{ID: id})
+		k.loop.TryPost(wasabiridge.PeerEnded{ID: id})
 	}
 }
 
--- a/internal/wasabirelay/exchange.go
+++ b/internal/wasabirelay/exchange.go
@@ -97,7 +97,7 @@
 		x.refuse(*x.notRun("too many requests wait here"))
 		return
 	}
-	defer o.Loop.Forget(x.request.ID)
+	defer o.Loop.CloseMailbox(x.request.ID)
 	left := x.until - finalMargin - o.Clock.Now()
 	var cancel context.CancelFunc
 	x.ctx, cancel = context.WithTimeout(x.r.Context(), left.Duration())
