--- a/cmd/wasabistandin/measure.go
+++ b/cmd/wasabistandin/measure.go
@@ -100,7 +100,7 @@
 	if err := write(c.OutOrStdout(), reports); err != nil {
 		return err
 	}
-	if err := wasabimeasure.WriteCosts(c.ErrOrStderr(), reports); err != nil {
+	if err := wasabimeasure.WriteDecisionTimes(c.ErrOrStderr(), reports); err != nil {
 		return err
 	}
 	if f.plot == "" {
--- a/internal/wasabimeasure/fault.go
+++ b/internal/wasabimeasure/fault.go
@@ -25,15 +25,15 @@
 	// HotShift reverses the popularity of prefixes: the least requested become
 	// the most requested.
 	HotShift Fault = "hot_shift"
-	// ThirdOfPoolGone stops a third of the first pool. The engines restart with
+	// ThirdOfPoolDown stops a third of the first pool. The engines restart with
 	// empty caches after 30 s.
-	ThirdOfPoolGone Fault = "third_of_pool_gone"
+	ThirdOfPoolDown Fault = "third_of_pool_gone"
 	// BackendLeaving makes one engine leave. Instances are notified one after
 	// another within 2 s.
 	BackendLeaving Fault = "backend_leaving"
-	// HalfOfPoolGone stops half of the first pool for 30 s. The engines restart
+	// HalfOfPoolDown stops half of the first pool for 30 s. The engines restart
 	// with empty caches.
-	HalfOfPoolGone Fault = "half_of_pool_gone"
+	HalfOfPoolDown Fault = "half_of_pool_gone"
 	// EngineFlapping crashes one engine repeatedly: it restarts 1 s after each
 	// crash and crashes 1 s after each restart.
 	EngineFlapping Fault = "engine_flapping"
@@ -43,7 +43,7 @@
 func Faults() []Fault {
 	return []Fault{
 		EngineCrash, EventsLost, EventsStopped, LoadLagX10, RoutersRestarted,
-		HotShift, ThirdOfPoolGone, BackendLeaving, HalfOfPoolGone, EngineFlapping,
+		HotShift, ThirdOfPoolDown, BackendLeaving, HalfOfPoolDown, EngineFlapping,
 	}
 }
 
@@ -122,9 +122,9 @@
 		sim.restartRouters()
 	case HotShift:
 		sim.traffic.shifted = true
-	case ThirdOfPoolGone:
+	case ThirdOfPoolDown:
 		sim.kill(pool, pool.Replicas/3, poolDowntime)
-	case HalfOfPoolGone:
+	case HalfOfPoolDown:
 		sim.kill(pool, pool.Replicas/2, poolDowntime)
 	case BackendLeaving:
 		sim.leave(sim.servers[0])
@@ -187,7 +187,7 @@
 		}
 		if state.request.Action.NonIdempotent {
 			sim.markEnded(state)
-			sim.updateFigures(state, func(f *Figures) { f.Cut++ })
+			sim.updateFigures(state, func(f *Figures) { f.Interrupted++ })
 			continue
 		}
 		state.winner, state.delivered = 0, 0
--- a/internal/wasabimeasure/limits_test.go
+++ b/internal/wasabimeasure/limits_test.go
@@ -45,7 +45,7 @@
 	// An engine crashes repeatedly, or half of a pool crashes at once, and the
 	// attempts in flight fail. With unlimited retries the remaining engines
 	// would compute the same requests several times.
-	for _, f := range []wasabimeasure.Fault{wasabimeasure.EngineFlapping, wasabimeasure.HalfOfPoolGone} {
+	for _, f := range []wasabimeasure.Fault{wasabimeasure.EngineFlapping, wasabimeasure.HalfOfPoolDown} {
 		It("keep the attempts within 110 % of a run without faults under "+string(f), func() {
 			healthy := run(mediumRun("liftwell", 0.7))
 			faulty := run(mediumRun("liftwell", 0.7).WithFaults(f))
@@ -58,9 +58,9 @@
 	// tokens of all other accounts would be delayed.
 	It("keep the TTFT p95 of other accounts within 110 % when one account floods", func() {
 		o := mediumRun("liftwell", 0.7)
-		before := run(o).OthersOf("east")
+		before := run(o).FiguresWithout("east")
 		o.Workload = o.Workload.WithSurge("east", 10)
-		after := run(o).OthersOf("east")
+		after := run(o).FiguresWithout("east")
 		Expect(after.Refused).To(BeZero())
 		Expect(after.TTFT95).To(BeNumerically("<=", 1.1*float64(before.TTFT95)))
 	})
--- a/internal/wasabimeasure/measure_test.go
+++ b/internal/wasabimeasure/measure_test.go
@@ -82,7 +82,7 @@
 		It("violates no invariant under "+name, func() {
 			r := run(short("liftwell").WithFaults(faults[name]))
 			Expect(r.Violations).To(BeEmpty())
-			Expect(r.Answered + r.Refused + r.Cut).To(BeNumerically(">=", r.Requests))
+			Expect(r.Answered + r.Refused + r.Interrupted).To(BeNumerically(">=", r.Requests))
 		})
 	}
 
--- a/internal/wasabimeasure/pairs_test.go
+++ b/internal/wasabimeasure/pairs_test.go
@@ -28,7 +28,7 @@
 				o.Workload.Duration = 12 * wasabiridge.Second
 				r := run(o)
 				Expect(r.Violations).To(BeEmpty())
-				Expect(r.Answered + r.Refused + r.Cut).To(BeNumerically(">=", r.Requests))
+				Expect(r.Answered + r.Refused + r.Interrupted).To(BeNumerically(">=", r.Requests))
 			})
 		}
 	}
--- a/internal/wasabimeasure/report.go
+++ b/internal/wasabimeasure/report.go
@@ -23,17 +23,17 @@
 	// Goodput is the number of good answers per second of measured time.
 	Goodput  float64                          `json:"goodput_per_second"`
 	Reasons  map[wasabiridge.RefuseReason]int `json:"refusals_by_reason"`
-	Streams  []Named                          `json:"streams"`
-	Accounts []Named                          `json:"accounts"`
+	Streams  []NamedFigures                   `json:"streams"`
+	Accounts []NamedFigures                   `json:"accounts"`
 	// Breaches counts all violations of invariants; Violations describes the
 	// first maxViolations of them.
 	Breaches   int      `json:"breaches"`
 	Violations []string `json:"violations"`
-	// Cost50 and DecisionP99 are the median and the 99th percentile of the wall time
+	// DecisionP50 and DecisionP99 are the median and the 99th percentile of the wall time
 	// of placing an arrived request. They depend on the machine and are left out
 	// of the JSON, which must be the same for the same options.
-	Cost50 time.Duration `json:"-"`
-	Cost99 time.Duration `json:"-"`
+	DecisionP50 time.Duration `json:"-"`
+	DecisionP99 time.Duration `json:"-"`
 }
 
 func (sim *simulation) report() Report {
@@ -51,7 +51,7 @@
 	}
 	if decisionTimes := sim.tally.decisionTimes; len(decisionTimes) > 0 {
 		slices.Sort(decisionTimes)
-		r.Cost50, r.Cost99 = decisionTimes[len(decisionTimes)/2], decisionTimes[len(decisionTimes)*99/100]
+		r.DecisionP50, r.DecisionP99 = decisionTimes[len(decisionTimes)/2], decisionTimes[len(decisionTimes)*99/100]
 	}
 	return r
 }
@@ -70,7 +70,7 @@
 	for _, r := range reports {
 		fmt.Fprintf(t, "%s\t%s\t%d\t%v\t%d\t%.4f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.2f\t%d\n",
 			r.Workload, r.Policy, r.Seed, r.Faults, r.Requests, r.HitRate, r.TTFT50, r.TTFT95, r.TTFT99,
-			r.WastedTokens, r.Refused, r.Cut, r.Retries, r.Hedges, r.Goodput, r.Breaches)
+			r.WastedTokens, r.Refused, r.Interrupted, r.Retries, r.Hedges, r.Goodput, r.Breaches)
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -83,11 +83,11 @@
 	return nil
 }
 
-// WriteCosts writes the wall time of decisions, which differs between runs with
+// WriteDecisionTimes writes the wall time of decisions, which differs between runs with
 // the same seed.
-func WriteCosts(out io.Writer, reports []Report) error {
+func WriteDecisionTimes(out io.Writer, reports []Report) error {
 	for _, r := range reports {
-		if _, err := fmt.Fprintf(out, "cost of a decision, %s on %s: p50 %v, p99 %v\n", r.Policy, r.Workload, r.Cost50, r.Cost99); err != nil {
+		if _, err := fmt.Fprintf(out, "cost of a decision, %s on %s: p50 %v, p99 %v\n", r.Policy, r.Workload, r.DecisionP50, r.DecisionP99); err != nil {
 			return err
 		}
 	}
--- a/internal/wasabimeasure/tally.go
+++ b/internal/wasabimeasure/tally.go
@@ -19,11 +19,11 @@
 	// Good counts answered requests whose first token arrived by their deadline.
 	Good    int `json:"good"`
 	Refused int `json:"refused"`
-	// Cut counts truncated answers and requests whose outcome is unknown to the
+	// Interrupted counts truncated answers and requests whose outcome is unknown to the
 	// caller.
-	Cut     int `json:"cut"`
-	Retries int `json:"retries"`
-	Hedges  int `json:"hedges"`
+	Interrupted int `json:"cut"`
+	Retries     int `json:"retries"`
+	Hedges      int `json:"hedges"`
 	// HitRate is the fraction of prompt tokens that were cached, counted on
 	// servers with a cache only.
 	HitRate float64            `json:"hit_rate"`
@@ -129,7 +129,7 @@
 	sim.updateFigures(state, func(f *Figures) {
 		f.Refused++
 		if r.Disposition != wasabiridge.NotRun {
-			f.Cut++
+			f.Interrupted++
 		}
 	})
 	if sim.tally.reasons == nil {
@@ -163,25 +163,25 @@
 	return sorted[int(math.Ceil(q*float64(len(sorted))))-1]
 }
 
-// Named holds the figures of one stream or account, with its name.
-type Named struct {
+// NamedFigures holds the figures of one stream or account, with its name.
+type NamedFigures struct {
 	Name string `json:"name"`
 	Figures
 }
 
-func named(m map[string]*Figures) []Named {
-	var all []Named
+func named(m map[string]*Figures) []NamedFigures {
+	var all []NamedFigures
 	for name, f := range m {
 		f.summarize()
-		all = append(all, Named{name, *f})
+		all = append(all, NamedFigures{name, *f})
 	}
 	sort.Slice(all, func(a, b int) bool { return all[a].Name < all[b].Name })
 	return all
 }
 
-// OthersOf returns the combined figures of all accounts but the named one.
+// FiguresWithout returns the combined figures of all accounts but the named one.
 // Retries, hedges, cut answers and token counts are left at zero.
-func (r Report) OthersOf(name string) Figures {
+func (r Report) FiguresWithout(name string) Figures {
 	var f Figures
 	for _, a := range r.Accounts {
 		if a.Name == name {
--- a/internal/wasabimeasure/traffic.go
+++ b/internal/wasabimeasure/traffic.go
@@ -92,7 +92,7 @@
 	c := wasabiridge.Chain{
 		Root:        wasabiridge.CacheRoot{Account: account, Weights: 1},
 		BlockTokens: pool.BlockTokens,
-		Tokens:      s.TailTokens,
+		Tokens:      s.UniqueTokens,
 	}
 	hash := xxhash.Sum64String(string(account) + "/" + s.Name)
 	for _, level := range s.Levels {
--- a/internal/wasabimeasure/workload.go
+++ b/internal/wasabimeasure/workload.go
@@ -87,9 +87,9 @@
 	// streams.
 	Traffic float64 `json:"traffic"`
 	Levels  []Level `json:"levels"`
-	// TailTokens is the length of the unshared end of each prompt. It is never
+	// UniqueTokens is the length of the unshared end of each prompt. It is never
 	// cached and should be less than a block.
-	TailTokens   int `json:"tail_tokens"`
+	UniqueTokens int `json:"tail_tokens"`
 	OutputTokens int `json:"output_tokens"`
 	// Action is the action of the rule that matches the stream.
 	Action wasabiridge.Action `json:"action"`
