--- a/internal/wasabiconfig/spread_test.go
+++ b/internal/wasabiconfig/spread_test.go
@@ -97,7 +97,7 @@
 		config: wasabiconfig.NewMachine(s.rng.Uint64()),
 		member: wasabimember.New(s.now, wasabimember.Options{Self: s.entries[i], Incarnation: incarnation, Seed: s.rng.Uint64()}),
 	}
-	s.handleMember(i, wasabimember.Listed{Entries: s.entries})
+	s.handleMember(i, wasabimember.ListRead{Entries: s.entries})
 }
 
 func (s *simulation) upTo(span wasabiridge.Millis) wasabiridge.Millis {
@@ -146,7 +146,7 @@
 			s.exchange(i, s.index[effect.Address], effect.Heartbeat)
 		case wasabimember.Reply:
 			reply = effect.Heartbeat
-		case wasabimember.Heard:
+		case wasabimember.MemberReceived:
 			s.handle(i, wasabiconfig.VersionReceived{Address: effect.Member.PeerAddress, Version: effect.Member.Config})
 		}
 	}
@@ -158,11 +158,11 @@
 	s.count(h)
 	sender := s.instances[i]
 	s.send(i, j, func() {
-		reply := s.handleMember(j, wasabimember.Asked{Heartbeat: h})
+		reply := s.handleMember(j, wasabimember.HeartbeatReceived{Heartbeat: h})
 		s.count(reply)
 		s.send(j, i, func() {
 			if s.instances[i] == sender {
-				s.handleMember(i, wasabimember.Answered{Heartbeat: reply})
+				s.handleMember(i, wasabimember.ResponseReceived{Heartbeat: reply})
 			}
 		})
 	})
@@ -190,13 +190,13 @@
 		s.reads++
 		s.after(5, func() { s.readTable(i, e.Have) })
 	case wasabiconfig.Announce:
-		s.handleMember(i, wasabimember.AnnounceWanted{Count: e.Peers})
+		s.handleMember(i, wasabimember.AnnounceRequested{Count: e.Peers})
 	case wasabiconfig.Adopt:
 		if e.Document.Version <= n.inForce.Version {
 			s.violation = fmt.Sprintf("instance %d went from version %d to %d", i, n.inForce.Version, e.Document.Version)
 		}
 		n.inForce, n.adopted = e.Document, s.now
-		s.handleMember(i, wasabimember.ConfigInForce{Version: e.Document.Version})
+		s.handleMember(i, wasabimember.ConfigChanged{Version: e.Document.Version})
 	}
 }
 
--- a/internal/wasabidaemon/peers.go
+++ b/internal/wasabidaemon/peers.go
@@ -20,7 +20,7 @@
 type peers struct {
 	client  *wasabipeer.Client
 	server  *wasabipeer.Server
-	members *wasabimember.Keeper
+	members *wasabimember.Controller
 	// secret is shared by all instances. It authenticates peers and tickets.
 	secret []byte
 	// ready is set when all components exist that handle requests of peers.
@@ -47,7 +47,7 @@
 	if p.server, err = wasabipeer.Listen(s.Peer.Listen, peerHandler{daemon: d}, o); err != nil {
 		return err
 	}
-	p.members = wasabimember.NewKeeper(wasabimember.KeeperOptions{
+	p.members = wasabimember.NewController(wasabimember.ControllerOptions{
 		Self:              d.self(),
 		Incarnation:       d.incarnation,
 		Seed:              d.seed,
@@ -56,7 +56,7 @@
 		Peers:             p.client,
 		Log:               wasabilog.Part(d.log, "member"),
 		Recorder:          d.components.timeline,
-		OnHeard:           d.receiveMember,
+		OnReceive:         d.receiveMember,
 		OnBackendsLeaving: d.receiveLeaving,
 		HybridNow:         d.components.timeline.Now,
 		ObserveHybrid:     d.components.timeline.Observe,
@@ -186,7 +186,7 @@
 	if d.components.peers.members == nil {
 		return "", false
 	}
-	return d.components.peers.members.Locate(id)
+	return d.components.peers.members.PeerAddress(id)
 }
 
 // membership implements wasabiconfig.Membership over the daemon's membership view.
--- a/internal/wasabimember/doc.go
+++ b/internal/wasabimember/doc.go
@@ -29,12 +29,12 @@
 //
 // # Usage
 //
-//	keeper := wasabimember.NewController(wasabimember.ControllerOptions{
+//	controller := wasabimember.NewController(wasabimember.ControllerOptions{
 //		Self: entry, Incarnation: incarnation, Seed: seed,
 //		Clock: clock, List: platform, Peers: client,
-//		OnReceive: configKeeper.MemberReceived,
+//		OnReceive: configController.Receive,
 //	})
-//	go keeper.Run(ctx)
-//	reply, err := keeper.HandleExchange(ctx, heartbeat)
-//	members := keeper.Alive()
+//	go controller.Run(ctx)
+//	reply, err := controller.HandleExchange(ctx, heartbeat)
+//	members := controller.Alive()
 package wasabimember
--- a/internal/wasabimember/driver_test.go
+++ b/internal/wasabimember/driver_test.go
@@ -140,7 +140,7 @@
 		backends: map[wasabiridge.BackendServerID]bool{},
 		alive:    map[wasabiridge.InstanceID]bool{d.entries[i].ID: true},
 	}
-	d.post(i, wasabimember.Listed{Entries: d.list}, 0)
+	d.post(i, wasabimember.ListRead{Entries: d.list}, 0)
 	if incarnation == 1 {
 		d.post(i, wasabimember.Ticked{}, wasabiridge.Millis(d.random.Int64N(int64(tickEvery))))
 	}
@@ -201,23 +201,23 @@
 	for _, e := range n.machine.Handle(d.now, v.event) {
 		switch e := e.(type) {
 		case wasabimember.Exchange:
-			d.transmit(v.to, d.index(e.To), wasabimember.Asked{Heartbeat: e.Heartbeat}, e.Heartbeat)
+			d.transmit(v.to, d.index(e.To), wasabimember.HeartbeatReceived{Heartbeat: e.Heartbeat}, e.Heartbeat)
 		case wasabimember.Reply:
-			d.transmit(v.to, v.from, wasabimember.Answered(e), e.Heartbeat)
+			d.transmit(v.to, v.from, wasabimember.ResponseReceived(e), e.Heartbeat)
 		case wasabimember.Changed:
 			n.changed(e.Member)
 		case wasabimember.BackendsLeaving:
 			for _, b := range e.Backends {
 				n.backends[b] = true
 			}
-		case wasabimember.Heard:
+		case wasabimember.MemberReceived:
 			if e.Member.Config > n.config {
 				n.config = e.Member.Config
 				wait := 10 * wasabiridge.Millis(1)
 				if d.random.Float64() < d.lateFetches {
 					wait += wasabiridge.Second
 				}
-				d.post(v.to, wasabimember.ConfigInForce{Version: n.config}, wait)
+				d.post(v.to, wasabimember.ConfigChanged{Version: n.config}, wait)
 			}
 		}
 	}
--- a/internal/wasabimember/event.go
+++ b/internal/wasabimember/event.go
@@ -11,39 +11,39 @@
 // Ticked reports that time has passed. The driver sends one every 50 ms.
 type Ticked struct{}
 
-// Listed carries the platform's list of instances.
-type Listed struct{ Entries []wasabiridge.InstanceEntry }
+// ListRead carries the platform's list of instances.
+type ListRead struct{ Entries []wasabiridge.InstanceEntry }
 
-// Asked reports a heartbeat that another instance sent. Handling it emits
+// HeartbeatReceived reports a heartbeat that another instance sent. Handling it emits
 // exactly one Reply.
-type Asked struct{ Heartbeat wasabiridge.Heartbeat }
+type HeartbeatReceived struct{ Heartbeat wasabiridge.Heartbeat }
 
-// Answered carries the response to an Exchange. An Exchange that gets no
+// ResponseReceived carries the response to an Exchange. An Exchange that gets no
 // response needs no event.
-type Answered struct{ Heartbeat wasabiridge.Heartbeat }
+type ResponseReceived struct{ Heartbeat wasabiridge.Heartbeat }
 
 // LeaveStarted reports that this instance has begun to leave.
 type LeaveStarted struct{}
 
-// ConfigInForce reports the version of the configuration that is in force at
+// ConfigChanged reports the version of the configuration that is in force at
 // this instance.
-type ConfigInForce struct{ Version wasabiridge.ConfigVersion }
+type ConfigChanged struct{ Version wasabiridge.ConfigVersion }
 
 // BackendsLeft names backend servers that reported to this instance that they
 // are leaving.
 type BackendsLeft struct{ Backends []wasabiridge.BackendServerID }
 
-// AnnounceWanted requests heartbeats to Count random members at once.
-type AnnounceWanted struct{ Count int }
+// AnnounceRequested requests heartbeats to Count random members at once.
+type AnnounceRequested struct{ Count int }
 
-func (Ticked) isEvent()         {}
-func (Listed) isEvent()         {}
-func (Asked) isEvent()          {}
-func (Answered) isEvent()       {}
-func (LeaveStarted) isEvent()   {}
-func (ConfigInForce) isEvent()  {}
-func (BackendsLeft) isEvent()   {}
-func (AnnounceWanted) isEvent() {}
+func (Ticked) isEvent()            {}
+func (ListRead) isEvent()          {}
+func (HeartbeatReceived) isEvent() {}
+func (ResponseReceived) isEvent()  {}
+func (LeaveStarted) isEvent()      {}
+func (ConfigChanged) isEvent()     {}
+func (BackendsLeft) isEvent()      {}
+func (AnnounceRequested) isEvent() {}
 
 // Exchange requests that a heartbeat be sent to another instance.
 type Exchange struct {
@@ -59,9 +59,9 @@
 // state.
 type Changed struct{ Member wasabiridge.Member }
 
-// Heard reports a heartbeat that came from the member itself. Its Config is the
+// MemberReceived reports a heartbeat that came from the member itself. Its Config is the
 // version in force there, and that version can be fetched at its PeerAddress.
-type Heard struct{ Member wasabiridge.Member }
+type MemberReceived struct{ Member wasabiridge.Member }
 
 // BackendsLeaving names backend servers that, according to another instance,
 // must get no new requests.
@@ -70,5 +70,5 @@
 func (Exchange) isEffect()        {}
 func (Reply) isEffect()           {}
 func (Changed) isEffect()         {}
-func (Heard) isEffect()           {}
+func (MemberReceived) isEffect()  {}
 func (BackendsLeaving) isEffect() {}
--- a/internal/wasabimember/heartbeat.go
+++ b/internal/wasabimember/heartbeat.go
@@ -43,7 +43,7 @@
 	e.backoff, e.backoffUntil = 0, 0
 	m.endProbe(e)
 	m.confirmToRequesters(now, e)
-	m.emit(Heard{Member: e.member})
+	m.emit(MemberReceived{Member: e.member})
 }
 
 // applyReport applies what one instance reports about another.
--- a/internal/wasabimember/keeper.go
+++ b/internal/wasabimember/keeper.go
@@ -33,8 +33,8 @@
 	refreshInterval = wasabiridge.Second
 )
 
-// KeeperOptions configures a Controller.
-type KeeperOptions struct {
+// ControllerOptions configures a Controller.
+type ControllerOptions struct {
 	Self        wasabiridge.InstanceEntry
 	Incarnation wasabiridge.Incarnation
 	// Seed makes the random choices differ between instances.
@@ -46,10 +46,10 @@
 	Log   zerolog.Logger
 	// Recorder receives timeline events. Nil means that none are recorded.
 	Recorder wasabiridge.Recorder
-	// OnHeard is called for each heartbeat that comes from another instance
+	// OnReceive is called for each heartbeat that comes from another instance
 	// itself. The member's Config is in force there and can be fetched at its
 	// PeerAddress.
-	OnHeard func(m wasabiridge.Member)
+	OnReceive func(m wasabiridge.Member)
 	// OnBackendsLeaving is called with backend servers that, according to
 	// another instance, are leaving. Each of them is passed once.
 	OnBackendsLeaving func(backends []wasabiridge.BackendServerID)
@@ -60,12 +60,12 @@
 	ObserveHybrid func(at wasabiridge.Millis)
 }
 
-// Keeper runs a Machine with a clock, the platform's list and a peer client. It
+// Controller runs a Machine with a clock, the platform's list and a peer client. It
 // is safe for concurrent use. The callbacks in its options must not block. They
 // are called from the goroutine of Run, except ObserveHybrid, which may be
 // called from any goroutine.
-type Keeper struct {
-	options KeeperOptions
+type Controller struct {
+	options ControllerOptions
 	machine *Machine
 	summary Summary
 	inbox   chan delivery
@@ -90,10 +90,10 @@
 	reply chan wasabiridge.Heartbeat
 }
 
-// NewKeeper returns a keeper whose view contains its own instance only. Run
+// NewController returns a controller whose view contains its own instance only. Run
 // starts it.
-func NewKeeper(o KeeperOptions) *Keeper {
-	k := &Keeper{
+func NewController(o ControllerOptions) *Controller {
+	k := &Controller{
 		options: o,
 		machine: New(o.Clock.Now(), Options{Self: o.Self, Incarnation: o.Incarnation, Seed: o.Seed}),
 		inbox:   make(chan delivery, inboxSize),
@@ -106,7 +106,7 @@
 
 // Run feeds events to the machine until the context ends. It must be called
 // once only.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Controller) Run(ctx context.Context) {
 	defer close(k.done)
 	if k.options.List != nil {
 		go k.readList(ctx)
@@ -125,7 +125,7 @@
 	}
 }
 
-func (k *Keeper) handle(ctx context.Context, d delivery) {
+func (k *Controller) handle(ctx context.Context, d delivery) {
 	now := k.options.Clock.Now()
 	changed := now-k.snapshot.Load().at >= refreshInterval
 	for _, e := range k.machine.Handle(now, d.event) {
@@ -137,9 +137,9 @@
 		case Changed:
 			changed = true
 			k.record(now, e.Member)
-		case Heard:
-			if k.options.OnHeard != nil {
-				k.options.OnHeard(e.Member)
+		case MemberReceived:
+			if k.options.OnReceive != nil {
+				k.options.OnReceive(e.Member)
 			}
 		case BackendsLeaving:
 			if k.options.OnBackendsLeaving != nil {
@@ -153,24 +153,24 @@
 	k.summary.Write(now, k.options.Log, len(k.snapshot.Load().members))
 }
 
-func (k *Keeper) publish(now wasabiridge.Millis) {
+func (k *Controller) publish(now wasabiridge.Millis) {
 	k.snapshot.Store(&snapshot{alive: k.machine.Alive(), members: k.machine.Members(), at: now})
 }
 
-func (k *Keeper) addTimestamp(h wasabiridge.Heartbeat) wasabiridge.Heartbeat {
+func (k *Controller) addTimestamp(h wasabiridge.Heartbeat) wasabiridge.Heartbeat {
 	if k.options.HybridNow != nil {
 		h.SentAt = k.options.HybridNow()
 	}
 	return h
 }
 
-func (k *Keeper) observeTimestamp(h wasabiridge.Heartbeat) {
+func (k *Controller) observeTimestamp(h wasabiridge.Heartbeat) {
 	if k.options.ObserveHybrid != nil && h.SentAt != 0 {
 		k.options.ObserveHybrid(h.SentAt)
 	}
 }
 
-func (k *Keeper) record(now wasabiridge.Millis, m wasabiridge.Member) {
+func (k *Controller) record(now wasabiridge.Millis, m wasabiridge.Member) {
 	k.summary.Add(now, m)
 	if k.options.Recorder == nil {
 		return
@@ -183,7 +183,7 @@
 
 // exchange sends a heartbeat in a new goroutine. The response is posted as an
 // event; a failure needs none.
-func (k *Keeper) exchange(ctx context.Context, e Exchange) {
+func (k *Controller) exchange(ctx context.Context, e Exchange) {
 	select {
 	case k.outbox <- struct{}{}:
 	default:
@@ -203,7 +203,7 @@
 		}
 		k.observeTimestamp(answer)
 		select {
-		case k.inbox <- delivery{event: Answered{Heartbeat: answer}}:
+		case k.inbox <- delivery{event: ResponseReceived{Heartbeat: answer}}:
 		default:
 			k.dropped.Add(1)
 		}
@@ -213,9 +213,9 @@
 // HandleExchange responds to a heartbeat of another instance. It reports
 // wasabiridge.ErrUnavailable when the inbox is full or when the context ends
 // before the machine has handled the heartbeat.
-func (k *Keeper) HandleExchange(ctx context.Context, h wasabiridge.Heartbeat) (wasabiridge.Heartbeat, error) {
+func (k *Controller) HandleExchange(ctx context.Context, h wasabiridge.Heartbeat) (wasabiridge.Heartbeat, error) {
 	k.observeTimestamp(h)
-	d := delivery{event: Asked{Heartbeat: h}, reply: make(chan wasabiridge.Heartbeat, 1)}
+	d := delivery{event: HeartbeatReceived{Heartbeat: h}, reply: make(chan wasabiridge.Heartbeat, 1)}
 	select {
 	case k.inbox <- d:
 	default:
@@ -232,7 +232,7 @@
 
 // readList polls the platform's list for the machine until the context ends.
 // While the platform is down, the last list stays in use.
-func (k *Keeper) readList(ctx context.Context) {
+func (k *Controller) readList(ctx context.Context) {
 	wait := listRetry
 	for {
 		var entries []wasabiridge.InstanceEntry
@@ -242,7 +242,7 @@
 			wait = min(2*wait, listInterval)
 		} else {
 			wait = listInterval
-			k.post(ctx, Listed{Entries: entries})
+			k.post(ctx, ListRead{Entries: entries})
 		}
 		select {
 		case <-ctx.Done():
@@ -252,7 +252,7 @@
 	}
 }
 
-func (k *Keeper) post(ctx context.Context, e Event) {
+func (k *Controller) post(ctx context.Context, e Event) {
 	select {
 	case k.inbox <- delivery{event: e}:
 	case <-ctx.Done():
@@ -263,15 +263,15 @@
 // Alive returns the instances that callers may be sent to, including this one:
 // those that have sent a heartbeat or were reported alive, are not dead and are
 // not leaving. The slice must not be modified.
-func (k *Keeper) Alive() []wasabiridge.Member { return k.snapshot.Load().alive }
+func (k *Controller) Alive() []wasabiridge.Member { return k.snapshot.Load().alive }
 
 // Members returns the other instances that are not dead, including those that
 // are leaving. The slice must not be modified.
-func (k *Keeper) Members() []wasabiridge.Member { return k.snapshot.Load().members }
+func (k *Controller) Members() []wasabiridge.Member { return k.snapshot.Load().members }
 
-// Locate returns the peer address of an instance, and false when the instance
+// PeerAddress returns the peer address of an instance, and false when the instance
 // is not among Members.
-func (k *Keeper) Locate(id wasabiridge.InstanceID) (string, bool) {
+func (k *Controller) PeerAddress(id wasabiridge.InstanceID) (string, bool) {
 	for _, m := range k.Members() {
 		if m.ID == id {
 			return m.PeerAddress, true
@@ -280,26 +280,26 @@
 	return "", false
 }
 
-// Lost counts heartbeats and responses that were dropped at this instance
+// Dropped counts heartbeats and responses that were dropped at this instance
 // because its inbox or outbox was full.
-func (k *Keeper) Lost() uint64 { return k.refused.Load() + k.dropped.Load() }
+func (k *Controller) Dropped() uint64 { return k.refused.Load() + k.dropped.Load() }
 
 // Leave announces to all members that this instance is leaving.
-func (k *Keeper) Leave(ctx context.Context) { k.post(ctx, LeaveStarted{}) }
+func (k *Controller) Leave(ctx context.Context) { k.post(ctx, LeaveStarted{}) }
 
 // SetConfig sets the version of the configuration in force at this instance,
 // which heartbeats carry.
-func (k *Keeper) SetConfig(v wasabiridge.ConfigVersion) {
-	k.post(context.Background(), ConfigInForce{Version: v})
+func (k *Controller) SetConfig(v wasabiridge.ConfigVersion) {
+	k.post(context.Background(), ConfigChanged{Version: v})
 }
 
 // LeavingBackends announces to all members backend servers that are leaving.
-func (k *Keeper) LeavingBackends(backends ...wasabiridge.BackendServerID) {
+func (k *Controller) LeavingBackends(backends ...wasabiridge.BackendServerID) {
 	k.post(context.Background(), BackendsLeft{Backends: backends})
 }
 
 // Announce sends heartbeats to up to n random members at once, within the token
 // bucket for out-of-schedule heartbeats. It does not wait for the responses.
-func (k *Keeper) Announce(n int) {
-	k.post(context.Background(), AnnounceWanted{Count: n})
+func (k *Controller) Announce(n int) {
+	k.post(context.Background(), AnnounceRequested{Count: n})
 }
--- a/internal/wasabimember/keeper_test.go
+++ b/internal/wasabimember/keeper_test.go
@@ -15,15 +15,15 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabipeer"
 )
 
-// relay is a PeerHandler whose keeper is set after the server has started. Only
+// relay is a PeerHandler whose controller is set after the server has started. Only
 // heartbeats are used.
 type relay struct {
 	wasabiridge.PeerHandler
-	keeper atomic.Pointer[wasabimember.Keeper]
+	controller atomic.Pointer[wasabimember.Controller]
 }
 
 func (r *relay) HandleExchange(ctx context.Context, h wasabiridge.Heartbeat) (wasabiridge.Heartbeat, error) {
-	return r.keeper.Load().HandleExchange(ctx, h)
+	return r.controller.Load().HandleExchange(ctx, h)
 }
 
 // listed is a platform's list that never changes.
@@ -31,12 +31,12 @@
 
 func (l listed) Instances(context.Context) ([]wasabiridge.InstanceEntry, error) { return l, nil }
 
-// instance is a keeper behind a real peer service.
+// instance is a controller behind a real peer service.
 type instance struct {
-	keeper   *wasabimember.Keeper
-	config   atomic.Uint64
-	backends atomic.Int64
-	stop     func()
+	controller *wasabimember.Controller
+	config     atomic.Uint64
+	backends   atomic.Int64
+	stop       func()
 }
 
 func names(members []wasabiridge.Member) []string {
@@ -67,17 +67,17 @@
 		client, err := wasabipeer.NewClient(options)
 		Expect(err).NotTo(HaveOccurred())
 		n := &instance{}
-		n.keeper = wasabimember.NewKeeper(wasabimember.KeeperOptions{
+		n.controller = wasabimember.NewController(wasabimember.ControllerOptions{
 			Self: list[i], Incarnation: 1, Seed: uint64(i), Clock: wasabiclock.System(), List: list, Peers: client,
-			OnHeard:           func(m wasabiridge.Member) { n.config.Store(max(n.config.Load(), uint64(m.Config))) },
+			OnReceive:         func(m wasabiridge.Member) { n.config.Store(max(n.config.Load(), uint64(m.Config))) },
 			OnBackendsLeaving: func(b []wasabiridge.BackendServerID) { n.backends.Add(int64(len(b))) },
 		})
-		relays[i].keeper.Store(n.keeper)
+		relays[i].controller.Store(n.controller)
 		ctx, cancel := context.WithCancel(context.Background())
 		stopped := make(chan struct{})
 		go func() {
 			defer close(stopped)
-			n.keeper.Run(ctx)
+			n.controller.Run(ctx)
 		}()
 		n.stop = func() {
 			cancel()
@@ -96,34 +96,34 @@
 	It("discover each other, spread updates and remove an instance that crashes", func() {
 		all := startInstances(4)
 		for _, n := range all {
-			Eventually(func() []string { return names(n.keeper.Alive()) }, "20s").Should(HaveLen(4))
+			Eventually(func() []string { return names(n.controller.Alive()) }, "20s").Should(HaveLen(4))
 		}
-		all[0].keeper.SetConfig(5)
-		all[1].keeper.LeavingBackends("b")
-		all[2].keeper.Announce(2)
+		all[0].controller.SetConfig(5)
+		all[1].controller.LeavingBackends("b")
+		all[2].controller.Announce(2)
 		Eventually(all[3].config.Load, "20s").Should(BeEquivalentTo(5))
 		Eventually(all[3].backends.Load, "20s").Should(BeEquivalentTo(1))
 
-		address, known := all[0].keeper.Locate("i2")
+		address, known := all[0].controller.PeerAddress("i2")
 		Expect(address).NotTo(BeEmpty())
 		Expect(known).To(BeTrue())
-		all[1].keeper.Leave(context.Background())
+		all[1].controller.Leave(context.Background())
 		all[2].stop()
 		for _, i := range []int{0, 3} {
-			Eventually(func() []string { return names(all[i].keeper.Alive()) }, "20s").Should(Equal([]string{"i0", "i3"}))
-			Eventually(func() []string { return names(all[i].keeper.Members()) }, "20s").Should(ContainElement("i1"))
+			Eventually(func() []string { return names(all[i].controller.Alive()) }, "20s").Should(Equal([]string{"i0", "i3"}))
+			Eventually(func() []string { return names(all[i].controller.Members()) }, "20s").Should(ContainElement("i1"))
 		}
-		_, known = all[0].keeper.Locate("i2")
+		_, known = all[0].controller.PeerAddress("i2")
 		Expect(known).To(BeFalse())
 		for _, i := range []int{0, 1, 3} {
 			all[i].stop()
 		}
-		all[0].keeper.SetConfig(6)
-		Expect(all[0].keeper.Lost()).To(BeNumerically("<", 1000))
+		all[0].controller.SetConfig(6)
+		Expect(all[0].controller.Dropped()).To(BeNumerically("<", 1000))
 	})
 
 	It("refuse heartbeats instead of queueing them without bound while the machine does not run", func() {
-		k := wasabimember.NewKeeper(wasabimember.KeeperOptions{Self: entryOf(0), Clock: wasabiclock.System()})
+		k := wasabimember.NewController(wasabimember.ControllerOptions{Self: entryOf(0), Clock: wasabiclock.System()})
 		ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 		defer cancel()
 		h := wasabiridge.Heartbeat{From: wasabiridge.Member{InstanceEntry: entryOf(1)}}
@@ -131,6 +131,6 @@
 			_, err := k.HandleExchange(ctx, h)
 			Expect(err).To(HaveOccurred())
 		}
-		Expect(k.Lost()).To(BeEquivalentTo(300 - 256))
+		Expect(k.Dropped()).To(BeEquivalentTo(300 - 256))
 	})
 })
--- a/internal/wasabimember/machine.go
+++ b/internal/wasabimember/machine.go
@@ -73,22 +73,22 @@
 	switch e := e.(type) {
 	case Ticked:
 		m.tick(now)
-	case Listed:
+	case ListRead:
 		m.listed(now, e.Entries)
-	case Asked:
+	case HeartbeatReceived:
 		m.receive(now, e.Heartbeat)
 		m.emit(Reply{Heartbeat: m.compose(now, m.table.get(e.Heartbeat.From.ID))})
-	case Answered:
+	case ResponseReceived:
 		m.receive(now, e.Heartbeat)
 	case LeaveStarted:
 		m.leave(now)
-	case ConfigInForce:
-		m.configInForce(e.Version)
+	case ConfigChanged:
+		m.configChanged(e.Version)
 	case BackendsLeft:
 		for _, b := range e.Backends {
 			m.broadcastDue = m.leaving.add(now, b) || m.broadcastDue
 		}
-	case AnnounceWanted:
+	case AnnounceRequested:
 		m.announce(now, e.Count)
 	}
 	m.broadcast(now)
@@ -135,7 +135,7 @@
 	m.recordChange(now, m.self, 0)
 }
 
-func (m *Machine) configInForce(v wasabiridge.ConfigVersion) {
+func (m *Machine) configChanged(v wasabiridge.ConfigVersion) {
 	if v <= m.self.member.Config {
 		return
 	}
--- a/internal/wasabimember/measure_test.go
+++ b/internal/wasabimember/measure_test.go
@@ -109,7 +109,7 @@
 func (d *driver) changeConfig(i int, v wasabiridge.ConfigVersion) wasabiridge.Millis {
 	d.run(30*wasabiridge.Second + wasabiridge.Millis(d.random.Int64N(int64(wasabiridge.Second))))
 	d.instances[i].config = v
-	d.post(i, wasabimember.ConfigInForce{Version: v}, 0)
+	d.post(i, wasabimember.ConfigChanged{Version: v}, 0)
 	return d.runUntil(d.now+wasabiridge.Minute, func() bool {
 		return len(d.others(func(n *simInstance) bool { return n.machine.Config() == v })) == 0
 	})
@@ -130,7 +130,7 @@
 			runtime.ReadMemStats(&after)
 			m, now := d.instances[0].machine, d.now
 			h := wasabiridge.Heartbeat{From: m.Members()[0], Digest: 1}
-			for _, e := range m.Handle(now, wasabimember.Asked{Heartbeat: h}) {
+			for _, e := range m.Handle(now, wasabimember.HeartbeatReceived{Heartbeat: h}) {
 				if r, ok := e.(wasabimember.Reply); ok {
 					h.Digest = r.Heartbeat.Digest
 				}
@@ -142,8 +142,8 @@
 					m.Handle(now, wasabimember.Ticked{})
 				}
 				for range 3 {
-					m.Handle(now, wasabimember.Asked{Heartbeat: h})
-					m.Handle(now, wasabimember.Answered{Heartbeat: h})
+					m.Handle(now, wasabimember.HeartbeatReceived{Heartbeat: h})
+					m.Handle(now, wasabimember.ResponseReceived{Heartbeat: h})
 				}
 			}
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(size), "B/instance")
--- a/internal/wasabimember/member_test.go
+++ b/internal/wasabimember/member_test.go
@@ -74,7 +74,7 @@
 	},
 	// An operator's change is accepted at one instance.
 	"a configuration is accepted": {
-		cause: func(d *driver, i int) { d.post(i, wasabimember.ConfigInForce{Version: 7}, 0) },
+		cause: func(d *driver, i int) { d.post(i, wasabimember.ConfigChanged{Version: 7}, 0) },
 		seen:  func(d *driver, i int, n *simInstance) bool { return n == d.instances[i] || n.config == 7 },
 	},
 	// An instance is replaced; its next incarnation starts at once.
@@ -196,7 +196,7 @@
 		for range 600 {
 			d.run(100)
 			Expect(d.others(func(n *simInstance) bool { return !n.alive[d.entries[8].ID] })).To(BeEmpty())
-			d.post(0, wasabimember.Listed{Entries: d.entries}, 0)
+			d.post(0, wasabimember.ListRead{Entries: d.entries}, 0)
 		}
 		Expect(d.sees(8)).To(BeTrue())
 	})
--- a/internal/wasabimember/partition_test.go
+++ b/internal/wasabimember/partition_test.go
@@ -42,7 +42,7 @@
 		It("keep serving, reconnect and do not flap: "+name, func() {
 			p := partitions[name]
 			d := started(p.count, wasabitest.Seed, tenPercent)
-			d.post(0, wasabimember.ConfigInForce{Version: 3}, 0)
+			d.post(0, wasabimember.ConfigChanged{Version: 3}, 0)
 			d.run(10 * wasabiridge.Second)
 			before := make([]int, p.count)
 			for i, n := range d.instances {
@@ -55,7 +55,7 @@
 					Expect(n.alive[e.ID]).To(Equal(p.group(i) == p.group(other)), "%s about %s", n.id, e.ID)
 				}
 			}
-			d.post(0, wasabimember.ConfigInForce{Version: 4}, 0)
+			d.post(0, wasabimember.ConfigChanged{Version: 4}, 0)
 			d.run(p.lasts)
 			d.partitioned = func(int, int) bool { return false }
 			took := d.runUntil(d.now+5*wasabiridge.Minute, func() bool { return d.sees(p.count) })
--- a/internal/wasabinode/node.go
+++ b/internal/wasabinode/node.go
@@ -146,7 +146,7 @@
 	upgrade        *wasabiupgrade.Keeper
 	client         *wasabipeer.Client
 	server         *wasabipeer.Server
-	members        *wasabimember.Keeper
+	members        *wasabimember.Controller
 	book           *wasabiaddress.Selector
 	roster         *roster
 	activeConfig   atomic.Pointer[activeConfig]
@@ -273,7 +273,7 @@
 		return err
 	}
 	n.roster = &roster{seeds: s.Seeds, table: n.options.Platform.Table, self: n.self(), alone: n.isAlone, rank: n.rank}
-	n.members = wasabimember.NewKeeper(wasabimember.KeeperOptions{
+	n.members = wasabimember.NewController(wasabimember.ControllerOptions{
 		Self: n.self(), Incarnation: n.incarnation, Seed: seed, Clock: n.options.Clock,
 		List: n.roster, Peers: n.client, Log: wasabilog.Part(n.log, "member"), Recorder: n.timeline,
 		HybridNow: n.timeline.Now, ObserveHybrid: n.timeline.Observe,
