--- a/internal/wasabidaemon/operator.go
+++ b/internal/wasabidaemon/operator.go
@@ -90,13 +90,13 @@
 // registerGauges registers the functions that return the values of gauges.
 func (d *Daemon) registerGauges() {
 	gauges := map[wasabimetrics.Name]func() int64{
-		wasabimetrics.RequestsOpen:    func() int64 { return int64(d.components.gateway.OpenRequests()) },
-		wasabimetrics.ConfigVersion:   func() int64 { return int64(d.current().Version) },
-		wasabimetrics.MembersKnown:    func() int64 { return int64(len(d.members())) },
-		wasabimetrics.ProcessRoutines: func() int64 { return int64(runtime.NumGoroutine()) },
+		wasabimetrics.RequestsOpen:      func() int64 { return int64(d.components.gateway.OpenRequests()) },
+		wasabimetrics.ConfigVersion:     func() int64 { return int64(d.current().Version) },
+		wasabimetrics.MembersKnown:      func() int64 { return int64(len(d.members())) },
+		wasabimetrics.ProcessGoroutines: func() int64 { return int64(runtime.NumGoroutine()) },
 	}
 	for name, f := range gauges {
-		if err := d.components.metrics.GaugeFunc(name, f); err != nil {
+		if err := d.components.metrics.RegisterGauge(name, f); err != nil {
 			d.log.Error().Err(err).Str("metric", string(name)).Msg("Cannot register a gauge: the metric is not defined.")
 		}
 	}
--- a/internal/wasabimetrics/definition.go
+++ b/internal/wasabimetrics/definition.go
@@ -23,25 +23,25 @@
 // Names of all metrics except the event counters, whose names are made by
 // eventCounter.
 const (
-	RequestsOpen    Name = "requests.open"
-	FirstToken      Name = "requests.first_token"
-	ConfigVersion   Name = "config.version"
-	MembersKnown    Name = "members.known"
-	MembersSuspect  Name = "members.suspect"
-	BackendsLost    Name = "backends.lost"
-	TimelineEvents  Name = "timeline.events"
-	TimelineDropped Name = "timeline.dropped"
-	TimelineLost    Name = "timeline.unpublished"
-	TimelineUnread  Name = "timeline.unreadable"
-	TimelineSkews   Name = "timeline.refused_skews"
-	OutcomeSeries   Name = "outcomes.series"
-	OutcomeFolded   Name = "outcomes.folded"
-	OutcomeWrites   Name = "outcomes.writes"
-	OutcomeFailures Name = "outcomes.write_failures"
-	OutcomePending  Name = "outcomes.unwritten_age"
-	OutcomeDropped  Name = "outcomes.dropped_days"
-	ProcessRoutines Name = "process.goroutines"
-	ProcessHeap     Name = "process.heap"
+	RequestsOpen         Name = "requests.open"
+	FirstToken           Name = "requests.first_token"
+	ConfigVersion        Name = "config.version"
+	MembersKnown         Name = "members.known"
+	MembersSuspect       Name = "members.suspect"
+	BackendsLost         Name = "backends.lost"
+	TimelineEvents       Name = "timeline.events"
+	TimelineDropped      Name = "timeline.dropped"
+	TimelineUnpublished  Name = "timeline.unpublished"
+	TimelineUnreadable   Name = "timeline.unreadable"
+	TimelineSkews        Name = "timeline.refused_skews"
+	OutcomeSeries        Name = "outcomes.series"
+	OutcomeFolded        Name = "outcomes.folded"
+	OutcomeWrites        Name = "outcomes.writes"
+	OutcomeWriteFailures Name = "outcomes.write_failures"
+	OutcomeUnwrittenAge  Name = "outcomes.unwritten_age"
+	OutcomeDropped       Name = "outcomes.dropped_days"
+	ProcessGoroutines    Name = "process.goroutines"
+	ProcessHeap          Name = "process.heap"
 )
 
 // Definition describes one metric.
@@ -103,16 +103,16 @@
 		{BackendsLost, KindGauge, "backend servers", "Backend servers that cannot be reached from here."},
 		{TimelineEvents, KindGauge, "events", "Time line events recorded since the start."},
 		{TimelineDropped, KindGauge, "events", "Time line events overwritten since the start. It rises for ever once the ring is full; its rate tells how far back the ring reaches."},
-		{TimelineLost, KindCounter, "events", "Time line events overwritten before subscribers in the process saw them. The event counters below miss them."},
-		{TimelineUnread, KindCounter, "messages", "Messages of the time line that could not be decoded."},
+		{TimelineUnpublished, KindCounter, "events", "Time line events overwritten before subscribers in the process saw them. The event counters below miss them."},
+		{TimelineUnreadable, KindCounter, "messages", "Messages of the time line that could not be decoded."},
 		{TimelineSkews, KindGauge, "messages", "Messages whose clock was too far ahead to be followed."},
 		{OutcomeSeries, KindGauge, "series", "Series of account, rule and model held for the current day."},
 		{OutcomeFolded, KindGauge, "requests", "Requests counted under the account ~other for lack of room, since the start."},
 		{OutcomeWrites, KindGauge, "objects", "Outcome objects written since the start."},
-		{OutcomeFailures, KindGauge, "objects", "Outcome writes that failed or whose end is unknown."},
-		{OutcomePending, KindGauge, "ms", "Age of the oldest outcome that is not in the store: what would be lost if this process died now."},
+		{OutcomeWriteFailures, KindGauge, "objects", "Outcome writes that failed or whose end is unknown."},
+		{OutcomeUnwrittenAge, KindGauge, "ms", "Age of the oldest outcome that is not in the store: what would be lost if this process died now."},
 		{OutcomeDropped, KindGauge, "days", "Days of outcomes given up because the store was away for too long."},
-		{ProcessRoutines, KindGauge, "goroutines", "Goroutines of the process."},
+		{ProcessGoroutines, KindGauge, "goroutines", "Goroutines of the process."},
 		{ProcessHeap, KindGauge, "bytes", "Heap in use."},
 	}
 	for _, k := range eventKinds {
--- a/internal/wasabimetrics/metrics.go
+++ b/internal/wasabimetrics/metrics.go
@@ -89,10 +89,10 @@
 	return metrics.NilHistogram{}
 }
 
-// GaugeFunc registers the function that returns the current value of a gauge. It
+// RegisterGauge registers the function that returns the current value of a gauge. It
 // reports ErrNotFound if n is not a defined gauge, and ErrConflict if n is
 // registered already.
-func (s *Set) GaugeFunc(n Name, f func() int64) error {
+func (s *Set) RegisterGauge(n Name, f func() int64) error {
 	if !isGauge(n) {
 		return wasabiridge.ErrNotFound.New("metrics: %s is not a defined gauge", n)
 	}
@@ -114,15 +114,15 @@
 // Gauges maps gauges to the functions that return their current values.
 type Gauges map[Name]func() int64
 
-// Set registers gauges with RegisterGauge, in the order of Definitions, and returns
-// the first error. Names without a definition are ignored.
-func (s *Set) Set(gauges Gauges) error {
+// RegisterGauges registers gauges with RegisterGauge, in the order of Definitions, and
+// returns the first error. Names without a definition are ignored.
+func (s *Set) RegisterGauges(gauges Gauges) error {
 	for _, d := range Definitions() {
 		f, found := gauges[d.Name]
 		if !found {
 			continue
 		}
-		if err := s.GaugeFunc(d.Name, f); err != nil {
+		if err := s.RegisterGauge(d.Name, f); err != nil {
 			return err
 		}
 	}
@@ -141,19 +141,19 @@
 // OutcomeGauges returns the gauges of an outcome recorder.
 func OutcomeGauges(r *wasabioutcome.Recorder) Gauges {
 	return Gauges{
-		OutcomeSeries:   func() int64 { return int64(r.Stats().Series) },
-		OutcomeFolded:   func() int64 { return int64(r.Stats().Folded) },
-		OutcomeWrites:   func() int64 { return int64(r.Stats().Writes) },
-		OutcomeFailures: func() int64 { return int64(r.Stats().Failures) },
-		OutcomePending:  func() int64 { return int64(r.Stats().Unwritten) },
-		OutcomeDropped:  func() int64 { return int64(r.Stats().DroppedDays) },
+		OutcomeSeries:        func() int64 { return int64(r.Stats().Series) },
+		OutcomeFolded:        func() int64 { return int64(r.Stats().Folded) },
+		OutcomeWrites:        func() int64 { return int64(r.Stats().Writes) },
+		OutcomeWriteFailures: func() int64 { return int64(r.Stats().Failures) },
+		OutcomeUnwrittenAge:  func() int64 { return int64(r.Stats().Unwritten) },
+		OutcomeDropped:       func() int64 { return int64(r.Stats().DroppedDays) },
 	}
 }
 
 // ProcessGauges returns the gauges of the Go runtime of this process.
 func ProcessGauges() Gauges {
 	return Gauges{
-		ProcessRoutines: func() int64 { return int64(runtime.NumGoroutine()) },
+		ProcessGoroutines: func() int64 { return int64(runtime.NumGoroutine()) },
 		ProcessHeap: func() int64 {
 			sample := []rtmetrics.Sample{{Name: heapMetric}}
 			rtmetrics.Read(sample)
@@ -199,10 +199,10 @@
 func (s *Set) countMessage(m *message.Message) {
 	batch, err := wasabitimeline.BatchOf(m)
 	if err != nil {
-		s.Counter(TimelineUnread).Inc(1)
+		s.Counter(TimelineUnreadable).Inc(1)
 		return
 	}
-	s.Counter(TimelineLost).Inc(int64(batch.Lost))
+	s.Counter(TimelineUnpublished).Inc(int64(batch.Lost))
 	for _, e := range batch.Events {
 		s.Counter(eventCounter(e.Kind)).Inc(1)
 		if e.Kind == wasabiridge.EventFirstToken {
--- a/internal/wasabimetrics/metrics_test.go
+++ b/internal/wasabimetrics/metrics_test.go
@@ -31,8 +31,8 @@
 		for _, d := range wasabimetrics.Definitions() {
 			if d.Kind == wasabimetrics.KindGauge {
 				Expect(set.Names()).NotTo(ContainElement(d.Name), "a gauge that was not registered")
-				Expect(set.GaugeFunc(d.Name, func() int64 { return 1 })).To(Succeed())
-				Expect(set.GaugeFunc(d.Name, func() int64 { return 2 })).NotTo(Succeed())
+				Expect(set.RegisterGauge(d.Name, func() int64 { return 1 })).To(Succeed())
+				Expect(set.RegisterGauge(d.Name, func() int64 { return 2 })).NotTo(Succeed())
 			}
 			Expect(d.Unit).NotTo(BeEmpty(), string(d.Name))
 			Expect(d.Help).To(HaveSuffix("."), string(d.Name))
@@ -57,16 +57,16 @@
 		close(messages)
 		set.Watch(context.Background(), messages)
 		Expect(set.Counter(wasabimetrics.RequestsArrived).Count()).To(Equal(int64(1)))
-		Expect(set.Counter(wasabimetrics.TimelineLost).Count()).To(Equal(int64(3)))
-		Expect(set.Counter(wasabimetrics.TimelineUnread).Count()).To(Equal(int64(1)))
+		Expect(set.Counter(wasabimetrics.TimelineUnpublished).Count()).To(Equal(int64(3)))
+		Expect(set.Counter(wasabimetrics.TimelineUnreadable).Count()).To(Equal(int64(1)))
 		Expect(set.Histogram(wasabimetrics.FirstToken).Max()).To(Equal(int64(212)))
 	})
 
 	It("writes gauges as JSON and rejects names that are not defined gauges", func() {
 		set := wasabimetrics.New()
-		Expect(set.GaugeFunc(wasabimetrics.RequestsOpen, func() int64 { return 42 })).To(Succeed())
-		Expect(set.GaugeFunc("unheard.of", func() int64 { return 1 })).NotTo(Succeed())
-		Expect(set.GaugeFunc(wasabimetrics.FirstToken, func() int64 { return 1 })).NotTo(Succeed())
+		Expect(set.RegisterGauge(wasabimetrics.RequestsOpen, func() int64 { return 42 })).To(Succeed())
+		Expect(set.RegisterGauge("unheard.of", func() int64 { return 1 })).NotTo(Succeed())
+		Expect(set.RegisterGauge(wasabimetrics.FirstToken, func() int64 { return 1 })).NotTo(Succeed())
 		var out bytes.Buffer
 		Expect(set.WriteMetrics(&out)).To(Succeed())
 		var values map[string]map[string]any
@@ -86,8 +86,8 @@
 			wasabimetrics.TimelineGauges(log), wasabimetrics.ProcessGauges(),
 			wasabimetrics.OutcomeGauges(wasabioutcome.New(wasabioutcome.Options{Clock: clock})),
 		} {
-			Expect(set.Set(gauges)).To(Succeed())
-			Expect(set.Set(gauges)).NotTo(Succeed())
+			Expect(set.RegisterGauges(gauges)).To(Succeed())
+			Expect(set.RegisterGauges(gauges)).NotTo(Succeed())
 		}
 		var out bytes.Buffer
 		Expect(set.WriteMetrics(&out)).To(Succeed())
