--- a/cmd/wasabirouter/hosted.go
+++ b/cmd/wasabirouter/hosted.go
@@ -24,8 +24,8 @@
 	parts := platform.Connect(platform.Options{Store: s.Hosted.Store, Clock: clock, Instance: s.Instance})
 	var node *wasabinode.Node
 	var err error
-	node, err = wasabinode.New(wasabinode.Options{Settings: s, Clock: clock, Log: log, LinesDropped: log.Dropped, Platform: wasabinode.Platform{
-		Protocol: parts.Callers, Runner: parts.Replicas, Source: parts.Store, Table: parts.Store, Engines: parts.Orders, Caches: parts.Caches, Mover: parts.Moves,
+	node, err = wasabinode.New(wasabinode.Options{Settings: s, Clock: clock, Log: log, DroppedLogLines: log.Dropped, Platform: wasabinode.Platform{
+		Protocol: parts.Callers, Runner: parts.Replicas, Source: parts.Store, Table: parts.Store, Engines: parts.Orders, Caches: parts.Caches, Migrator: parts.Moves,
 		Directory: platform.Directory, Ready: platform.Ready,
 	}})
 	if err != nil {
--- a/internal/wasabinode/metrics.go
+++ b/internal/wasabinode/metrics.go
@@ -14,8 +14,8 @@
 	v := n.catalog.View()
 	reads, failed, queries := n.catalog.Calls()
 	dropped := uint64(0)
-	if n.options.LinesDropped != nil {
-		dropped = n.options.LinesDropped()
+	if n.options.DroppedLogLines != nil {
+		dropped = n.options.DroppedLogLines()
 	}
 	lines := []string{
 		line("requests_open", int64(n.relay.Open())),
--- a/internal/wasabinode/node.go
+++ b/internal/wasabinode/node.go
@@ -102,9 +102,9 @@
 	Table    wasabiridge.Table
 	Engines  wasabiridge.EngineOperator
 	Caches   wasabiridge.CacheReader
-	// Mover migrates in-flight requests between backend servers. With nil none are
+	// Migrator migrates in-flight requests between backend servers. With nil none are
 	// migrated.
-	Mover wasabiridge.RequestMigrator
+	Migrator wasabiridge.RequestMigrator
 	// Directory returns the handler that gives callers the addresses of instances.
 	// Ready returns the handler of the platform's readiness check.
 	Directory func(nearest func(wasabiridge.AvailabilityZone) ([]string, wasabiridge.Millis)) http.Handler
@@ -118,8 +118,8 @@
 	Platform Platform
 	// Log receives the log lines. With nil they are discarded. It must not block.
 	Log io.Writer
-	// LinesDropped returns the number of lines that Log has dropped. Nil means none.
-	LinesDropped func() uint64
+	// DroppedLogLines returns the number of lines that Log has dropped. Nil means none.
+	DroppedLogLines func() uint64
 }
 
 // Node is one router instance. It is safe for concurrent use.
@@ -239,7 +239,7 @@
 		Runner: o.Platform.Runner, Protocol: o.Platform.Protocol, View: n.view,
 		KeyLife:  func() wasabiridge.Millis { return n.terms.Load().KeyLife - keyMargin },
 		DenyLife: func() wasabiridge.Millis { return n.terms.Load().ConfigLife * denyPercent / 100 },
-		Leaving:  n.leaving.Load, Mover: o.Platform.Mover, Names: wasabifingerprint.New([]byte(openPeerKey)),
+		Leaving:  n.leaving.Load, Mover: o.Platform.Migrator, Names: wasabifingerprint.New([]byte(openPeerKey)),
 	})
 	n.book = wasabiaddress.New(wasabiaddress.Options{
 		Self: n.self(), Members: n.members.Members, Lifetime: wasabiridge.Millis(addressShare * float64(n.bounds.AddressLife)),
