--- a/examples/rules/main.go
+++ b/examples/rules/main.go
@@ -33,7 +33,7 @@
 		log.Fatal(err)
 	}
 	for _, tokens := range []int{31_000, 200} {
-		e := wasabioperator.Explain(cfg, wasabioperator.ExplainBody{
+		e := wasabioperator.Explain(cfg, wasabioperator.ExplainRequest{
 			Account: "liftwell", Method: "POST", Path: "/v1/chat/completions", PromptTokens: tokens,
 		})
 		fmt.Printf("A prompt of %d tokens matches rule %q.\n", tokens, e.Rule)
--- a/internal/wasabiclient/call.go
+++ b/internal/wasabiclient/call.go
@@ -67,8 +67,8 @@
 }
 
 // Explain returns which rule applies to a request.
-func (c *Client) Explain(ctx context.Context, q wasabioperator.ExplainBody) (wasabioperator.ExplanationBody, error) {
-	var e wasabioperator.ExplanationBody
+func (c *Client) Explain(ctx context.Context, q wasabioperator.ExplainRequest) (wasabioperator.ExplainResponse, error) {
+	var e wasabioperator.ExplainResponse
 	err := c.post(ctx, "/v1/rules/explain", q, &e)
 	return e, err
 }
--- a/internal/wasabiclient/client.go
+++ b/internal/wasabiclient/client.go
@@ -215,7 +215,7 @@
 // readError converts an error answer to an error. It returns ErrInvalid when the
 // answer does not have the form of the operators' API.
 func readError(response *http.Response, data []byte) error {
-	var answer wasabioperator.ErrorAnswer
+	var answer wasabioperator.ErrorResponse
 	if err := json.Unmarshal(data, &answer); err != nil || answer.Error.Code == "" {
 		return wasabiridge.ErrInvalid.New("client: HTTP status %s from a server that is not a router", response.Status)
 	}
@@ -224,8 +224,8 @@
 		return ErrRouter.New("%s", answer.Error.Message)
 	}
 	err := kind.New("%s", answer.Error.Message)
-	if answer.Error.Theirs != nil {
-		err = err.WithProperty(theirs, *answer.Error.Theirs)
+	if answer.Error.ConflictingConfig != nil {
+		err = err.WithProperty(theirs, *answer.Error.ConflictingConfig)
 	}
 	return err
 }
--- a/internal/wasabicommand/rules.go
+++ b/internal/wasabicommand/rules.go
@@ -17,7 +17,7 @@
 
 func (a *app) rulesExplain() *cobra.Command {
 	var (
-		query   wasabioperator.ExplainBody
+		query   wasabioperator.ExplainRequest
 		account string
 		model   string
 		headers []string
@@ -57,26 +57,26 @@
 	return c
 }
 
-func (a *app) explain(c *cobra.Command, q wasabioperator.ExplainBody, file string) (wasabioperator.ExplanationBody, error) {
+func (a *app) explain(c *cobra.Command, q wasabioperator.ExplainRequest, file string) (wasabioperator.ExplainResponse, error) {
 	if file == "" {
 		client, err := a.client()
 		if err != nil {
-			return wasabioperator.ExplanationBody{}, err
+			return wasabioperator.ExplainResponse{}, err
 		}
 		return client.Explain(c.Context(), q)
 	}
 	text, _, err := a.readConfig(file)
 	if err != nil {
-		return wasabioperator.ExplanationBody{}, err
+		return wasabioperator.ExplainResponse{}, err
 	}
 	cfg, err := wasabirule.Parse(text)
 	if err != nil {
-		return wasabioperator.ExplanationBody{}, err
+		return wasabioperator.ExplainResponse{}, err
 	}
 	return wasabioperator.Explain(cfg, q), nil
 }
 
-func (a *app) showExplanation(e wasabioperator.ExplanationBody) error {
+func (a *app) showExplanation(e wasabioperator.ExplainResponse) error {
 	t := newTable("RULE", "MATCHES", "WHY NOT")
 	for _, line := range e.Lines {
 		t.add(line.Rule, yesNo(line.Matches), orDash(line.Why))
--- a/internal/wasabioperator/body.go
+++ b/internal/wasabioperator/body.go
@@ -24,8 +24,8 @@
 	CodeInternal       Code = "internal"
 )
 
-// ErrorAnswer is the body of every error response.
-type ErrorAnswer struct {
+// ErrorResponse is the body of every error response.
+type ErrorResponse struct {
 	Error ErrorBody `json:"error"`
 }
 
@@ -33,9 +33,9 @@
 type ErrorBody struct {
 	Code    Code   `json:"code"`
 	Message string `json:"message"`
-	// Theirs is the newest configuration when the error is a conflict: another
+	// ConflictingConfig is the newest configuration when the error is a conflict: another
 	// operator changed it first.
-	Theirs *DocumentBody `json:"theirs,omitempty"`
+	ConflictingConfig *DocumentBody `json:"theirs,omitempty"`
 }
 
 // DocumentBody is a configuration as it was accepted.
@@ -64,8 +64,8 @@
 	Instances []wasabiridge.InstanceConfig `json:"instances"`
 }
 
-// ExplainBody describes a request whose matching rule is queried.
-type ExplainBody struct {
+// ExplainRequest describes a request whose matching rule is queried.
+type ExplainRequest struct {
 	Account wasabiridge.ClientAccountID `json:"account"`
 	Method  string                      `json:"method"`
 	Path    string                      `json:"path"`
@@ -75,8 +75,8 @@
 	PromptTokens int               `json:"prompt_tokens,omitempty"`
 }
 
-// ExplanationBody explains which rule applies to a request.
-type ExplanationBody struct {
+// ExplainResponse explains which rule applies to a request.
+type ExplainResponse struct {
 	Version wasabiridge.ConfigVersion `json:"version"`
 	// Rule is the first rule that matches. Empty means that no rule matches
 	// and the request is refused.
--- a/internal/wasabioperator/fuzz_test.go
+++ b/internal/wasabioperator/fuzz_test.go
@@ -25,7 +25,7 @@
 		r.Header.Set("Authorization", "Bearer "+key)
 		w := httptest.NewRecorder()
 		handler(p).ServeHTTP(w, r)
-		var refusal wasabioperator.ErrorAnswer
+		var refusal wasabioperator.ErrorResponse
 		switch {
 		case w.Code == http.StatusOK:
 			values, _ := url.ParseQuery(query)
--- a/internal/wasabioperator/handlers.go
+++ b/internal/wasabioperator/handlers.go
@@ -109,7 +109,7 @@
 }
 
 func (s *server) explainRules(w http.ResponseWriter, r *http.Request) (any, error) {
-	var q ExplainBody
+	var q ExplainRequest
 	if err := readJSON(w, r, &q); err != nil {
 		return nil, err
 	}
@@ -122,12 +122,12 @@
 
 // Explain returns which rule of a configuration applies to a request, and for each
 // rule why it matches or not.
-func Explain(cfg wasabiridge.Config, q ExplainBody) ExplanationBody {
+func Explain(cfg wasabiridge.Config, q ExplainRequest) ExplainResponse {
 	view := wasabirule.View{
 		Account: q.Account, Method: q.Method, Path: q.Path, Model: q.Model,
 		PromptTokens: q.PromptTokens, Header: headersOf(q.Headers),
 	}
-	body := ExplanationBody{Version: cfg.Version, Lines: wasabirule.Explain(cfg, view)}
+	body := ExplainResponse{Version: cfg.Version, Lines: wasabirule.Explain(cfg, view)}
 	account, known := cfg.Account(q.Account)
 	if !known {
 		body.Notes = append(body.Notes, "the client account "+string(q.Account)+" is not in the configuration: its requests are refused before any rule is evaluated")
--- a/internal/wasabioperator/operator.go
+++ b/internal/wasabioperator/operator.go
@@ -12,7 +12,7 @@
 //	handler := wasabioperator.New(wasabioperator.Options{
 //		Clock:     clock,
 //		KeyHashes: func() []string { return hashes },
-//		Config:    keeper,
+//		Config:    controller,
 //	})
 //	server := &http.Server{Handler: handler, ReadHeaderTimeout: 5 * time.Second}
 //
@@ -127,7 +127,7 @@
 func (s *server) writeFailure(w http.ResponseWriter, r *http.Request, err error) {
 	status, body := describeError(err)
 	if errorx.IsOfType(err, wasabiridge.ErrConflict) && s.Config != nil {
-		body.Theirs = s.newestDocument(r)
+		body.ConflictingConfig = s.newestDocument(r)
 	}
 	s.Log.Info().Str("path", r.URL.Path).Str("code", string(body.Code)).Msg("Operator request failed.")
 	writeError(w, status, body)
@@ -172,5 +172,5 @@
 }
 
 func writeError(w http.ResponseWriter, status int, body ErrorBody) {
-	writeJSON(w, status, ErrorAnswer{Error: body})
+	writeJSON(w, status, ErrorResponse{Error: body})
 }
--- a/internal/wasabioperator/operator_test.go
+++ b/internal/wasabioperator/operator_test.go
@@ -175,7 +175,7 @@
 		want := errorsOf[name]
 		It("responds to the error "+name+" with its status and code", func() {
 			w := call(handler(&components{err: want.err}), "POST", "/v1/drain", "")
-			var answer wasabioperator.ErrorAnswer
+			var answer wasabioperator.ErrorResponse
 			Expect(json.Unmarshal(w.Body.Bytes(), &answer)).To(Succeed())
 			Expect(w.Code).To(Equal(want.status))
 			Expect(answer.Error.Code).To(Equal(want.code))
@@ -187,11 +187,11 @@
 	// contain the configuration that is now the newest.
 	It("returns the newest configuration with a conflict", func() {
 		w := call(handler(&components{err: wasabiridge.ErrConflict.New("config: base 7 is not the newest")}), "PUT", "/v1/config", "{}", "If-Match", `"7"`)
-		var answer wasabioperator.ErrorAnswer
+		var answer wasabioperator.ErrorResponse
 		Expect(json.Unmarshal(w.Body.Bytes(), &answer)).To(Succeed())
-		Expect(answer.Error.Theirs.Version).To(Equal(wasabiridge.ConfigVersion(8)))
-		Expect(answer.Error.Theirs.Author).To(Equal("bob"))
-		Expect(answer.Error.Theirs.Text).To(ContainSubstring("theirs"))
+		Expect(answer.Error.ConflictingConfig.Version).To(Equal(wasabiridge.ConfigVersion(8)))
+		Expect(answer.Error.ConflictingConfig.Author).To(Equal("bob"))
+		Expect(answer.Error.ConflictingConfig.Text).To(ContainSubstring("theirs"))
 	})
 
 	It("refuses a change without a base version", func() {
@@ -246,14 +246,14 @@
 		},
 	}
 	cases := map[string]struct {
-		query wasabioperator.ExplainBody
+		query wasabioperator.ExplainRequest
 		rule  wasabiridge.RuleID
 		note  string
 	}{
-		"matches":         {wasabioperator.ExplainBody{Account: "liftwell", PromptTokens: 2000, Headers: map[string]string{"x-tool": "1"}}, "long", ""},
-		"matches none":    {wasabioperator.ExplainBody{Account: "liftwell"}, "", "no rule matches"},
-		"unknown account": {wasabioperator.ExplainBody{Account: "nobody"}, "", "not in the configuration"},
-		"foreign pool":    {wasabioperator.ExplainBody{Account: "liftwell", Path: "/tags"}, "foreign", "may not use pool tagging"},
+		"matches":         {wasabioperator.ExplainRequest{Account: "liftwell", PromptTokens: 2000, Headers: map[string]string{"x-tool": "1"}}, "long", ""},
+		"matches none":    {wasabioperator.ExplainRequest{Account: "liftwell"}, "", "no rule matches"},
+		"unknown account": {wasabioperator.ExplainRequest{Account: "nobody"}, "", "not in the configuration"},
+		"foreign pool":    {wasabioperator.ExplainRequest{Account: "liftwell", Path: "/tags"}, "foreign", "may not use pool tagging"},
 	}
 	for _, name := range slices.Sorted(maps.Keys(cases)) {
 		want := cases[name]
