--- a/internal/wasabiorder/course.go
+++ b/internal/wasabiorder/course.go
@@ -24,9 +24,9 @@
 	// Confirm is how long an engine that ignores fencing numbers must stay at its
 	// target before it counts as reached, 3 s by default.
 	Confirm wasabiridge.Millis
-	// Patience is how long the loading of weights may take before the order is sent
+	// LoadTimeout is how long the loading of weights may take before the order is sent
 	// again, 30 s by default.
-	Patience wasabiridge.Millis
+	LoadTimeout wasabiridge.Millis
 }
 
 func (t Timing) withDefaults() Timing {
@@ -39,7 +39,7 @@
 		{&t.Poll, wasabiridge.Second / 2},
 		{&t.Audit, 10 * wasabiridge.Second},
 		{&t.Confirm, 3 * wasabiridge.Second},
-		{&t.Patience, 30 * wasabiridge.Second},
+		{&t.LoadTimeout, 30 * wasabiridge.Second},
 	}
 	for _, d := range defaults {
 		if *d.field == 0 {
@@ -53,8 +53,8 @@
 type Status uint8
 
 const (
-	// Unread means that the engine has not been read since the lease was acquired.
-	Unread Status = iota
+	// NotRead means that the engine has not been read since the lease was acquired.
+	NotRead Status = iota
 	// Waiting means that the engine is not at its target and no order is in flight.
 	Waiting
 	// Ordered means that an order was sent and the engine has not reached the target
@@ -65,17 +65,17 @@
 	Confirming
 	// Reached means that the engine is at its target.
 	Reached
-	// Overtaken means that the engine has newer weights than the target. It is left
+	// Superseded means that the engine has newer weights than the target. It is left
 	// unchanged, because versions only increase.
-	Overtaken
+	Superseded
 	// Fenced means that the engine has seen a newer lease. This holder must not send
 	// orders any more.
 	Fenced
 )
 
-// Course drives one engine to a target state. It is deterministic and not safe for
+// Reconciler drives one engine to a target state. It is deterministic and not safe for
 // concurrent use. At most one call to the engine is in flight.
-type Course struct {
+type Reconciler struct {
 	server wasabiridge.BackendServer
 	target wasabiridge.EngineOrder
 	timing Timing
@@ -97,49 +97,49 @@
 	effects        []Effect
 }
 
-// NewCourse returns a Reconciler in status NotRead. The fencing number of the target is
-// ignored; orders carry that of the grant.
-func NewCourse(server wasabiridge.BackendServer, target wasabiridge.EngineOrder, t Timing) *Course {
-	return &Course{server: server, target: target, timing: t.withDefaults()}
+// NewReconciler returns a Reconciler in status NotRead. The fencing number of the
+// target is ignored; orders carry that of the grant.
+func NewReconciler(server wasabiridge.BackendServer, target wasabiridge.EngineOrder, t Timing) *Reconciler {
+	return &Reconciler{server: server, target: target, timing: t.withDefaults()}
 }
 
 // Status returns the progress of the Reconciler.
-func (c *Course) Status() Status { return c.status }
+func (c *Reconciler) Status() Status { return c.status }
 
 // State returns the last state read from the engine. It is valid only when Known
 // returns true.
-func (c *Course) State() wasabiridge.EngineState { return c.state }
+func (c *Reconciler) State() wasabiridge.EngineState { return c.state }
 
-// Tried reports whether the engine was read, or a read failed, since the lease was
+// Attempted reports whether the engine was read, or a read failed, since the lease was
 // acquired.
-func (c *Course) Tried() bool { return c.status != Unread || c.failures > 0 }
+func (c *Reconciler) Attempted() bool { return c.status != NotRead || c.failures > 0 }
 
 // Known reports whether the last read of the engine succeeded.
-func (c *Course) Known() bool { return c.status != Unread && c.failures == 0 }
+func (c *Reconciler) Known() bool { return c.status != NotRead && c.failures == 0 }
 
-// Fits reports whether the engine was at its target when it was last read. An order to
-// such an engine loads nothing; it only makes the engine record the fencing number.
-func (c *Course) Fits() bool { return c.Known() && c.matches() }
+// AtTarget reports whether the engine was at its target when it was last read. An order
+// to such an engine loads nothing; it only makes the engine record the fencing number.
+func (c *Reconciler) AtTarget() bool { return c.Known() && c.matches() }
 
 // MayLoad reports whether the engine may be loading weights because of an order.
-func (c *Course) MayLoad() bool {
-	return c.status == Ordered || c.status != Unread && c.state.Loading
+func (c *Reconciler) MayLoad() bool {
+	return c.status == Ordered || c.status != NotRead && c.state.Loading
 }
 
 // Handle processes one event under a grant and returns the requested actions. Order
 // reports whether an order may be sent now; the caller decides that by the state of the
 // other engines. The returned slice is valid until the next call.
-func (c *Course) Handle(now wasabiridge.Millis, g wasabilease.Grant, order bool, e Event) []Effect {
+func (c *Reconciler) Handle(now wasabiridge.Millis, g wasabilease.Grant, order bool, e Event) []Effect {
 	c.effects = c.effects[:0]
 	if g.Fencing != c.fencing {
 		// The lease is a new one: reads and orders under the previous one no longer
 		// count.
-		c.fencing, c.status, c.matchesSince, c.failures, c.nextAt = g.Fencing, Unread, 0, 0, now
+		c.fencing, c.status, c.matchesSince, c.failures, c.nextAt = g.Fencing, NotRead, 0, 0, now
 	}
 	switch e := e.(type) {
-	case StateRead:
+	case StateResult:
 		c.read(now, e)
-	case OrderAnswered:
+	case OrderResult:
 		c.answered(now, e)
 	}
 	if g.Fencing == 0 || c.busy || c.status == Fenced {
@@ -160,23 +160,23 @@
 // The failure it guards against: a holder sends an order at the end of its lease, the
 // next holder orders newer weights, and the old order arrives after that. An engine
 // that ignores fencing numbers would go back to the old weights.
-func (c *Course) leaseCovers(now wasabiridge.Millis, g wasabilease.Grant) bool {
-	return g.Covers(now, OrderSpan(c.timing))
+func (c *Reconciler) leaseCovers(now wasabiridge.Millis, g wasabilease.Grant) bool {
+	return g.Covers(now, MaxOrderDelay(c.timing))
 }
 
-func (c *Course) startRead(g wasabilease.Grant) {
+func (c *Reconciler) startRead(g wasabilease.Grant) {
 	c.busy = true
 	c.effects = append(c.effects, ReadState{Server: c.server, Fencing: g.Fencing, TimeLimit: c.timing.TimeLimit})
 }
 
-func (c *Course) send(now wasabiridge.Millis, g wasabilease.Grant) {
+func (c *Reconciler) send(now wasabiridge.Millis, g wasabilease.Grant) {
 	order := c.target
 	order.Fencing = g.Fencing
 	c.busy, c.status, c.orderedAt = true, Ordered, now
 	c.effects = append(c.effects, SendOrder{Server: c.server, Order: order, Before: now + c.timing.TimeLimit})
 }
 
-func (c *Course) answered(now wasabiridge.Millis, a OrderAnswered) {
+func (c *Reconciler) answered(now wasabiridge.Millis, a OrderResult) {
 	c.busy = false
 	if a.Fencing != c.fencing {
 		return
@@ -193,7 +193,7 @@
 	}
 }
 
-func (c *Course) read(now wasabiridge.Millis, r StateRead) {
+func (c *Reconciler) read(now wasabiridge.Millis, r StateResult) {
 	c.busy = false
 	if r.Fencing != c.fencing {
 		return
@@ -202,7 +202,7 @@
 	if r.Err != nil {
 		c.failures++
 		c.matchesSince = 0
-		if c.status == Ordered && now-c.orderedAt >= c.timing.Patience {
+		if c.status == Ordered && now-c.orderedAt >= c.timing.LoadTimeout {
 			// The engine became unreachable while it loaded. It must not occupy the
 			// place of a loading engine for ever.
 			c.status = Waiting
@@ -212,13 +212,13 @@
 	c.failures = 0
 	c.state = r.State
 	c.updateStatus(now)
-	if c.status == Waiting || c.status == Reached || c.status == Overtaken {
+	if c.status == Waiting || c.status == Reached || c.status == Superseded {
 		c.nextAt = now + c.timing.Audit
 	}
 }
 
 // updateStatus compares the state of the engine with the target.
-func (c *Course) updateStatus(now wasabiridge.Millis) {
+func (c *Reconciler) updateStatus(now wasabiridge.Millis) {
 	matches := c.matches()
 	if !matches {
 		c.matchesSince = 0
@@ -229,12 +229,12 @@
 	case c.state.Fencing > c.fencing && c.server.ChecksFencing:
 		c.status = Fenced
 	case c.state.Weights > c.target.Weights && c.target.Weights != 0:
-		c.status = Overtaken
+		c.status = Superseded
 	case matches && c.isFinal(now):
 		c.status = Reached
 	case matches && !c.server.ChecksFencing:
 		c.status = Confirming
-	case c.state.Loading && now-c.orderedAt < c.timing.Patience:
+	case c.state.Loading && now-c.orderedAt < c.timing.LoadTimeout:
 		c.status = Ordered
 	case c.status == Ordered && now-c.orderedAt < c.timing.TimeLimit:
 		// The order may still be in flight.
@@ -243,7 +243,7 @@
 	}
 }
 
-func (c *Course) matches() bool {
+func (c *Reconciler) matches() bool {
 	return !c.state.Loading &&
 		(c.target.Weights == 0 || c.state.Weights == c.target.Weights) &&
 		(c.target.Role == "" || c.state.Role == c.target.Role)
@@ -251,19 +251,19 @@
 
 // isFinal reports whether, as far as can be known, no order of an earlier holder can
 // still change the engine.
-func (c *Course) isFinal(now wasabiridge.Millis) bool {
+func (c *Reconciler) isFinal(now wasabiridge.Millis) bool {
 	if c.server.ChecksFencing {
 		return c.state.Fencing == c.fencing
 	}
 	return now-c.matchesSince >= c.timing.Confirm
 }
 
-// LoadPatience returns how long the loading of weights may take under the timing.
-func LoadPatience(t Timing) wasabiridge.Millis { return t.withDefaults().Patience }
+// LoadTimeout returns how long the loading of weights may take under the timing.
+func LoadTimeout(t Timing) wasabiridge.Millis { return t.withDefaults().LoadTimeout }
 
-// OrderSpan returns how long after it was sent an order may still take effect,
+// MaxOrderDelay returns how long after it was sent an order may still take effect,
 // including the margin.
-func OrderSpan(t Timing) wasabiridge.Millis {
+func MaxOrderDelay(t Timing) wasabiridge.Millis {
 	t = t.withDefaults()
 	return t.TimeLimit + t.Margin
 }
--- a/internal/wasabiorder/doc.go
+++ b/internal/wasabiorder/doc.go
@@ -21,12 +21,12 @@
 //
 // # Usage
 //
-//	course := wasabiorder.NewReconciler(server, order, wasabiorder.Timing{})
-//	for _, effect := range course.Handle(now, grant, true, wasabiorder.Ticked{}) {
+//	reconciler := wasabiorder.NewReconciler(server, order, wasabiorder.Timing{})
+//	for _, effect := range reconciler.Handle(now, grant, true, wasabiorder.Ticked{}) {
 //		// Carry out ReadState and SendOrder through an EngineOperator and
 //		// pass the results back as StateResult and OrderResult.
 //	}
-//	if course.Status() == wasabiorder.Reached {
+//	if reconciler.Status() == wasabiorder.Reached {
 //		// The engine is at its target.
 //	}
 package wasabiorder
--- a/internal/wasabiorder/events.go
+++ b/internal/wasabiorder/events.go
@@ -8,24 +8,24 @@
 // Ticked reports the passage of time.
 type Ticked struct{}
 
-// StateRead is the result of a ReadState.
-type StateRead struct {
+// StateResult is the result of a ReadState.
+type StateResult struct {
 	// Fencing is the fencing number of the ReadState.
 	Fencing wasabiridge.FencingNumber
 	State   wasabiridge.EngineState
 	Err     error
 }
 
-// OrderAnswered is the result of a SendOrder.
-type OrderAnswered struct {
+// OrderResult is the result of a SendOrder.
+type OrderResult struct {
 	// Fencing is the fencing number of the order.
 	Fencing wasabiridge.FencingNumber
 	Err     error
 }
 
-func (Ticked) isEvent()        {}
-func (StateRead) isEvent()     {}
-func (OrderAnswered) isEvent() {}
+func (Ticked) isEvent()      {}
+func (StateResult) isEvent() {}
+func (OrderResult) isEvent() {}
 
 // Effect is an action that a Reconciler requests. Exactly one event reports its result.
 type Effect interface{ isEffect() }
--- a/internal/wasabiorder/history_test.go
+++ b/internal/wasabiorder/history_test.go
@@ -92,7 +92,7 @@
 func (c *leaseSimulation) tick(n *instance) {
 	c.whenRunning(n, func() {
 		c.feedLease(n, wasabilease.Contended{Wanted: true})
-		c.tickCourses(n)
+		c.tickReconcilers(n)
 		c.after(200, func() { c.tick(n) })
 	})
 }
--- a/internal/wasabiorder/simulation_test.go
+++ b/internal/wasabiorder/simulation_test.go
@@ -63,13 +63,13 @@
 	lateness wasabiridge.Millis
 }
 
-// instance is one simulated instance: its lease and its courses.
+// instance is one simulated instance: its lease and its reconcilers.
 type instance struct {
-	id      string
-	grant   func() wasabilease.Grant
-	paused  wasabiridge.Millis
-	target  wasabiridge.WeightsVersion
-	courses map[wasabiridge.BackendServerID]*wasabiorder.Course
+	id          string
+	grant       func() wasabilease.Grant
+	paused      wasabiridge.Millis
+	target      wasabiridge.WeightsVersion
+	reconcilers map[wasabiridge.BackendServerID]*wasabiorder.Reconciler
 }
 
 func (w *simulation) after(span wasabiridge.Millis, run func()) {
@@ -98,7 +98,7 @@
 }
 
 // feed passes an event to a Reconciler and carries out its effects.
-func (w *simulation) feed(n *instance, c *wasabiorder.Course, e wasabiorder.Event) {
+func (w *simulation) feed(n *instance, c *wasabiorder.Reconciler, e wasabiorder.Event) {
 	for _, effect := range c.Handle(w.clock.Now(), n.grant(), true, e) {
 		switch e := effect.(type) {
 		case wasabiorder.ReadState:
@@ -109,8 +109,8 @@
 	}
 }
 
-func (w *simulation) read(n *instance, c *wasabiorder.Course, e wasabiorder.ReadState) {
-	answer := wasabiorder.StateRead{Fencing: e.Fencing, Err: wasabiridge.ErrUnavailable.New("lost")}
+func (w *simulation) read(n *instance, c *wasabiorder.Reconciler, e wasabiorder.ReadState) {
+	answer := wasabiorder.StateResult{Fencing: e.Fencing, Err: wasabiridge.ErrUnavailable.New("lost")}
 	if w.chance(0.1) {
 		w.after(e.TimeLimit, func() { w.whenRunning(n, func() { w.feed(n, c, answer) }) })
 		return
@@ -124,8 +124,8 @@
 }
 
 // send delivers an order in time, late, or never, and may lose its response.
-func (w *simulation) send(n *instance, c *wasabiorder.Course, e wasabiorder.SendOrder) {
-	answer := wasabiorder.OrderAnswered{Fencing: e.Order.Fencing, Err: wasabiridge.ErrOutcomeUnknown.New("lost")}
+func (w *simulation) send(n *instance, c *wasabiorder.Reconciler, e wasabiorder.SendOrder) {
+	answer := wasabiorder.OrderResult{Fencing: e.Order.Fencing, Err: wasabiridge.ErrOutcomeUnknown.New("lost")}
 	deliver := func() error { return w.engine[e.Server.ID].order(w.clock.Now(), e.Order) }
 	reply := func(after wasabiridge.Millis) {
 		w.after(after, func() { w.whenRunning(n, func() { w.feed(n, c, answer) }) })
@@ -146,18 +146,18 @@
 	}
 }
 
-// tickCourses ticks the courses of an instance and replaces them when the target has
-// changed.
-func (w *simulation) tickCourses(n *instance) {
+// tickReconcilers ticks the reconcilers of an instance and replaces them when the
+// target has changed.
+func (w *simulation) tickReconcilers(n *instance) {
 	if n.target != w.target {
 		n.target = w.target
 		for _, id := range []wasabiridge.BackendServerID{"checks", "ignores"} {
 			order := wasabiridge.EngineOrder{Weights: w.target, Role: "decode"}
-			n.courses[id] = wasabiorder.NewCourse(w.engine[id].server, order, wasabiorder.Timing{})
+			n.reconcilers[id] = wasabiorder.NewReconciler(w.engine[id].server, order, wasabiorder.Timing{})
 		}
 	}
 	for _, id := range []wasabiridge.BackendServerID{"checks", "ignores"} {
-		w.feed(n, n.courses[id], wasabiorder.Ticked{})
+		w.feed(n, n.reconcilers[id], wasabiorder.Ticked{})
 	}
 }
 
@@ -174,7 +174,7 @@
 }
 
 func (w *simulation) addInstance(id string, grant func() wasabilease.Grant) *instance {
-	n := &instance{id: id, grant: grant, courses: map[wasabiridge.BackendServerID]*wasabiorder.Course{}}
+	n := &instance{id: id, grant: grant, reconcilers: map[wasabiridge.BackendServerID]*wasabiorder.Reconciler{}}
 	w.instances = append(w.instances, n)
 	return n
 }
--- a/internal/wasabirollout/controller.go
+++ b/internal/wasabirollout/controller.go
@@ -200,7 +200,7 @@
 	if before := c.driver.rollout; before.ID != r.Current.ID || before.Weights != r.Current.Weights {
 		// Orders of the previous rollout may be in flight. They must not arrive
 		// after those of the new one, which carry the same fencing number.
-		startAt := now + wasabiorder.OrderSpan(f.limits.Order)
+		startAt := now + wasabiorder.MaxOrderDelay(f.limits.Order)
 		c.driver = newDriver(r.Current, wasabiridge.Pool{ID: id}, f.limits, startAt)
 	}
 	c.driver.rollout.State = r.Current.State
--- a/internal/wasabirollout/driver.go
+++ b/internal/wasabirollout/driver.go
@@ -51,7 +51,7 @@
 // brings it to the weights of the rollout.
 type replica struct {
 	server wasabiridge.BackendServer
-	course *wasabiorder.Course
+	course *wasabiorder.Reconciler
 }
 
 // driver advances one rollout. It is deterministic. It is not safe for
@@ -104,7 +104,7 @@
 		r := before[server.ID]
 		if r == nil || r.server != server {
 			order := wasabiridge.EngineOrder{Model: d.rollout.Model, Adapter: d.rollout.Adapter, Weights: d.rollout.Weights}
-			r = &replica{server: server, course: wasabiorder.NewCourse(server, order, d.limits.Order)}
+			r = &replica{server: server, course: wasabiorder.NewReconciler(server, order, d.limits.Order)}
 		}
 		d.replicas = append(d.replicas, r)
 		d.byID[server.ID] = r
@@ -150,7 +150,7 @@
 
 func (d *driver) collect(now wasabiridge.Millis, r *replica, effects []wasabiorder.Effect) {
 	for _, effect := range effects {
-		if _, ok := effect.(wasabiorder.SendOrder); ok && !r.course.Fits() {
+		if _, ok := effect.(wasabiorder.SendOrder); ok && !r.course.AtTarget() {
 			d.lastLoad = now
 		}
 		d.effects = append(d.effects, courseEffect{Backend: r.server.ID, Effect: effect})
@@ -162,7 +162,7 @@
 	if d.rollout.State != stateRunning || now < d.startAt || r.course.Status() != wasabiorder.Waiting {
 		return false
 	}
-	if r.course.Fits() {
+	if r.course.AtTarget() {
 		return true
 	}
 	c := d.count(now)
@@ -188,16 +188,16 @@
 			c.loading++
 		case course.Known():
 			c.serving++
-		case now-d.fencingSince < wasabiorder.LoadPatience(d.limits.Order):
+		case now-d.fencingSince < wasabiorder.LoadTimeout(d.limits.Order):
 			c.loading++
 		}
 		switch r.course.Status() {
-		case wasabiorder.Reached, wasabiorder.Overtaken:
+		case wasabiorder.Reached, wasabiorder.Superseded:
 			c.done++
 		case wasabiorder.Fenced:
 			c.fenced++
 		}
-		if !r.course.Tried() {
+		if !r.course.Attempted() {
 			c.unread++
 		} else if !r.course.Known() {
 			c.unreachable++
--- a/internal/wasabirollout/driver_test.go
+++ b/internal/wasabirollout/driver_test.go
@@ -139,7 +139,7 @@
 	switch effect := c.effect.Effect.(type) {
 	case wasabiorder.SendOrder:
 		if e.down {
-			return wasabiorder.OrderAnswered{Fencing: effect.Order.Fencing, Err: down}
+			return wasabiorder.OrderResult{Fencing: effect.Order.Fencing, Err: down}
 		}
 		e.state.Fencing = max(e.state.Fencing, effect.Order.Fencing)
 		if effect.Order.Weights != e.state.Weights && !e.state.Loading {
@@ -147,12 +147,12 @@
 			e.loads++
 			s.loadStarts = append(s.loadStarts, s.now)
 		}
-		return wasabiorder.OrderAnswered{Fencing: effect.Order.Fencing}
+		return wasabiorder.OrderResult{Fencing: effect.Order.Fencing}
 	case wasabiorder.ReadState:
 		if e.down {
-			return wasabiorder.StateRead{Fencing: effect.Fencing, Err: down}
+			return wasabiorder.StateResult{Fencing: effect.Fencing, Err: down}
 		}
-		return wasabiorder.StateRead{Fencing: effect.Fencing, State: e.state}
+		return wasabiorder.StateResult{Fencing: effect.Fencing, State: e.state}
 	}
 	return nil
 }
--- a/internal/wasabirollout/run.go
+++ b/internal/wasabirollout/run.go
@@ -179,13 +179,13 @@
 func (k *Keeper) call(ctx context.Context, e wasabiorder.Effect) wasabiorder.Event {
 	switch e := e.(type) {
 	case wasabiorder.SendOrder:
-		return wasabiorder.OrderAnswered{Fencing: e.Order.Fencing, Err: k.send(ctx, e)}
+		return wasabiorder.OrderResult{Fencing: e.Order.Fencing, Err: k.send(ctx, e)}
 	default:
 		r := e.(wasabiorder.ReadState)
 		ctx, cancel := context.WithTimeout(ctx, r.TimeLimit.Duration())
 		defer cancel()
 		state, err := k.options.Engines.ReadState(ctx, r.Server)
-		return wasabiorder.StateRead{Fencing: r.Fencing, State: state, Err: err}
+		return wasabiorder.StateResult{Fencing: r.Fencing, State: state, Err: err}
 	}
 }
 
