--- a/internal/wasabimetrics/metrics.go
+++ b/internal/wasabimetrics/metrics.go
@@ -145,7 +145,7 @@
 		OutcomeFolded:        func() int64 { return int64(r.Stats().Folded) },
 		OutcomeWrites:        func() int64 { return int64(r.Stats().Writes) },
 		OutcomeWriteFailures: func() int64 { return int64(r.Stats().Failures) },
-		OutcomeUnwrittenAge:  func() int64 { return int64(r.Stats().Unwritten) },
+		OutcomeUnwrittenAge:  func() int64 { return int64(r.Stats().OldestUnwrittenAge) },
 		OutcomeDropped:       func() int64 { return int64(r.Stats().DroppedDays) },
 	}
 }
--- a/internal/wasabioutcome/ledger.go
+++ b/internal/wasabioutcome/ledger.go
@@ -75,8 +75,8 @@
 	DroppedDays uint64
 	// Lost counts outcomes that were not recorded.
 	Lost uint64
-	// Unwritten is the age of the oldest outcome that is not in the store.
-	Unwritten wasabiridge.Millis
+	// OldestUnwrittenAge is the age of the oldest outcome that is not in the store.
+	OldestUnwrittenAge wasabiridge.Millis
 	// Bytes is the size of the last object written.
 	Bytes int
 }
@@ -156,8 +156,8 @@
 	}
 }
 
-// Lost counts n outcomes that were dropped before they reached the ledger.
-func (l *Ledger) Lost(n uint64) {
+// CountLost counts n outcomes that were dropped before they reached the ledger.
+func (l *Ledger) CountLost(n uint64) {
 	if n == 0 {
 		return
 	}
@@ -167,9 +167,9 @@
 	}
 }
 
-// Saw adds instances to the set of known instances, which is written into every
-// window. The set is bounded by maxSeen.
-func (l *Ledger) Saw(ids []wasabiridge.InstanceID) {
+// AddSeenInstances adds instances to the set of known instances, which is written into
+// every window. The set is bounded by maxSeen.
+func (l *Ledger) AddSeenInstances(ids []wasabiridge.InstanceID) {
 	for _, id := range ids {
 		if len(l.seen) < maxSeen {
 			l.seen[id] = struct{}{}
@@ -357,7 +357,7 @@
 	for _, d := range l.days {
 		for _, at := range []wasabiridge.Millis{d.unwritten, d.inFlight} {
 			if at != 0 {
-				s.Unwritten = max(s.Unwritten, now-at)
+				s.OldestUnwrittenAge = max(s.OldestUnwrittenAge, now-at)
 			}
 		}
 	}
--- a/internal/wasabioutcome/outcome.go
+++ b/internal/wasabioutcome/outcome.go
@@ -170,9 +170,9 @@
 // goroutine if that one is idle. It returns whether a job is in flight.
 func (r *Recorder) schedule(busy bool, jobs chan<- Job) bool {
 	now := r.options.Clock.Now()
-	r.ledger.Lost(r.lost.Swap(0))
+	r.ledger.CountLost(r.lost.Swap(0))
 	if r.options.Members != nil {
-		r.ledger.Saw(r.options.Members())
+		r.ledger.AddSeenInstances(r.options.Members())
 	}
 	stats := r.ledger.Stats(now)
 	r.stats.Store(&stats)
@@ -200,7 +200,7 @@
 		}
 	}
 	r.drainQueue()
-	r.ledger.Lost(r.lost.Swap(0))
+	r.ledger.CountLost(r.lost.Swap(0))
 	r.ledger.Seal(r.options.Clock.Now())
 	for {
 		job, ready := r.ledger.Next(r.options.Clock.Now())
--- a/internal/wasabioutcome/outcome_test.go
+++ b/internal/wasabioutcome/outcome_test.go
@@ -196,7 +196,7 @@
 	It("reports missing instances, missing days and unreadable objects", func() {
 		w := newEnvironment(wasabifault.Plan{})
 		l := w.start("a", 1)
-		l.ledger.Saw([]wasabiridge.InstanceID{"a", "ghost"})
+		l.ledger.AddSeenInstances([]wasabiridge.InstanceID{"a", "ghost"})
 		l.run(wasabiridge.Hour)
 		l.shutDown()
 		Expect(w.store.Put(context.Background(), "outcomes/2026Q4/2026-12-02/b/1", []byte("broken"))).To(Succeed())
--- a/internal/wasabioutcome/reader.go
+++ b/internal/wasabioutcome/reader.go
@@ -81,7 +81,7 @@
 		if err = limiter.Wait(ctx); err != nil {
 			return wasabiridge.ErrUnavailable.Wrap(err, "outcome: list objects")
 		}
-		if names, err = r.Store.List(ctx, DayPrefix(m.query.Quarter), after, listPageSize); err != nil {
+		if names, err = r.Store.List(ctx, QuarterPrefix(m.query.Quarter), after, listPageSize); err != nil {
 			return wasabiridge.ErrUnavailable.Wrap(err, "outcome: list objects")
 		}
 		if len(names) == 0 {
--- a/internal/wasabioutcome/recorder_test.go
+++ b/internal/wasabioutcome/recorder_test.go
@@ -68,7 +68,7 @@
 		if w.From > w.To || w.Day == "" {
 			t.Fatalf("accepted an invalid window: %+v", w)
 		}
-		if err := wasabioutcome.CheckWindow(w); err != nil {
+		if err := wasabioutcome.ValidateWindow(w); err != nil {
 			return
 		}
 		if _, err := wasabioutcome.EncodeWindow(w); err != nil {
--- a/internal/wasabioutcome/window.go
+++ b/internal/wasabioutcome/window.go
@@ -70,11 +70,11 @@
 
 // ObjectName returns the name of the object that holds a window.
 func ObjectName(day string, instance wasabiridge.InstanceID, incarnation wasabiridge.Incarnation) string {
-	return fmt.Sprintf("%s%s/%s/%d", DayPrefix(quarterOfDay(day)), day, url.PathEscape(string(instance)), incarnation)
+	return fmt.Sprintf("%s%s/%s/%d", QuarterPrefix(quarterOfDay(day)), day, url.PathEscape(string(instance)), incarnation)
 }
 
-// DayPrefix returns the name prefix of all objects of a quarter.
-func DayPrefix(quarter string) string { return namePrefix + quarter + "/" }
+// QuarterPrefix returns the name prefix of all objects of a quarter.
+func QuarterPrefix(quarter string) string { return namePrefix + quarter + "/" }
 
 func quarterOfDay(day string) string {
 	at, err := time.Parse(dayLayout, day)
@@ -178,9 +178,9 @@
 	return nil
 }
 
-// CheckWindow validates every histogram of a window. It reports ErrInvalid for
+// ValidateWindow validates every histogram of a window. It reports ErrInvalid for
 // the first invalid one.
-func CheckWindow(w Window) error {
+func ValidateWindow(w Window) error {
 	_, err := decodeSeries(w)
 	return err
 }
