--- a/internal/wasabipeer/catalog.go
+++ b/internal/wasabipeer/catalog.go
@@ -51,7 +51,7 @@
 func (c *Client) SendUpdate(ctx context.Context, address string, n wasabiridge.StateUpdate) error {
 	return c.invoke(ctx, invocation{address: address, timeout: exchangeTimeout,
 		run: func(ctx context.Context, stub pb.PeerClient, opts ...grpc.CallOption) error {
-			_, err := stub.TellNews(ctx, encodeNews(n), opts...)
+			_, err := stub.TellNews(ctx, encodeUpdate(n), opts...)
 			return err
 		}})
 }
@@ -81,7 +81,7 @@
 	if !ok {
 		return nil, toStatus(ctx, wasabiridge.ErrUnavailable.New("peer: this instance keeps no catalog"))
 	}
-	n, err := decodeNews(in)
+	n, err := decodeUpdate(in)
 	if err != nil {
 		return nil, toStatus(ctx, err)
 	}
@@ -107,7 +107,7 @@
 	return out
 }
 
-func encodeNews(n wasabiridge.StateUpdate) *pb.News {
+func encodeUpdate(n wasabiridge.StateUpdate) *pb.News {
 	out := &pb.News{From: string(n.From), Changed: n.Changed}
 	for _, r := range n.Backoffs {
 		out.Rests = append(out.Rests, &pb.RestNews{
@@ -135,7 +135,7 @@
 	return out
 }
 
-func decodeNews(in *pb.News) (wasabiridge.StateUpdate, error) {
+func decodeUpdate(in *pb.News) (wasabiridge.StateUpdate, error) {
 	if len(in.Rests) > maxUpdateEntries || len(in.Loads) > maxUpdateEntries || len(in.Parts) > maxUpdateEntries || len(in.Crashes) > maxUpdateEntries || len(in.Uses) > maxUpdateEntries {
 		return wasabiridge.StateUpdate{}, wasabiridge.ErrInvalid.New("peer: a list of the state update has too many entries")
 	}
