--- a/internal/wasabiplace/attempt.go
+++ b/internal/wasabiplace/attempt.go
@@ -51,10 +51,10 @@
 		before:      p.caches.Estimate(now, s, r.Chain),
 		sent:        now,
 		homeLevel:   -1,
-		preferred:   pl.Why == WhyHeir,
+		preferred:   pl.Why == WhyPreferred,
 		tokensAhead: max(0, l.idleAt-float64(now)) / cost,
 	}
-	if pl.Why == WhySpill {
+	if pl.Why == WhyReplicate {
 		a.spill = pl.HeldTokens / max(1, r.Chain.BlockTokens)
 	}
 	tokens := float64(max(0, r.Chain.Tokens-a.before.Depth()*r.Chain.BlockTokens))
--- a/internal/wasabiplace/options.go
+++ b/internal/wasabiplace/options.go
@@ -16,16 +16,16 @@
 	// of a computed token, relative to its computing time.
 	DefaultFirstTokenPrice = 2.5
 	DefaultRecomputePrice  = 1.5
-	// DefaultNear is the difference in score up to which scores count as equal.
-	DefaultNear = 1 * wasabiridge.Millis(1)
+	// DefaultScoreTolerance is the difference in score up to which scores count as equal.
+	DefaultScoreTolerance = 1 * wasabiridge.Millis(1)
 	// DefaultZoneDistance is the round-trip time to another availability zone.
 	DefaultZoneDistance = 1 * wasabiridge.Millis(1)
 	// DefaultTokenMicros is the assumed time to compute one prompt token before
 	// any samples, in microseconds.
 	DefaultTokenMicros = 50
-	// DefaultLostRetry is when a lost server that never reported its load is
+	// DefaultLostRetryInterval is when a lost server that never reported its load is
 	// retried.
-	DefaultLostRetry = 5 * wasabiridge.Second
+	DefaultLostRetryInterval = 5 * wasabiridge.Second
 )
 
 // Options configures a Placer. The zero value is ready to use.
@@ -49,15 +49,15 @@
 	// default; a negative price means none.
 	FirstTokenPrice float64
 	RecomputePrice  float64
-	// Near is the difference in score up to which scores count as equal. Zero
+	// ScoreTolerance is the difference in score up to which scores count as equal. Zero
 	// means DefaultScoreTolerance.
-	Near wasabiridge.Millis
-	// JoinLimit is the maximum time for which a request is held back while its
+	ScoreTolerance wasabiridge.Millis
+	// MaxPrefixWait is the maximum time for which a request is held back while its
 	// prefix is being computed. Zero means that it is sent at once.
-	JoinLimit wasabiridge.Millis
-	// LostRetry is when a lost server that never reported its load is retried.
+	MaxPrefixWait wasabiridge.Millis
+	// LostRetryInterval is when a lost server that never reported its load is retried.
 	// Zero means DefaultLostRetryInterval.
-	LostRetry wasabiridge.Millis
+	LostRetryInterval wasabiridge.Millis
 	// Cache configures the estimate of the servers' caches.
 	Cache wasabicache.Options
 }
@@ -72,11 +72,11 @@
 	if o.MaxHomes == 0 {
 		o.MaxHomes = DefaultMaxHomes
 	}
-	if o.Near == 0 {
-		o.Near = DefaultNear
+	if o.ScoreTolerance == 0 {
+		o.ScoreTolerance = DefaultScoreTolerance
 	}
-	if o.LostRetry == 0 {
-		o.LostRetry = DefaultLostRetry
+	if o.LostRetryInterval == 0 {
+		o.LostRetryInterval = DefaultLostRetryInterval
 	}
 	o.MaxHomes = min(max(o.MaxHomes, 1), maxRankedHomes)
 	o.FirstTokenPrice = price(o.FirstTokenPrice, DefaultFirstTokenPrice)
--- a/internal/wasabiplace/place.go
+++ b/internal/wasabiplace/place.go
@@ -18,11 +18,11 @@
 // servers that hold the most of it; gets an additional copy of a level whose
 // holders are busy; or had the best score without any of these.
 const (
-	WhyHolder = "holder"
-	WhyHome   = "home"
-	WhyHeir   = "heir"
-	WhySpill  = "spill"
-	WhyLoad   = "load"
+	WhyHolder    = "holder"
+	WhyHome      = "home"
+	WhyPreferred = "heir"
+	WhyReplicate = "spill"
+	WhyLoad      = "load"
 )
 
 // candidate is a server under consideration for a placement.
@@ -203,7 +203,7 @@
 
 func (p *Placer) eligible(now wasabiridge.Millis, m *member, q wasabiridge.PlaceQuery) bool {
 	l := &p.loads[m.server]
-	if l.leaving || l.isLost(now, p.opts.LostRetry) {
+	if l.leaving || l.isLost(now, p.opts.LostRetryInterval) {
 		return false
 	}
 	// An engine with older weights than the rule requires would answer with
@@ -231,9 +231,9 @@
 	}
 	switch {
 	case c.spill:
-		out.Why = WhySpill
+		out.Why = WhyReplicate
 	case c.preferred:
-		out.Why = WhyHeir
+		out.Why = WhyPreferred
 	case c.likely > 0:
 		out.Why = WhyHolder
 	case c.homeLevel >= 0:
@@ -246,14 +246,14 @@
 // join returns the time until which the request should be held back because its
 // prefix is being computed, or zero.
 func (p *Placer) join(now wasabiridge.Millis, s wasabicache.ServerIndex, c wasabiridge.Chain) wasabiridge.Millis {
-	if p.opts.JoinLimit <= 0 || len(c.Blocks) == 0 {
+	if p.opts.MaxPrefixWait <= 0 || len(c.Blocks) == 0 {
 		return 0
 	}
 	ready := p.computing(s, c)
 	if ready <= now {
 		return 0
 	}
-	return min(ready, now+p.opts.JoinLimit)
+	return min(ready, now+p.opts.MaxPrefixWait)
 }
 
 // claim returns the number of leading blocks that the placement claims to be
--- a/internal/wasabiplace/place_test.go
+++ b/internal/wasabiplace/place_test.go
@@ -89,8 +89,8 @@
 		Expect(second.ClaimedTokens).To(BeZero())
 	})
 
-	It("holds requests back while their prefix is computed, if JoinLimit is set", func() {
-		setUp(9, wasabiplace.Options{Seed: 1, JoinLimit: 300})
+	It("holds requests back while their prefix is computed, if MaxPrefixWait is set", func() {
+		setUp(9, wasabiplace.Options{Seed: 1, MaxPrefixWait: 300})
 		placer.Sent(now, manual, 1, place(manual))
 		Expect(place(manual).WaitUntil).To(And(BeNumerically(">", now), BeNumerically("<=", now+300)))
 		placer.Observe(now, wasabiridge.AttemptFirstToken{Attempt: 1})
--- a/internal/wasabiplace/score.go
+++ b/internal/wasabiplace/score.go
@@ -27,7 +27,7 @@
 	if best < 0 {
 		return best
 	}
-	limit := p.candidates[best].score + float64(p.opts.Near)
+	limit := p.candidates[best].score + float64(p.opts.ScoreTolerance)
 	near := 0
 	for i := range p.candidates {
 		if p.candidates[i].score > limit {
