--- a/examples/placement/main.go
+++ b/examples/placement/main.go
@@ -28,7 +28,7 @@
 	now, incarnation := wasabiridge.Millis(0), wasabiridge.Incarnation(1)
 	for i, question := range []string{"What is E4?", "Where is the sensor?", "Which tool?", "After a restart of the engine: what is E4?"} {
 		root := wasabiridge.CacheRoot{Account: "liftwell", Model: "stairlift"}
-		chain := wasabiprefix.Of(root, []byte(manual+question), blockTokens)
+		chain := wasabiprefix.NewChain(root, []byte(manual+question), blockTokens)
 		request := wasabiridge.Request{ID: wasabiridge.RequestID(fmt.Sprint(i)), Account: "liftwell", Chain: chain}
 		p, found := placer.Place(now, wasabiridge.PlaceQuery{Request: request, Pool: pool})
 		if !found {
--- a/internal/wasabidemo/figures.go
+++ b/internal/wasabidemo/figures.go
@@ -28,7 +28,7 @@
 		f.promptTokens += a.usage.PromptTokens
 		f.cachedTokens += a.usage.PromptTokensDetails.CachedTokens
 		f.firstTokens = append(f.firstTokens, a.firstToken)
-		chain := wasabiprefix.Of(wasabiridge.CacheRoot{}, []byte(a.prompt), blockTokens)
+		chain := wasabiprefix.NewChain(wasabiridge.CacheRoot{}, []byte(a.prompt), blockTokens)
 		required += a.usage.PromptTokens - len(chain.Blocks)*blockTokens
 		for _, block := range chain.Blocks {
 			if !seen[block] {
--- a/internal/wasabiengine/protocol.go
+++ b/internal/wasabiengine/protocol.go
@@ -46,7 +46,7 @@
 // so that requests with different salts never share a block.
 func (r completionRequest) chain(blockTokens int) wasabiridge.Chain {
 	root := wasabiridge.CacheRoot{Adapter: wasabiridge.AdapterID(r.CacheSalt)}
-	return wasabiprefix.Of(root, []byte(r.text()), blockTokens)
+	return wasabiprefix.NewChain(root, []byte(r.text()), blockTokens)
 }
 
 // blockNames returns the hashes that the caller sent for the blocks of the chain,
--- a/internal/wasabigateway/serve.go
+++ b/internal/wasabigateway/serve.go
@@ -141,7 +141,7 @@
 	}
 	pool, _ := c.config.Pool(action.Pool)
 	root := wasabiridge.CacheRoot{Account: c.account.ID, Model: model, Adapter: action.Adapter, Weights: action.Weights}
-	request = request.WithRule(c.rule).WithChain(wasabiprefix.Of(root, c.body.prompt, pool.BlockTokens))
+	request = request.WithRule(c.rule).WithChain(wasabiprefix.NewChain(root, c.body.prompt, pool.BlockTokens))
 	c.body.prompt = nil
 	return request
 }
--- a/internal/wasabinode/restore.go
+++ b/internal/wasabinode/restore.go
@@ -112,7 +112,7 @@
 	}
 	segments := make([]wasabiridge.SegmentUpdate, len(held))
 	for i, h := range held {
-		segments[i] = wasabiridge.SegmentUpdate{Backend: id, Key: wasabiprefix.PartKey(h.Salt, h.Segment), Tokens: h.Tokens, Ready: true}
+		segments[i] = wasabiridge.SegmentUpdate{Backend: id, Key: wasabiprefix.SegmentKey(h.Salt, h.Segment), Tokens: h.Tokens, Ready: true}
 	}
 	if id == "" {
 		n.loop.TryPost(wasabiridge.CacheStoreListed{Address: address, Segments: segments})
--- a/internal/wasabiplace/claim_test.go
+++ b/internal/wasabiplace/claim_test.go
@@ -95,7 +95,7 @@
 	text := rapid.SampledFrom([]string{"mmmmhhhh", "mmmmiiii", "mmmmhhhhkkkk", "nnnn", "nnnnoooo"}).Draw(t, "prompt")
 	return wasabiridge.Request{
 		Account: root.Account,
-		Chain:   wasabiprefix.Of(root, []byte(text), 1),
+		Chain:   wasabiprefix.NewChain(root, []byte(text), 1),
 		Action:  wasabiridge.Action{Pool: "answer", Weights: weights},
 	}
 }
--- a/internal/wasabiprefix/prefix.go
+++ b/internal/wasabiprefix/prefix.go
@@ -35,9 +35,9 @@
 	DefaultBlockTokens = 2048
 )
 
-// Of returns the chain of the prompt. Only full blocks have a hash. If blockTokens is
-// zero or less, DefaultBlockTokens is used. The prompt is not retained.
-func Of(root wasabiridge.CacheRoot, prompt []byte, blockTokens int) wasabiridge.Chain {
+// NewChain returns the chain of the prompt. Only full blocks have a hash. If
+// blockTokens is zero or less, DefaultBlockTokens is used. The prompt is not retained.
+func NewChain(root wasabiridge.CacheRoot, prompt []byte, blockTokens int) wasabiridge.Chain {
 	if blockTokens <= 0 {
 		blockTokens = DefaultBlockTokens
 	}
@@ -78,8 +78,8 @@
 // ShortSalt returns a prefix of Salt, for caches that report the salts of their contents.
 func ShortSalt(root wasabiridge.CacheRoot) string { return Salt(root)[:shortSaltDigits] }
 
-// PartKey returns the key of a prompt segment in caches that store segments by salt.
-func PartKey(salt string, segment wasabiridge.BlockHash) uint64 {
+// SegmentKey returns the key of a prompt segment in caches that store segments by salt.
+func SegmentKey(salt string, segment wasabiridge.BlockHash) uint64 {
 	return xxhash.Sum64(binary.LittleEndian.AppendUint64([]byte(salt), uint64(segment)))
 }
 
--- a/internal/wasabiprefix/prefix_test.go
+++ b/internal/wasabiprefix/prefix_test.go
@@ -39,8 +39,8 @@
 var _ = Describe("Chains", func() {
 	DescribeTable("share exactly the blocks of the common prefix:", func(a, b string, want int) {
 		Expect(shared(
-			wasabiprefix.Of(root, prompt(a), blockTokens),
-			wasabiprefix.Of(root, prompt(b), blockTokens))).To(Equal(want))
+			wasabiprefix.NewChain(root, prompt(a), blockTokens),
+			wasabiprefix.NewChain(root, prompt(b), blockTokens))).To(Equal(want))
 	},
 		Entry("same prompt", "mhq", "mhq", 3),
 		Entry("another question", "mhq", "mhr", 2),
@@ -49,10 +49,10 @@
 	)
 
 	It("contain hashes of full blocks only, and count all tokens", func() {
-		chain := wasabiprefix.Of(root, append(prompt("mh"), "rest!"...), blockTokens)
+		chain := wasabiprefix.NewChain(root, append(prompt("mh"), "rest!"...), blockTokens)
 		Expect(chain.Blocks).To(HaveLen(2))
 		Expect(chain.Tokens).To(Equal(2*blockTokens + 2))
-		Expect(wasabiprefix.Of(root, nil, 0).BlockTokens).To(Equal(wasabiprefix.DefaultBlockTokens))
+		Expect(wasabiprefix.NewChain(root, nil, 0).BlockTokens).To(Equal(wasabiprefix.DefaultBlockTokens))
 	})
 
 	// Two client accounts send prompts with the same manual. If a part of the root were
@@ -62,8 +62,8 @@
 		other := root
 		change(&other)
 		Expect(shared(
-			wasabiprefix.Of(root, prompt("mhq"), blockTokens),
-			wasabiprefix.Of(other, prompt("mhq"), blockTokens))).To(BeZero())
+			wasabiprefix.NewChain(root, prompt("mhq"), blockTokens),
+			wasabiprefix.NewChain(other, prompt("mhq"), blockTokens))).To(BeZero())
 		Expect(wasabiprefix.Salt(other)).NotTo(Equal(wasabiprefix.Salt(root)))
 	},
 		Entry("account", func(r *wasabiridge.CacheRoot) { r.Account = "x" }),
@@ -79,6 +79,6 @@
 	b.SetBytes(int64(len(text)))
 	b.ReportAllocs()
 	for b.Loop() {
-		wasabiprefix.Of(root, text, wasabiprefix.DefaultBlockTokens)
+		wasabiprefix.NewChain(root, text, wasabiprefix.DefaultBlockTokens)
 	}
 }
--- a/internal/wasabirelay/log.go
+++ b/internal/wasabirelay/log.go
@@ -17,7 +17,7 @@
 	salt := wasabiprefix.ShortSalt(root)
 	for i := range max(0, len(x.request.Chain.Lengths)-1) {
 		shared += x.request.Chain.Lengths[i]
-		key = wasabiprefix.PartKey(salt, x.request.Chain.Blocks[i])
+		key = wasabiprefix.SegmentKey(salt, x.request.Chain.Blocks[i])
 	}
 	x.relay.options.Log.Info().
 		Str(wasabilog.RequestField, string(x.request.ID)).
--- a/internal/wasabireplica/kvstore_test.go
+++ b/internal/wasabireplica/kvstore_test.go
@@ -90,7 +90,7 @@
 		root := wasabiridge.CacheRoot{Model: model, Weights: 1}
 		for _, a := range addresses {
 			g.observe(wasabiridge.CacheStoreListed{Address: a, Segments: []wasabiridge.SegmentUpdate{
-				{Key: wasabiprefix.PartKey(wasabiprefix.ShortSalt(root), 7), Tokens: 13000, Ready: true},
+				{Key: wasabiprefix.SegmentKey(wasabiprefix.ShortSalt(root), 7), Tokens: 13000, Ready: true},
 			}})
 		}
 		pl, _ := g.place(long(7))
--- a/internal/wasabireplica/prompt.go
+++ b/internal/wasabireplica/prompt.go
@@ -94,7 +94,7 @@
 	keys := make([]uint64, len(p.segments))
 	salt := wasabiprefix.ShortSalt(root)
 	for i, segment := range p.segments {
-		keys[i] = wasabiprefix.PartKey(salt, segment)
+		keys[i] = wasabiprefix.SegmentKey(salt, segment)
 	}
 	p.weights, p.keys = w, keys
 	return keys
--- a/internal/wasabireplica/replica_test.go
+++ b/internal/wasabireplica/replica_test.go
@@ -110,7 +110,7 @@
 		g.observe(wasabiridge.CacheStoreChecked{Address: "kv:1", Up: true})
 		root := wasabiridge.CacheRoot{Model: model, Weights: 1}
 		g.observe(wasabiridge.CacheStoreListed{Address: "kv:1", Segments: []wasabiridge.SegmentUpdate{
-			{Key: wasabiprefix.PartKey(wasabiprefix.ShortSalt(root), 7), Tokens: 13000, Ready: true},
+			{Key: wasabiprefix.SegmentKey(wasabiprefix.ShortSalt(root), 7), Tokens: 13000, Ready: true},
 		}})
 		pl, _ := g.place(long(7))
 		Expect(pl.Why).To(Equal("kept"))
--- a/internal/wasabireplica/restart_test.go
+++ b/internal/wasabireplica/restart_test.go
@@ -25,7 +25,7 @@
 
 // key returns the key of a segment of long prompts under version 1 of the weights.
 func key(segment wasabiridge.BlockHash) uint64 {
-	return wasabiprefix.PartKey(wasabiprefix.ShortSalt(wasabiridge.CacheRoot{Model: model, Weights: 1}), segment)
+	return wasabiprefix.SegmentKey(wasabiprefix.ShortSalt(wasabiridge.CacheRoot{Model: model, Weights: 1}), segment)
 }
 
 // An engine that holds segment 7 and has the newest weights restarts under the same
