--- a/examples/quarantine/main.go
+++ b/examples/quarantine/main.go
@@ -31,7 +31,7 @@
 		now += 100
 		end.Attempt = attempt
 		first.Observe(now, end)
-		update := first.TakeNews(now)
+		update := first.TakeUpdates(now)
 		second.Observe(now, wasabiridge.CrashesReceived{From: "pos-1", Crashes: append(update.Narrow, update.Wide...)})
 		fmt.Printf("after %s: request 1 is %s; request 2 is %s\n", server, verdicts[second.Check(now, fatal)], verdicts[second.Check(now, bystander)])
 	}
--- a/internal/wasabidaemon/components.go
+++ b/internal/wasabidaemon/components.go
@@ -61,7 +61,7 @@
 	runner        *wasabibackend.Runner
 	claims        *wasabiclaim.Controller
 	// quarantine blocks requests that crash the backend servers that run them.
-	quarantine *wasabiquarantine.Keeper
+	quarantine *wasabiquarantine.Controller
 	// quota enforces the limits of client accounts.
 	quota    *wasabiquota.Keeper
 	outcomes *wasabioutcome.Recorder
@@ -84,7 +84,7 @@
 	p.quarantine = d.newQuarantine()
 	p.quota = d.newQuota()
 	p.loop = d.newLoop()
-	p.quarantine.Join(p.loop)
+	p.quarantine.SetLoop(p.loop)
 	p.quota.Join(p.loop)
 	if err := d.setUpPeers(); err != nil {
 		return err
@@ -117,10 +117,10 @@
 	}
 }
 
-func (d *Daemon) newQuarantine() *wasabiquarantine.Keeper {
-	return wasabiquarantine.NewKeeper(wasabiquarantine.KeeperOptions{
+func (d *Daemon) newQuarantine() *wasabiquarantine.Controller {
+	return wasabiquarantine.NewController(wasabiquarantine.ControllerOptions{
 		Self: d.options.Settings.Instance, Incarnation: d.incarnation, Clock: d.options.Clock, Seed: d.seed,
-		Log: wasabilog.Part(d.log, "quarantine"), Members: d.members, Tell: d.sendUpdate, Rows: d.components.platform.Table,
+		Log: wasabilog.Part(d.log, "quarantine"), Members: d.members, Send: d.sendUpdate, Rows: d.components.platform.Table,
 	})
 }
 
--- a/internal/wasabidaemon/peers.go
+++ b/internal/wasabidaemon/peers.go
@@ -285,7 +285,7 @@
 	if !h.ready() {
 		return errNotReady
 	}
-	h.daemon.components.quarantine.Hear(n)
+	h.daemon.components.quarantine.Receive(n)
 	h.daemon.components.quota.Hear(n)
 	return nil
 }
--- a/internal/wasabinode/metrics.go
+++ b/internal/wasabinode/metrics.go
@@ -100,7 +100,7 @@
 	entries, counts := n.quarantine.Snapshot()
 	suspects, blocked := 0, 0
 	for _, e := range entries {
-		if e.Barred {
+		if e.Blocked {
 			blocked++
 		} else {
 			suspects++
@@ -109,7 +109,7 @@
 	return []string{
 		line("quarantine_suspects", int64(suspects)),
 		line("quarantine_barred", int64(blocked)),
-		line("quarantine_barred_total", int64(counts.Barred)),
+		line("quarantine_barred_total", int64(counts.Blocked)),
 		line("quarantine_lifted_total", int64(counts.Lifted)),
 		line("quarantine_refused_total", int64(counts.Refused)),
 		line("quarantine_deferred_total", int64(counts.Deferred)),
--- a/internal/wasabinode/node.go
+++ b/internal/wasabinode/node.go
@@ -139,7 +139,7 @@
 	limits serverLimits
 	// migrationQueue holds the backend servers whose requests wait for migration.
 	migrationQueue chan wasabiridge.BackendServerID
-	quarantine     *wasabiquarantine.Keeper
+	quarantine     *wasabiquarantine.Controller
 	quota          *wasabiquota.Keeper
 	relay          *wasabirelay.Relay
 	catalog        *wasabicatalog.Controller
@@ -199,10 +199,10 @@
 		Seed: seed, Self: s.Instance, Zone: s.Zone, WeightsBound: n.bounds.WeightsLife - weightsMargin,
 		RetryRatio: n.bounds.RetryRatio, RetrySlack: n.bounds.RetrySlack, RetryWindow: n.bounds.RetryWindow,
 	})
-	n.quarantine = wasabiquarantine.NewKeeper(wasabiquarantine.KeeperOptions{
+	n.quarantine = wasabiquarantine.NewController(wasabiquarantine.ControllerOptions{
 		Self: s.Instance, Incarnation: n.incarnation, Clock: o.Clock, Seed: seed, Log: wasabilog.Part(n.log, "quarantine"),
 		Members: func() []wasabiridge.Member { return n.members.Members() }, Active: n.activeEntries, Rows: o.Platform.Table,
-		Tell: func(ctx context.Context, address string, update wasabiridge.StateUpdate) error {
+		Send: func(ctx context.Context, address string, update wasabiridge.StateUpdate) error {
 			return n.client.SendUpdate(ctx, address, update)
 		},
 	})
@@ -220,7 +220,7 @@
 	n.loop = wasabiloop.New(wasabiloop.Options{
 		Decider: core, Clock: o.Clock, Recorder: placementRecorder{next: n.timeline, wake: n.placed}, RingSize: ringSize,
 	})
-	n.quarantine.Join(n.loop)
+	n.quarantine.SetLoop(n.loop)
 	n.quota.Join(n.loop)
 	if err := n.assemblePeers(seed); err != nil {
 		return err
--- a/internal/wasabinode/peers.go
+++ b/internal/wasabinode/peers.go
@@ -57,7 +57,7 @@
 			n.loop.TryPost(wasabiridge.WeightsReported{Backend: r.Backend, Model: r.Model, Weights: r.Weights, Incarnation: r.Incarnation})
 		}
 	}
-	n.quarantine.Hear(update)
+	n.quarantine.Receive(update)
 	n.quota.Hear(update)
 	if len(update.Loads) > 0 || len(update.Segments) > 0 {
 		n.loop.TryPost(wasabiridge.PeerPlaced{From: update.From, Loads: update.Loads, Segments: update.Segments})
--- a/internal/wasabiplace/place.go
+++ b/internal/wasabiplace/place.go
@@ -122,7 +122,7 @@
 		return wasabiridge.Placement{}, false
 	}
 	value := func(c candidate) uint64 {
-		return wasabiquarantine.Isolation(q.IsolationKey, t.members[c.member].backend.ID)
+		return wasabiquarantine.IsolationRank(q.IsolationKey, t.members[c.member].backend.ID)
 	}
 	best := slices.MaxFunc(p.candidates, func(a, b candidate) int { return cmp.Compare(value(a), value(b)) })
 	p.score(now, t, q.Request, &best)
--- a/internal/wasabiquarantine/blocks.go
+++ b/internal/wasabiquarantine/blocks.go
@@ -35,12 +35,12 @@
 // queueBlock queues a decision for writeBlocks. The instance that saw the last server end
 // writes a block, and a few others check that it did. A lifted block is deleted by the
 // instance that lifted it.
-func (k *Keeper) queueBlock(note Note) {
-	written := note.Kind == NoteBarred || note.Kind == NoteLifted && len(note.Mark.Crashes) >= maxEnds
+func (k *Controller) queueBlock(note LogEvent) {
+	written := note.Kind == LogEventBlocked || note.Kind == LogEventLifted && len(note.Record.Crashes) >= maxEnds
 	if k.options.Rows == nil || !written || note.From == storeID {
 		return
 	}
-	if note.From != "" && (note.Kind != NoteBarred || !k.isBackupWriter(note)) {
+	if note.From != "" && (note.Kind != LogEventBlocked || !k.isBackupWriter(note)) {
 		return
 	}
 	select {
@@ -51,10 +51,10 @@
 
 // isBackupWriter reports whether this is one of the instances that check whether a block
 // was written. All instances that know the same members choose the same ones.
-func (k *Keeper) isBackupWriter(note Note) bool {
-	own, ahead := rank(note.Mark.Fingerprint, string(k.options.Self)), 0
+func (k *Controller) isBackupWriter(note LogEvent) bool {
+	own, ahead := rank(note.Record.Fingerprint, string(k.options.Self)), 0
 	for _, m := range k.options.Members() {
-		if m.ID != note.From && rank(note.Mark.Fingerprint, string(m.ID)) > own {
+		if m.ID != note.From && rank(note.Record.Fingerprint, string(m.ID)) > own {
 			ahead++
 		}
 	}
@@ -65,7 +65,7 @@
 //
 // The failure it guards against: all instances are replaced at once. None of them knows any
 // more which requests end servers, and these requests end as many servers again.
-func (k *Keeper) loadBlocks(ctx context.Context) {
+func (k *Controller) loadBlocks(ctx context.Context) {
 	for {
 		rows, err := k.listBlocks(ctx)
 		if err == nil {
@@ -89,18 +89,18 @@
 	}
 }
 
-func (k *Keeper) listBlocks(ctx context.Context) ([]wasabiridge.Row, error) {
+func (k *Controller) listBlocks(ctx context.Context) ([]wasabiridge.Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, rowTimeout)
 	defer cancel()
 	return k.options.Rows.List(ctx, RowPrefix, "", maxBlockRows)
 }
 
-func (k *Keeper) applyRows(ctx context.Context, rows []wasabiridge.Row) {
+func (k *Controller) applyRows(ctx context.Context, rows []wasabiridge.Row) {
 	now := wallClock()
 	var crashes []wasabiridge.CrashUpdate
 	for _, row := range rows {
 		c, err := DecodeRow(now, row)
-		if err != nil || IsOver(c) {
+		if err != nil || IsExpired(c) {
 			k.options.Log.Info().Err(err).Str("row", row.Key).Msg("Deleting a stored block that has expired or is invalid.")
 			k.commitBlock(ctx, row, nil)
 			continue
@@ -114,7 +114,7 @@
 }
 
 // writeBlocks writes blocks, and deletes those that are lifted, until the context ends.
-func (k *Keeper) writeBlocks(ctx context.Context) {
+func (k *Controller) writeBlocks(ctx context.Context) {
 	for {
 		select {
 		case note := <-k.blocks:
@@ -125,11 +125,11 @@
 	}
 }
 
-func (k *Keeper) writeBlock(ctx context.Context, note Note) {
+func (k *Controller) writeBlock(ctx context.Context, note LogEvent) {
 	var value []byte
-	if note.Kind == NoteBarred {
+	if note.Kind == LogEventBlocked {
 		var err error
-		if value, err = EncodeRow(wallClock(), note.Mark); err != nil {
+		if value, err = EncodeRow(wallClock(), note.Record); err != nil {
 			return
 		}
 	}
@@ -137,7 +137,7 @@
 		return
 	}
 	for range rowAttempts {
-		row, err := k.getBlock(ctx, note.Mark.Fingerprint)
+		row, err := k.getBlock(ctx, note.Record.Fingerprint)
 		done := row.Revision == 0 && value == nil || row.Revision > 0 && note.From != ""
 		if err == nil && (done || k.commitBlock(ctx, row, value)) || !sleep(ctx, rowRetryPause) {
 			return
@@ -145,7 +145,7 @@
 	}
 }
 
-func (k *Keeper) getBlock(ctx context.Context, f wasabiridge.Fingerprint) (wasabiridge.Row, error) {
+func (k *Controller) getBlock(ctx context.Context, f wasabiridge.Fingerprint) (wasabiridge.Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, rowTimeout)
 	defer cancel()
 	return k.options.Rows.Get(ctx, RowKey(f))
@@ -153,7 +153,7 @@
 
 // commitBlock replaces the value of a row, or deletes the row if the value is nil. It
 // reports whether the table confirmed the change.
-func (k *Keeper) commitBlock(ctx context.Context, row wasabiridge.Row, value []byte) bool {
+func (k *Controller) commitBlock(ctx context.Context, row wasabiridge.Row, value []byte) bool {
 	ctx, cancel := context.WithTimeout(ctx, rowTimeout)
 	defer cancel()
 	id := string(k.options.Self) + "/" + strconv.FormatUint(uint64(k.options.Incarnation), 36) + "/" + row.Key + "/" +
--- a/internal/wasabiquarantine/fleet_test.go
+++ b/internal/wasabiquarantine/fleet_test.go
@@ -65,7 +65,7 @@
 	id            wasabiridge.InstanceID
 	incarnation   wasabiridge.Incarnation
 	table         *wasabiquarantine.Table
-	spread        *wasabiquarantine.Spread
+	spread        *wasabiquarantine.RecipientSelector
 	sendScheduled bool
 	// offline says that the instance neither sends nor receives updates: it is partitioned
 	// from the others until backAt, or paused, or killed. If paused or killed, it does not
@@ -101,7 +101,7 @@
 	}
 	n := &instance{fleet: f, id: wasabiridge.InstanceID(fmt.Sprint("i", i)), incarnation: wasabiridge.Incarnation(f.now)}
 	n.table = wasabiquarantine.New(wasabiquarantine.Options{Self: n.id, Seed: f.random.Uint64(), Changed: n.scheduleSend})
-	n.spread = wasabiquarantine.NewSpread(f.random.Uint64())
+	n.spread = wasabiquarantine.NewRecipientSelector(f.random.Uint64())
 	f.instances[i] = n
 	f.membersCurrent = false
 	f.agenda.Add(f.now, n.tick)
@@ -126,11 +126,11 @@
 	n.sendScheduled = true
 	n.fleet.agenda.Add(n.fleet.now+batchDelay, func() {
 		n.sendScheduled = false
-		updates := n.table.TakeNews(n.fleet.now)
+		updates := n.table.TakeUpdates(n.fleet.now)
 		n.send(n.fleet.instances[:n.fleet.active], updates.Narrow)
 		n.send(n.fleet.instances, updates.Wide)
 		for _, c := range updates.Corrections {
-			n.send([]*instance{n.fleet.byID[c.To]}, c.Marks)
+			n.send([]*instance{n.fleet.byID[c.To]}, c.Records)
 		}
 	})
 }
@@ -175,16 +175,16 @@
 		return
 	}
 	n.table.Observe(f.now, wasabiridge.Ticked{})
-	n.table.TakeNotes()
+	n.table.TakeLogEvents()
 	if f.design.noUpdates {
 		return
 	}
 	f.updateMembers()
-	n.table.Meet(f.memberIDs)
+	n.table.SetMembers(f.memberIDs)
 	if f.design.noRepeats {
 		return
 	}
-	repeated := n.table.Repeated(f.now)
+	repeated := n.table.RepeatedUpdates(f.now)
 	one, all := n.spread.Targets(f.members, f.activeEntries)
 	n.send(f.instancesOf(one), repeated.Narrow)
 	n.send(f.instancesOf(append(one, all...)), repeated.Wide)
@@ -227,8 +227,8 @@
 	if n.killed || n.paused {
 		return
 	}
-	standing := n.table.Check(f.now, r)
-	switch standing {
+	verdict := n.table.Check(f.now, r)
+	switch verdict {
 	case wasabiridge.QuarantineBlocked:
 		f.refused[r.Fingerprint]++
 		return
@@ -239,7 +239,7 @@
 		}
 		return
 	}
-	s := f.choose(r.Fingerprint, standing == wasabiridge.QuarantineSuspect && !f.design.noIsolation)
+	s := f.choose(r.Fingerprint, verdict == wasabiridge.QuarantineSuspect && !f.design.noIsolation)
 	if s == nil {
 		return
 	}
@@ -297,7 +297,7 @@
 		return nil
 	}
 	return slices.MaxFunc(up, func(a, b *server) int {
-		if wasabiquarantine.Isolation(fingerprint, a.id) < wasabiquarantine.Isolation(fingerprint, b.id) {
+		if wasabiquarantine.IsolationRank(fingerprint, a.id) < wasabiquarantine.IsolationRank(fingerprint, b.id) {
 			return -1
 		}
 		return 1
--- a/internal/wasabiquarantine/handler.go
+++ b/internal/wasabiquarantine/handler.go
@@ -23,19 +23,19 @@
 
 // Handler lets operators list suspect and blocked requests (GET /) and release one of them
 // (DELETE /FINGERPRINT).
-func (k *Keeper) Handler() http.Handler {
+func (k *Controller) Handler() http.Handler {
 	router := chi.NewRouter()
 	router.Get("/", k.serveList)
 	router.Delete("/{fingerprint}", k.serveRelease)
 	return router
 }
 
-func (k *Keeper) serveList(w http.ResponseWriter, _ *http.Request) {
+func (k *Controller) serveList(w http.ResponseWriter, _ *http.Request) {
 	entries, _ := k.Snapshot()
 	out := make([]entryJSON, 0, len(entries))
 	for _, e := range entries {
 		s := entryJSON{
-			Fingerprint: e.Fingerprint.String(), Account: string(e.Account), Model: string(e.Model), Barred: e.Barred, LeftMillis: int64(e.Left),
+			Fingerprint: e.Fingerprint.String(), Account: string(e.Account), Model: string(e.Model), Barred: e.Blocked, LeftMillis: int64(e.Left),
 		}
 		for _, end := range e.Crashes {
 			s.Ended = append(s.Ended, string(end.Backend))
@@ -47,7 +47,7 @@
 	_ = json.NewEncoder(w).Encode(out)
 }
 
-func (k *Keeper) serveRelease(w http.ResponseWriter, r *http.Request) {
+func (k *Controller) serveRelease(w http.ResponseWriter, r *http.Request) {
 	id, err := strconv.ParseUint(chi.URLParam(r, "fingerprint"), 16, 64)
 	if err != nil {
 		http.Error(w, "a fingerprint has 16 hexadecimal digits", http.StatusBadRequest)
--- a/internal/wasabiquarantine/isolation.go
+++ b/internal/wasabiquarantine/isolation.go
@@ -8,11 +8,11 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Isolation ranks backend servers for a suspect request: every instance sends it to the
-// server with the highest value. Suspects with different fingerprints mostly get different
-// servers, so requests that merely ran beside the one that ends servers are separated from
-// it.
-func Isolation(f wasabiridge.Fingerprint, b wasabiridge.BackendServerID) uint64 {
+// IsolationRank ranks backend servers for a suspect request: every instance sends it to
+// the server with the highest value. Suspects with different fingerprints mostly get
+// different servers, so requests that merely ran beside the one that ends servers are
+// separated from it.
+func IsolationRank(f wasabiridge.Fingerprint, b wasabiridge.BackendServerID) uint64 {
 	return rank(f, string(b))
 }
 
--- a/internal/wasabiquarantine/judge.go
+++ b/internal/wasabiquarantine/judge.go
@@ -57,9 +57,9 @@
 	return false
 }
 
-// Meet takes the names of the other running instances. The choice of the instances that may
-// try a request depends on them.
-func (t *Table) Meet(others []wasabiridge.InstanceID) { t.others = others }
+// SetMembers takes the names of the other running instances. The choice of the
+// instances that may try a request depends on them.
+func (t *Table) SetMembers(others []wasabiridge.InstanceID) { t.others = others }
 
 // mayTry reports whether this is one of the instances that may send an unproven request, or
 // one whose block has expired, as a trial. All instances that know the same members choose
--- a/internal/wasabiquarantine/keeper.go
+++ b/internal/wasabiquarantine/keeper.go
@@ -25,8 +25,8 @@
 	sendTimeout    = 400 * time.Millisecond
 )
 
-// KeeperOptions are the dependencies and settings of a Controller. Clock is required.
-type KeeperOptions struct {
+// ControllerOptions are the dependencies and settings of a Controller. Clock is required.
+type ControllerOptions struct {
 	Self        wasabiridge.InstanceID
 	Incarnation wasabiridge.Incarnation
 	Clock       wasabiridge.Clock
@@ -37,44 +37,44 @@
 	// callers are routed to all members.
 	Members func() []wasabiridge.Member
 	Active  func() []wasabiridge.InstanceEntry
-	// Tell sends an update to the instance at an address. Nil means that no updates are
+	// Send sends an update to the instance at an address. Nil means that no updates are
 	// sent.
-	Tell func(ctx context.Context, address string, n wasabiridge.StateUpdate) error
+	Send func(ctx context.Context, address string, n wasabiridge.StateUpdate) error
 	// Rows stores blocks so that they survive a restart of all instances. Nil means that
 	// they are not stored.
 	Rows wasabiridge.Table
 }
 
-// Keeper connects a Table to the other instances, to the rows in which blocks are stored,
-// and to the log. It is safe for concurrent use.
-type Keeper struct {
-	options KeeperOptions
+// Controller connects a Table to the other instances, to the rows in which blocks are
+// stored, and to the log. It is safe for concurrent use.
+type Controller struct {
+	options ControllerOptions
 	table   *Table
 	loop    *wasabiloop.Loop
 	changed chan struct{}
-	blocks  chan Note
+	blocks  chan LogEvent
 }
 
-// NewKeeper returns a keeper with an empty table.
-func NewKeeper(o KeeperOptions) *Keeper {
+// NewController returns a controller with an empty table.
+func NewController(o ControllerOptions) *Controller {
 	if o.Members == nil {
 		o.Members = func() []wasabiridge.Member { return nil }
 	}
-	k := &Keeper{options: o, changed: make(chan struct{}, 1), blocks: make(chan Note, blockQueueSize)}
+	k := &Controller{options: o, changed: make(chan struct{}, 1), blocks: make(chan LogEvent, blockQueueSize)}
 	k.table = New(Options{Self: o.Self, Seed: o.Seed, Changed: k.signalChange})
 	return k
 }
 
 // Table returns the quarantine table. It may be used only in the loop that is given to
 // SetLoop.
-func (k *Keeper) Table() *Table { return k.table }
+func (k *Controller) Table() *Table { return k.table }
 
-// Join sets the loop that owns the table. It must be called once, before any other method
-// but Table.
-func (k *Keeper) Join(l *wasabiloop.Loop) { k.loop = l }
+// SetLoop sets the loop that owns the table. It must be called once, before any other
+// method but Table.
+func (k *Controller) SetLoop(l *wasabiloop.Loop) { k.loop = l }
 
 // signalChange makes Run send and log what has changed.
-func (k *Keeper) signalChange() {
+func (k *Controller) signalChange() {
 	select {
 	case k.changed <- struct{}{}:
 	default:
@@ -83,14 +83,14 @@
 
 // Run sends updates to the other instances, stores blocks and logs decisions, until the
 // context ends. It must be called only once.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Controller) Run(ctx context.Context) {
 	if k.options.Rows != nil {
 		go k.loadBlocks(ctx)
 		go k.writeBlocks(ctx)
 	}
 	ticker := time.NewTicker(repeatInterval)
 	defer ticker.Stop()
-	spread := NewSpread(k.options.Seed)
+	spread := NewRecipientSelector(k.options.Seed)
 	for {
 		select {
 		case <-k.changed:
@@ -105,11 +105,11 @@
 }
 
 // sendChanges sends, logs and stores what has changed.
-func (k *Keeper) sendChanges(ctx context.Context) {
-	var updates News
-	var notes []Note
-	k.loop.Inspect(func() { updates, notes = k.table.TakeNews(k.options.Clock.Now()), k.table.TakeNotes() })
-	for _, note := range notes {
+func (k *Controller) sendChanges(ctx context.Context) {
+	var updates Updates
+	var events []LogEvent
+	k.loop.Inspect(func() { updates, events = k.table.TakeUpdates(k.options.Clock.Now()), k.table.TakeLogEvents() })
+	for _, note := range events {
 		k.log(note)
 		k.queueBlock(note)
 	}
@@ -118,31 +118,31 @@
 	for _, c := range updates.Corrections {
 		for _, m := range k.options.Members() {
 			if m.ID == c.To {
-				k.send(ctx, []wasabiridge.InstanceEntry{m.InstanceEntry}, c.Marks)
+				k.send(ctx, []wasabiridge.InstanceEntry{m.InstanceEntry}, c.Records)
 			}
 		}
 	}
 }
 
 // sendRepeats sends the known records again to some instances.
-func (k *Keeper) sendRepeats(ctx context.Context, spread *Spread) {
+func (k *Controller) sendRepeats(ctx context.Context, spread *RecipientSelector) {
 	members := k.options.Members()
 	var others []wasabiridge.InstanceID
 	for _, m := range members {
 		others = append(others, m.ID)
 	}
 	one, all := spread.Targets(members, k.active())
-	var updates News
+	var updates Updates
 	k.loop.Inspect(func() {
-		k.table.Meet(others)
-		updates = k.table.Repeated(k.options.Clock.Now())
+		k.table.SetMembers(others)
+		updates = k.table.RepeatedUpdates(k.options.Clock.Now())
 	})
 	k.send(ctx, one, updates.Narrow)
 	k.send(ctx, append(one, all...), updates.Wide)
 }
 
 // members returns the other instances that are not leaving.
-func (k *Keeper) members() []wasabiridge.InstanceEntry {
+func (k *Controller) members() []wasabiridge.InstanceEntry {
 	var out []wasabiridge.InstanceEntry
 	for _, m := range k.options.Members() {
 		if !m.Leaving {
@@ -153,7 +153,7 @@
 }
 
 // active returns the other instances that callers are routed to.
-func (k *Keeper) active() []wasabiridge.InstanceEntry {
+func (k *Controller) active() []wasabiridge.InstanceEntry {
 	if k.options.Active == nil {
 		return k.members()
 	}
@@ -171,8 +171,8 @@
 //
 // The failure it guards against: a message is lost. Its receiver would send the request to
 // further servers, or keep suspecting one that was answered elsewhere.
-func (k *Keeper) send(ctx context.Context, to []wasabiridge.InstanceEntry, crashes []wasabiridge.CrashUpdate) {
-	if k.options.Tell == nil || len(crashes) == 0 {
+func (k *Controller) send(ctx context.Context, to []wasabiridge.InstanceEntry, crashes []wasabiridge.CrashUpdate) {
+	if k.options.Send == nil || len(crashes) == 0 {
 		return
 	}
 	update := wasabiridge.StateUpdate{From: k.options.Self, Crashes: crashes}
@@ -183,10 +183,10 @@
 	}
 }
 
-func (k *Keeper) sendOne(ctx context.Context, address string, update wasabiridge.StateUpdate) {
+func (k *Controller) sendOne(ctx context.Context, address string, update wasabiridge.StateUpdate) {
 	for range sendAttempts {
 		timed, cancel := context.WithTimeout(ctx, sendTimeout)
-		err := k.options.Tell(timed, address, update)
+		err := k.options.Send(timed, address, update)
 		cancel()
 		if err == nil {
 			return
@@ -200,17 +200,17 @@
 	}
 }
 
-// Hear takes an update received from another instance. It is dropped while the loop's queue
-// is full; the sender repeats it.
-func (k *Keeper) Hear(n wasabiridge.StateUpdate) {
+// Receive takes an update received from another instance. It is dropped while the
+// loop's queue is full; the sender repeats it.
+func (k *Controller) Receive(n wasabiridge.StateUpdate) {
 	if len(n.Crashes) > 0 {
 		k.loop.TryPost(wasabiridge.CrashesReceived{From: n.From, Crashes: n.Crashes})
 	}
 }
 
 // log logs a suspicion or a block, or that it was lifted.
-func (k *Keeper) log(note Note) {
-	m := note.Mark
+func (k *Controller) log(note LogEvent) {
+	m := note.Record
 	line := k.options.Log.Info().Stringer("fingerprint", m.Fingerprint).Str("account", string(m.Account)).Int("ends", len(m.Crashes)).
 		Uint64("epoch", uint64(m.Epoch)).Str("from", string(note.From))
 	if len(m.Crashes) > 0 {
@@ -218,31 +218,31 @@
 		line = line.Str(wasabilog.BackendField, string(last.Backend)).Int64("ran_ms", int64(last.RunTime)).Int64("age_ms", int64(last.Age))
 	}
 	switch note.Kind {
-	case NoteEnd:
+	case LogEventCrash:
 		line.Msg("Server ended under a request.")
-	case NoteBarred:
+	case LogEventBlocked:
 		var ended []string
 		for _, e := range m.Crashes {
 			ended = append(ended, string(e.Backend))
 		}
 		line.Strs("ended", ended).Int64("for_ms", int64(note.For)).Msg("Request blocked.")
-	case NoteLifted:
+	case LogEventLifted:
 		line.Str("why", string(note.Why)).Msg("Suspicion or block of a request lifted.")
 	}
 }
 
 // Snapshot returns the suspect and blocked requests, and totals since the start of the
 // process.
-func (k *Keeper) Snapshot() (entries []Entry, counts Counts) {
+func (k *Controller) Snapshot() (entries []Entry, counts Counts) {
 	k.loop.Inspect(func() { entries, counts = k.table.Entries(k.options.Clock.Now()), k.table.Counts() })
 	return entries, counts
 }
 
 // Release lifts the suspicion or block of a request, here and at all instances. It reports
 // ErrNotFound if this instance has none against the request.
-func (k *Keeper) Release(f wasabiridge.Fingerprint) error {
+func (k *Controller) Release(f wasabiridge.Fingerprint) error {
 	known := false
-	k.loop.Inspect(func() { known = k.table.Holds(f) })
+	k.loop.Inspect(func() { known = k.table.IsSuspect(f) })
 	if !known {
 		return wasabiridge.ErrNotFound.New("quarantine: request %s is neither suspect nor blocked at this instance", f)
 	}
--- a/internal/wasabiquarantine/keeper_test.go
+++ b/internal/wasabiquarantine/keeper_test.go
@@ -81,15 +81,15 @@
 func TestOperatorsReleaseRequests(t *testing.T) {
 	g := NewWithT(t)
 	log, updates := &logBuffer{}, &updateRecorder{rejected: 1}
-	k := wasabiquarantine.NewKeeper(wasabiquarantine.KeeperOptions{
-		Self: "i1", Clock: wasabiclock.NewVirtual(1e9), Seed: 1, Log: zerolog.New(log), Tell: updates.send,
+	k := wasabiquarantine.NewController(wasabiquarantine.ControllerOptions{
+		Self: "i1", Clock: wasabiclock.NewVirtual(1e9), Seed: 1, Log: zerolog.New(log), Send: updates.send,
 		Members: func() []wasabiridge.Member {
 			return []wasabiridge.Member{{InstanceEntry: wasabiridge.InstanceEntry{ID: "i2", PeerAddress: "a"}}}
 		},
 	})
 	loop := wasabiloop.New(wasabiloop.Options{Decider: tableDecider{k.Table()}, Clock: wasabiclock.NewVirtual(1e9)})
 	t.Cleanup(loop.Close)
-	k.Join(loop)
+	k.SetLoop(loop)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go k.Run(ctx)
@@ -98,7 +98,7 @@
 	for i := range 3 {
 		blocked.Crashes = append(blocked.Crashes, wasabiridge.ServerCrash{Backend: wasabiridge.BackendServerID(fmt.Sprint("e", i)), RunTime: 50, Age: wasabiridge.Millis(1000 * (i + 1))})
 	}
-	k.Hear(wasabiridge.StateUpdate{From: "i2", Crashes: []wasabiridge.CrashUpdate{blocked}})
+	k.Receive(wasabiridge.StateUpdate{From: "i2", Crashes: []wasabiridge.CrashUpdate{blocked}})
 	server := httptest.NewServer(k.Handler())
 	t.Cleanup(server.Close)
 	list := func() string {
@@ -126,6 +126,6 @@
 	g.Eventually(updates.epochs, "5s").Should(HaveKey(uint32(1)))
 	g.Eventually(log.String).Should(ContainSubstring(`"why":"released"`))
 	_, counts := k.Snapshot()
-	g.Expect(counts.Barred).To(Equal(1))
+	g.Expect(counts.Blocked).To(Equal(1))
 	g.Expect(counts.Lifted).To(Equal(1))
 }
--- a/internal/wasabiquarantine/merge.go
+++ b/internal/wasabiquarantine/merge.go
@@ -33,7 +33,7 @@
 	changed := false
 	if c.Epoch > m.epoch {
 		if len(m.ends) > 0 {
-			t.note(now, Note{Kind: NoteLifted, Mark: m.snapshot(now), Why: LiftedByAnswer, From: from})
+			t.addLogEvent(now, LogEvent{Kind: LogEventLifted, Record: m.snapshot(now), Why: LiftedByAnswer, From: from})
 		}
 		m.wasWide = m.isWide()
 		m.epoch, m.ends, changed = c.Epoch, nil, true
@@ -131,7 +131,7 @@
 		case len(m.ends) == 0 && now-m.changed > clearedRetention:
 			t.remove(m)
 		case len(m.ends) > 0 && now > m.newest()+t.blockDuration(m)+retention:
-			t.note(now, Note{Kind: NoteLifted, Mark: m.snapshot(now), Why: LiftedByTime})
+			t.addLogEvent(now, LogEvent{Kind: LogEventLifted, Record: m.snapshot(now), Why: LiftedByTime})
 			t.remove(m)
 		}
 	}
--- a/internal/wasabiquarantine/note.go
+++ b/internal/wasabiquarantine/note.go
@@ -4,8 +4,9 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// maxNotes bounds the notes that wait to be taken. Beyond that, the oldest are dropped.
-const maxNotes = 256
+// maxLogEvents bounds the events that wait to be taken. Beyond that, the oldest are
+// dropped.
+const maxLogEvents = 256
 
 // Lifted is the reason why a suspicion or a block was lifted.
 type Lifted string
@@ -17,23 +18,24 @@
 	LiftedByTime     Lifted = "forgotten"
 )
 
-// NoteKind is the kind of event that a LogEvent reports.
-type NoteKind uint8
+// LogEventKind is the kind of event that a LogEvent reports.
+type LogEventKind uint8
 
-// Kinds of notes.
+// Kinds of log events.
 const (
-	// NoteEnd reports the newest server end in Mark.
-	NoteEnd NoteKind = iota
-	// NoteBarred reports that a request is blocked from now on, with all its server ends.
-	NoteBarred
-	// NoteLifted reports that the suspicion or block of a request was lifted.
-	NoteLifted
+	// LogEventCrash reports the newest server end in Record.
+	LogEventCrash LogEventKind = iota
+	// LogEventBlocked reports that a request is blocked from now on, with all its
+	// server ends.
+	LogEventBlocked
+	// LogEventLifted reports that the suspicion or block of a request was lifted.
+	LogEventLifted
 )
 
-// Note is an event for the log.
-type Note struct {
-	Kind NoteKind
-	Mark wasabiridge.CrashUpdate
+// LogEvent is an event for the log.
+type LogEvent struct {
+	Kind   LogEventKind
+	Record wasabiridge.CrashUpdate
 	// From is the instance that sent the update. Empty means that this instance saw the
 	// event itself.
 	From wasabiridge.InstanceID
@@ -48,49 +50,49 @@
 	// blocked, Lifted suspicions and blocks that were lifted, Refused the requests that
 	// were refused because of a block, Deferred those that were deferred because other
 	// instances may try them.
-	Ends, Barred, Lifted, Refused, Deferred int
+	Ends, Blocked, Lifted, Refused, Deferred int
 }
 
-func (t *Table) note(_ wasabiridge.Millis, n Note) {
-	if n.Kind == NoteLifted {
+func (t *Table) addLogEvent(_ wasabiridge.Millis, n LogEvent) {
+	if n.Kind == LogEventLifted {
 		t.counts.Lifted++
-		if len(n.Mark.Crashes) == 1 {
+		if len(n.Record.Crashes) == 1 {
 			// Every request that ran beside one that ends a server is suspected once.
 			// These are too many to log.
 			return
 		}
 	}
-	if len(t.notes) >= maxNotes {
-		t.notes = t.notes[1:]
+	if len(t.logEvents) >= maxLogEvents {
+		t.logEvents = t.logEvents[1:]
 	}
-	t.notes = append(t.notes, n)
+	t.logEvents = append(t.logEvents, n)
 	t.changed()
 }
 
-// noteEnds records notes on server ends. First ends that other instances report are left
-// out, because each end makes all requests suspects that ran at the server.
+// noteEnds records events about server ends. First ends that other instances report are
+// left out, because each end makes all requests suspects that ran at the server.
 func (t *Table) noteEnds(now wasabiridge.Millis, m *record, from wasabiridge.InstanceID, before int, blocked bool) {
 	if from == "" || m.count() > max(before, 1) {
-		t.note(now, Note{Kind: NoteEnd, Mark: m.snapshot(now), From: from})
+		t.addLogEvent(now, LogEvent{Kind: LogEventCrash, Record: m.snapshot(now), From: from})
 	}
 	if !blocked && t.isBlocked(now, m) {
-		t.counts.Barred++
-		t.note(now, Note{Kind: NoteBarred, Mark: m.snapshot(now), From: from, For: t.blockDuration(m)})
+		t.counts.Blocked++
+		t.addLogEvent(now, LogEvent{Kind: LogEventBlocked, Record: m.snapshot(now), From: from, For: t.blockDuration(m)})
 	}
 }
 
-// TakeNotes returns the events to log since the last call.
-func (t *Table) TakeNotes() []Note {
-	out := t.notes
-	t.notes = nil
+// TakeLogEvents returns the events to log since the last call.
+func (t *Table) TakeLogEvents() []LogEvent {
+	out := t.logEvents
+	t.logEvents = nil
 	return out
 }
 
 // Counts returns totals since the start of the process.
 func (t *Table) Counts() Counts { return t.counts }
 
-// Holds reports whether a request is suspect or blocked.
-func (t *Table) Holds(f wasabiridge.Fingerprint) bool {
+// IsSuspect reports whether a request is suspect or blocked.
+func (t *Table) IsSuspect(f wasabiridge.Fingerprint) bool {
 	m := t.records[f]
 	return m != nil && m.count() > 0
 }
@@ -98,7 +100,7 @@
 // Entry is a suspect or blocked request.
 type Entry struct {
 	wasabiridge.CrashUpdate
-	Barred bool
+	Blocked bool
 	// Left is how long the block still lasts at this instance.
 	Left wasabiridge.Millis
 }
@@ -111,8 +113,8 @@
 		if m.count() == 0 {
 			continue
 		}
-		e := Entry{CrashUpdate: m.snapshot(now), Barred: t.isBlocked(now, m)}
-		if e.Barred {
+		e := Entry{CrashUpdate: m.snapshot(now), Blocked: t.isBlocked(now, m)}
+		if e.Blocked {
 			e.Left = max(0, m.newest()+t.blockDuration(m)-now)
 		}
 		out = append(out, e)
--- a/internal/wasabiquarantine/quarantine.go
+++ b/internal/wasabiquarantine/quarantine.go
@@ -8,7 +8,7 @@
 // connections, errors and silence of servers that still listen are no evidence. One end
 // counts once, no matter how many instances report it.
 //
-// # Standing of a request
+// # Verdict on a request
 //
 // A request is identified by its fingerprint, which covers its client account, so that the
 // requests of one account never affect those of another. After the first end of a server a
@@ -36,7 +36,7 @@
 //
 //	table := wasabiquarantine.New(wasabiquarantine.Options{Seed: 1})
 //	core := wasabicore.New(wasabicore.Options{Quarantine: table, ...})
-//	news := table.TakeUpdates(now)
+//	updates := table.TakeUpdates(now)
 //
 // A Table is deterministic for a seed and not safe for concurrent use.
 package wasabiquarantine
@@ -119,7 +119,7 @@
 	// corrections holds, by instance, the records that it sent and that had been cleared
 	// before.
 	corrections map[wasabiridge.InstanceID]map[wasabiridge.Fingerprint]bool
-	notes       []Note
+	logEvents   []LogEvent
 	// sweptAt is when expired records were last removed.
 	sweptAt wasabiridge.Millis
 	// endings is when each server last ended under any request.
@@ -220,7 +220,7 @@
 
 // clear ends the suspicion of a request.
 func (t *Table) clear(now wasabiridge.Millis, m *record, why Lifted) {
-	t.note(now, Note{Kind: NoteLifted, Mark: m.snapshot(now), Why: why})
+	t.addLogEvent(now, LogEvent{Kind: LogEventLifted, Record: m.snapshot(now), Why: why})
 	m.wasWide = m.isWide()
 	m.epoch++
 	m.ends = nil
--- a/internal/wasabiquarantine/quarantine_test.go
+++ b/internal/wasabiquarantine/quarantine_test.go
@@ -260,22 +260,22 @@
 	}
 	g.Expect(len(b.table.Entries(b.now))).To(BeNumerically("<=", 65))
 	g.Expect(b.table.Check(b.now, requestWith(1))).To(Equal(wasabiridge.QuarantineBlocked))
-	g.Expect(b.table.Holds(7)).To(BeTrue())
-	g.Expect(b.table.Holds(10099)).To(BeTrue(), "the newest is kept")
+	g.Expect(b.table.IsSuspect(7)).To(BeTrue())
+	g.Expect(b.table.IsSuspect(10099)).To(BeTrue(), "the newest is kept")
 	for i := range 200 {
 		// An account with blocked requests only evicts its oldest record for the newest.
 		b.now += 10000
 		b.endServers(wasabiridge.Fingerprint(20000+i), "s1", "s2", "s3")
 		g.Expect(b.table.Check(b.now, requestWith(wasabiridge.Fingerprint(20000+i)))).To(Equal(wasabiridge.QuarantineBlocked))
 	}
-	g.Expect(b.table.Holds(7)).To(BeTrue(), "a record of another account")
+	g.Expect(b.table.IsSuspect(7)).To(BeTrue(), "a record of another account")
 	b.endServers(1, "s1", "s2", "s3")
 	for account := range 10000 {
 		b.receive(wasabiridge.CrashUpdate{Fingerprint: wasabiridge.Fingerprint(1e6 + account), Account: wasabiridge.ClientAccountID(fmt.Sprint(account)), Crashes: []wasabiridge.ServerCrash{{Backend: "s"}}})
 	}
 	g.Expect(len(b.table.Entries(b.now))).To(BeNumerically("<=", 4096))
 	g.Expect(b.table.Check(b.now, requestWith(1))).To(Equal(wasabiridge.QuarantineBlocked))
-	g.Expect(len(b.table.Repeated(b.now).Wide)).To(BeNumerically("<=", 32))
+	g.Expect(len(b.table.RepeatedUpdates(b.now).Wide)).To(BeNumerically("<=", 32))
 }
 
 // Guards against instances that disagree: those that receive the same updates in another
@@ -302,7 +302,7 @@
 			out := map[wasabiridge.Fingerprint]string{}
 			for _, e := range b.table.Entries(b.now) {
 				slices.SortFunc(e.Crashes, func(x, y wasabiridge.ServerCrash) int { return int(x.At-y.At)*100 + len(x.Backend) - len(y.Backend) })
-				out[e.Fingerprint] = fmt.Sprint(e.Epoch, e.Barred, e.Crashes)
+				out[e.Fingerprint] = fmt.Sprint(e.Epoch, e.Blocked, e.Crashes)
 			}
 			return out
 		}
--- a/internal/wasabiquarantine/row.go
+++ b/internal/wasabiquarantine/row.go
@@ -11,8 +11,8 @@
 // RowPrefix is the common prefix of the keys of the rows in which blocks are stored.
 const RowPrefix = "quarantine/"
 
-// RowLife is how long the latest end in a row counts.
-const RowLife = wasabiridge.Millis(float64(longestBlock)*(1+blockJitter)) + retention
+// RowRetention is how long the latest end in a row counts.
+const RowRetention = wasabiridge.Millis(float64(longestBlock)*(1+blockJitter)) + retention
 
 // row is a stored block. Times are in milliseconds of the time of day, which instances
 // share up to a clock skew of some seconds.
@@ -73,10 +73,10 @@
 	return out, nil
 }
 
-// IsOver reports whether a stored block has expired.
-func IsOver(c wasabiridge.CrashUpdate) bool {
+// IsExpired reports whether a stored block has expired.
+func IsExpired(c wasabiridge.CrashUpdate) bool {
 	for _, e := range c.Crashes {
-		if e.Age < RowLife {
+		if e.Age < RowRetention {
 			return false
 		}
 	}
--- a/internal/wasabiquarantine/row_test.go
+++ b/internal/wasabiquarantine/row_test.go
@@ -17,7 +17,7 @@
 	g, b := NewWithT(t), newTableDriver()
 	b.endServers(1, "s1", "s2", "s3")
 	const written = wasabiridge.Millis(5e9)
-	stored := b.table.TakeNews(b.now).Wide
+	stored := b.table.TakeUpdates(b.now).Wide
 	g.Expect(stored).To(HaveLen(1))
 	value, err := wasabiquarantine.EncodeRow(written, stored[0])
 	g.Expect(err).NotTo(HaveOccurred())
@@ -33,7 +33,7 @@
 		other := newTableDriver()
 		decoded, err := wasabiquarantine.DecodeRow(written+after, row)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(wasabiquarantine.IsOver(decoded)).To(Equal(after > wasabiquarantine.RowLife))
+		g.Expect(wasabiquarantine.IsExpired(decoded)).To(Equal(after > wasabiquarantine.RowRetention))
 		other.receive(decoded)
 		g.Expect(other.table.Check(other.now, requestWith(1))).To(Equal(want), "after %d", after)
 	}
--- a/internal/wasabiquarantine/spread.go
+++ b/internal/wasabiquarantine/spread.go
@@ -20,9 +20,9 @@
 	clearedRepeatSpan = 10 * wasabiridge.Second
 )
 
-// News are the records to send. Narrow goes to the instances that callers are routed to,
-// Wide to all instances.
-type News struct {
+// Updates are the records to send. Narrow goes to the instances that callers are routed
+// to, Wide to all instances.
+type Updates struct {
 	Narrow, Wide []wasabiridge.CrashUpdate
 	// Corrections go to single instances that have sent records of an earlier epoch.
 	Corrections []Correction
@@ -30,13 +30,13 @@
 
 // Correction is the reply to an instance that has sent records of an earlier epoch.
 type Correction struct {
-	To    wasabiridge.InstanceID
-	Marks []wasabiridge.CrashUpdate
+	To      wasabiridge.InstanceID
+	Records []wasabiridge.CrashUpdate
 }
 
-// TakeNews returns the updates to send at once, and clears them.
-func (t *Table) TakeNews(now wasabiridge.Millis) News {
-	var out News
+// TakeUpdates returns the updates to send at once, and clears them.
+func (t *Table) TakeUpdates(now wasabiridge.Millis) Updates {
+	var out Updates
 	for _, f := range t.fingerprints() {
 		if !t.updated[f] {
 			continue
@@ -53,7 +53,7 @@
 		c := Correction{To: id}
 		for _, f := range slices.Sorted(maps.Keys(t.corrections[id])) {
 			if m := t.records[f]; m != nil {
-				c.Marks = append(c.Marks, m.snapshot(now))
+				c.Records = append(c.Records, m.snapshot(now))
 			}
 		}
 		out.Corrections = append(out.Corrections, c)
@@ -62,13 +62,13 @@
 	return out
 }
 
-// Repeated returns the records to send again to a few other instances each time: those that
-// may be blocked first, and then those that changed last.
+// RepeatedUpdates returns the records to send again to a few other instances each time:
+// those that may be blocked first, and then those that changed last.
 //
 // The failure it guards against: an update is lost, or the instances that had it have
 // ended; or an instance starts, resumes after a pause or was partitioned off. It would send
 // a request to servers although all others know better.
-func (t *Table) Repeated(now wasabiridge.Millis) News {
+func (t *Table) RepeatedUpdates(now wasabiridge.Millis) Updates {
 	var repeated []*record
 	for _, f := range t.fingerprints() {
 		if t.isRepeated(now, t.records[f]) {
@@ -81,7 +81,7 @@
 		}
 		return cmp.Compare(b.changed, a.changed)
 	})
-	var out News
+	var out Updates
 	for _, m := range repeated[:min(len(repeated), maxRepeated)] {
 		if m.isWide() {
 			out.Wide = append(out.Wide, m.snapshot(now))
@@ -110,24 +110,24 @@
 	joinSenders = 8
 )
 
-// Spread chooses the instances to which records are sent again. It is deterministic for a
-// seed and not safe for concurrent use.
-type Spread struct {
+// RecipientSelector chooses the instances to which records are sent again. It is
+// deterministic for a seed and not safe for concurrent use.
+type RecipientSelector struct {
 	random *rand.Rand
 	// incarnations holds the incarnations of the members that were seen before.
 	incarnations map[wasabiridge.InstanceID]wasabiridge.Incarnation
 }
 
-// NewSpread returns a RecipientSelector that has not seen any members.
-func NewSpread(seed uint64) *Spread {
-	return &Spread{random: rand.New(rand.NewPCG(seed, 2)), incarnations: map[wasabiridge.InstanceID]wasabiridge.Incarnation{}}
+// NewRecipientSelector returns a RecipientSelector that has not seen any members.
+func NewRecipientSelector(seed uint64) *RecipientSelector {
+	return &RecipientSelector{random: rand.New(rand.NewPCG(seed, 2)), incarnations: map[wasabiridge.InstanceID]wasabiridge.Incarnation{}}
 }
 
 // Targets returns the instances to send to now. one is a random instance among those that
 // callers are routed to; all is a random member and some of those that have joined since
 // the last call, so that each of these is chosen by joinSenders instances in the mean.
 // members are the other running instances, active those that callers are routed to.
-func (s *Spread) Targets(members []wasabiridge.Member, active []wasabiridge.InstanceEntry) (one, all []wasabiridge.InstanceEntry) {
+func (s *RecipientSelector) Targets(members []wasabiridge.Member, active []wasabiridge.InstanceEntry) (one, all []wasabiridge.InstanceEntry) {
 	seen := map[wasabiridge.InstanceID]wasabiridge.Incarnation{}
 	for _, m := range members {
 		seen[m.ID] = m.Incarnation
--- a/internal/wasabireplica/placer.go
+++ b/internal/wasabireplica/placer.go
@@ -149,7 +149,7 @@
 		}
 		switch {
 		case q.IsolationKey != 0:
-			if !found || wasabiquarantine.Isolation(q.IsolationKey, r.server.ID) > wasabiquarantine.Isolation(q.IsolationKey, best.replica.server.ID) {
+			if !found || wasabiquarantine.IsolationRank(q.IsolationKey, r.server.ID) > wasabiquarantine.IsolationRank(q.IsolationKey, best.replica.server.ID) {
 				best, found = c, true
 			}
 		case !found || c.score < best.score-tieMargin:
