--- a/examples/quota/main.go
+++ b/examples/quota/main.go
@@ -22,7 +22,7 @@
 }
 
 func newInstance(id, other wasabiridge.InstanceID, config wasabiridge.Config) *instance {
-	i := &instance{id: id, table: wasabiquota.New(wasabiquota.Options{Self: id, Life: 1})}
+	i := &instance{id: id, table: wasabiquota.New(wasabiquota.Options{Self: id, Incarnation: 1})}
 	i.table.Observe(0, wasabiridge.ConfigAdopted{Config: config})
 	i.table.Observe(0, wasabiridge.ActiveKnown{Instances: []wasabiridge.InstanceID{id, other}, Known: 2})
 	return i
@@ -45,7 +45,7 @@
 // sendUpdate sends the usage of one instance to another, if they are connected.
 func sendUpdate(now wasabiridge.Millis, from, to *instance, connected bool) {
 	from.table.Observe(now, wasabiridge.Ticked{})
-	for _, id := range from.table.Strangers(now) {
+	for _, id := range from.table.HelloTargets(now) {
 		if connected {
 			from.table.Observe(now, wasabiridge.PeerReachable{From: id})
 		}
@@ -53,7 +53,7 @@
 	if !from.table.IsDue(now) {
 		return
 	}
-	update := from.table.TakeNews(now)
+	update := from.table.TakeUpdate(now)
 	from.table.Observe(now, wasabiridge.PeerUpdateSent{To: to.id})
 	if connected {
 		to.table.Observe(now, update.UsageReceived())
@@ -70,7 +70,7 @@
 		sendUpdate(now, b, a, connected)
 		switch now {
 		case 5 * wasabiridge.Second, 8 * wasabiridge.Second, 18 * wasabiridge.Second:
-			fmt.Printf("%5d ms: pos-1 may use %.2f of the limit, ari-1 %.2f\n", now, a.table.Part(now), b.table.Part(now))
+			fmt.Printf("%5d ms: pos-1 may use %.2f of the limit, ari-1 %.2f\n", now, a.table.UsableShare(now), b.table.UsableShare(now))
 			a.exhaust(now)
 		case 6 * wasabiridge.Second, 19 * wasabiridge.Second:
 			b.exhaust(now)
--- a/internal/wasabidaemon/components.go
+++ b/internal/wasabidaemon/components.go
@@ -63,7 +63,7 @@
 	// quarantine blocks requests that crash the backend servers that run them.
 	quarantine *wasabiquarantine.Controller
 	// quota enforces the limits of client accounts.
-	quota    *wasabiquota.Keeper
+	quota    *wasabiquota.Controller
 	outcomes *wasabioutcome.Recorder
 	config   *wasabiconfig.Controller
 	rollouts *wasabirollout.Keeper
@@ -85,7 +85,7 @@
 	p.quota = d.newQuota()
 	p.loop = d.newLoop()
 	p.quarantine.SetLoop(p.loop)
-	p.quota.Join(p.loop)
+	p.quota.SetLoop(p.loop)
 	if err := d.setUpPeers(); err != nil {
 		return err
 	}
@@ -124,15 +124,15 @@
 	})
 }
 
-func (d *Daemon) newQuota() *wasabiquota.Keeper {
-	o := wasabiquota.KeeperOptions{
+func (d *Daemon) newQuota() *wasabiquota.Controller {
+	o := wasabiquota.ControllerOptions{
 		Self: d.options.Settings.Instance, Incarnation: d.incarnation, Clock: d.options.Clock,
 		Log: wasabilog.Part(d.log, "quota"), Members: d.members, Rows: d.components.platform.Table,
 	}
 	if d.options.Settings.Peer.Listen != "" {
-		o.Tell = d.sendUpdate
+		o.Send = d.sendUpdate
 	}
-	return wasabiquota.NewKeeper(o)
+	return wasabiquota.NewController(o)
 }
 
 // sendUpdate sends a state update to the instance at a peer address. It returns
--- a/internal/wasabidaemon/peers.go
+++ b/internal/wasabidaemon/peers.go
@@ -286,6 +286,6 @@
 		return errNotReady
 	}
 	h.daemon.components.quarantine.Receive(n)
-	h.daemon.components.quota.Hear(n)
+	h.daemon.components.quota.Receive(n)
 	return nil
 }
--- a/internal/wasabinode/metrics.go
+++ b/internal/wasabinode/metrics.go
@@ -122,23 +122,23 @@
 func (n *Node) quotaLines() []string {
 	s := n.quota.Snapshot()
 	lines := []string{
-		line("quota_part_percent", int64(100*s.Part)),
+		line("quota_part_percent", int64(100*s.UsableShare)),
 		line("quota_owners", int64(s.Owners.Members)),
-		line("quota_owners_divided", int64(s.Owners.Divided)),
+		line("quota_owners_divided", int64(s.Owners.Divisor)),
 		line("quota_owners_change", int64(s.Owners.Change)),
-		line("quota_owners_not_agreed", int64(s.Owners.Open)),
+		line("quota_owners_not_agreed", int64(s.Owners.Unconfirmed)),
 		line("quota_refused_total", int64(s.Counts.Refused)),
 		line("quota_refused_unlogged_total", int64(s.Counts.Unlogged)),
 	}
-	for i, count := range s.Use {
-		lines = append(lines, line(fmt.Sprintf("quota_admitted_total{used_percent_below=\"%d\"}", 100*(i+1)/len(s.Use)), int64(count)))
+	for i, count := range s.UsageHistogram {
+		lines = append(lines, line(fmt.Sprintf("quota_admitted_total{used_percent_below=\"%d\"}", 100*(i+1)/len(s.UsageHistogram)), int64(count)))
 	}
 	for _, e := range s.Entries {
-		if e.Own == 0 && e.Refused == 0 {
+		if e.SpentHere == 0 && e.Refused == 0 {
 			continue
 		}
 		labels := "{account=\"" + string(e.Account) + "\"}"
-		lines = append(lines, line("quota_left"+labels, int64(e.Level)), line("quota_used_here_total"+labels, int64(e.Own)),
+		lines = append(lines, line("quota_left"+labels, int64(e.Level)), line("quota_used_here_total"+labels, int64(e.SpentHere)),
 			line("quota_account_refused_total"+labels, int64(e.Refused)))
 	}
 	return lines
--- a/internal/wasabinode/node.go
+++ b/internal/wasabinode/node.go
@@ -140,7 +140,7 @@
 	// migrationQueue holds the backend servers whose requests wait for migration.
 	migrationQueue chan wasabiridge.BackendServerID
 	quarantine     *wasabiquarantine.Controller
-	quota          *wasabiquota.Keeper
+	quota          *wasabiquota.Controller
 	relay          *wasabirelay.Relay
 	catalog        *wasabicatalog.Controller
 	upgrade        *wasabiupgrade.Keeper
@@ -206,10 +206,10 @@
 			return n.client.SendUpdate(ctx, address, update)
 		},
 	})
-	n.quota = wasabiquota.NewKeeper(wasabiquota.KeeperOptions{
+	n.quota = wasabiquota.NewController(wasabiquota.ControllerOptions{
 		Self: s.Instance, Incarnation: n.incarnation, Clock: o.Clock, Log: wasabilog.Part(n.log, "quota"), Rows: o.Platform.Table,
 		Members: func() []wasabiridge.Member { return n.members.Members() }, Active: n.activeEntries,
-		Tell: func(ctx context.Context, address string, update wasabiridge.StateUpdate) error {
+		Send: func(ctx context.Context, address string, update wasabiridge.StateUpdate) error {
 			return n.client.SendUpdate(ctx, address, update)
 		},
 	})
@@ -221,7 +221,7 @@
 		Decider: core, Clock: o.Clock, Recorder: placementRecorder{next: n.timeline, wake: n.placed}, RingSize: ringSize,
 	})
 	n.quarantine.SetLoop(n.loop)
-	n.quota.Join(n.loop)
+	n.quota.SetLoop(n.loop)
 	if err := n.assemblePeers(seed); err != nil {
 		return err
 	}
--- a/internal/wasabinode/peers.go
+++ b/internal/wasabinode/peers.go
@@ -58,7 +58,7 @@
 		}
 	}
 	n.quarantine.Receive(update)
-	n.quota.Hear(update)
+	n.quota.Receive(update)
 	if len(update.Loads) > 0 || len(update.Segments) > 0 {
 		n.loop.TryPost(wasabiridge.PeerPlaced{From: update.From, Loads: update.Loads, Segments: update.Segments})
 	}
--- a/internal/wasabinode/publish.go
+++ b/internal/wasabinode/publish.go
@@ -57,7 +57,7 @@
 			n.quota.Add(n.options.Clock.Now(), &update)
 		})
 		if len(update.Loads) > 0 || len(update.Segments) > 0 || len(update.Usage) > 0 {
-			n.quota.Tell(ctx, update, n.activeEntries())
+			n.quota.Send(ctx, update, n.activeEntries())
 		}
 	}
 }
--- a/internal/wasabiquota/bench_test.go
+++ b/internal/wasabiquota/bench_test.go
@@ -12,7 +12,7 @@
 // busyTable returns the table of one of 62 owners, with a limit for each of so many
 // accounts.
 func busyTable(accounts int) (*wasabiquota.Table, []wasabiridge.ClientAccount) {
-	t := wasabiquota.New(wasabiquota.Options{Self: instanceID(0), Life: 1, Started: 1000})
+	t := wasabiquota.New(wasabiquota.Options{Self: instanceID(0), Incarnation: 1, Started: 1000})
 	var list []wasabiridge.ClientAccount
 	for i := range accounts {
 		list = append(list, limitedAccount(fmt.Sprintf("a%05d", i), largeRate))
@@ -86,7 +86,7 @@
 		now := 4000 + wasabiridge.Millis(id)
 		t.Sent(now, wasabiridge.Request{Account: accounts[int(id)%1000].ID, Chain: wasabiridge.Chain{Tokens: 383}}, id)
 		if t.IsDue(now) {
-			t.TakeNews(now)
+			t.TakeUpdate(now)
 		}
 	}
 }
--- a/internal/wasabiquota/history_test.go
+++ b/internal/wasabiquota/history_test.go
@@ -76,7 +76,7 @@
 func (w *buggy) tick(now wasabiridge.Millis) {
 	w.detectPause(now)
 	if w.bug == silentAsEnded {
-		for _, id := range w.table.Silent(now) {
+		for _, id := range w.table.Unresponsive(now) {
 			w.table.Observe(now, wasabiridge.PeerEnded{ID: id})
 		}
 	}
--- a/internal/wasabiquota/keeper.go
+++ b/internal/wasabiquota/keeper.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// pollInterval is how often the keeper checks whether updates are due.
+	// pollInterval is how often the controller checks whether updates are due.
 	pollInterval = 100 * time.Millisecond
 	// probeInterval is the shortest time between two checks whether the process of a silent
 	// instance has ended.
@@ -24,8 +24,8 @@
 	sendTimeout = 500 * time.Millisecond
 )
 
-// KeeperOptions are the dependencies and settings of a Controller. Clock is required.
-type KeeperOptions struct {
+// ControllerOptions are the dependencies and settings of a Controller. Clock is required.
+type ControllerOptions struct {
 	Self        wasabiridge.InstanceID
 	Incarnation wasabiridge.Incarnation
 	// Clock keeps running while the process is suspended.
@@ -36,18 +36,18 @@
 	// callers are routed to all members.
 	Members func() []wasabiridge.Member
 	Active  func() []wasabiridge.InstanceEntry
-	// Tell sends an update to the instance at an address. Nil means that there are no other
-	// instances.
-	Tell func(ctx context.Context, address string, n wasabiridge.StateUpdate) error
+	// Send sends an update to the instance at an address. Nil means that there are no
+	// other instances.
+	Send func(ctx context.Context, address string, n wasabiridge.StateUpdate) error
 	// Rows stores which instances own a share of the limits. Nil means that this is not
 	// stored.
 	Rows wasabiridge.Table
 }
 
-// Keeper connects a Table to the other instances, to the platform's table and to the log.
-// It is safe for concurrent use.
-type Keeper struct {
-	options KeeperOptions
+// Controller connects a Table to the other instances, to the platform's table and to
+// the log. It is safe for concurrent use.
+type Controller struct {
+	options ControllerOptions
 	table   *Table
 	loop    *wasabiloop.Loop
 	endings wasabiending.Checker
@@ -73,26 +73,26 @@
 	probedAt map[wasabiridge.InstanceID]wasabiridge.Millis
 }
 
-// NewKeeper returns a keeper whose table has no limits yet.
-func NewKeeper(o KeeperOptions) *Keeper {
-	return &Keeper{
+// NewController returns a controller whose table has no limits yet.
+func NewController(o ControllerOptions) *Controller {
+	return &Controller{
 		options: o, answered: map[wasabiridge.InstanceID]bool{}, addresses: map[wasabiridge.InstanceID]string{},
 		probedAt: map[wasabiridge.InstanceID]wasabiridge.Millis{},
-		table:    New(Options{Self: o.Self, Life: o.Incarnation, Started: o.Clock.Now(), Alone: o.Tell == nil}),
+		table:    New(Options{Self: o.Self, Incarnation: o.Incarnation, Started: o.Clock.Now(), Alone: o.Send == nil}),
 	}
 }
 
 // Table returns the quota table. It may be used only in the loop that is given to
 // SetLoop.
-func (k *Keeper) Table() *Table { return k.table }
+func (k *Controller) Table() *Table { return k.table }
 
-// Join sets the loop that owns the table. It must be called once, before any other method
-// but Table.
-func (k *Keeper) Join(l *wasabiloop.Loop) { k.loop = l }
+// SetLoop sets the loop that owns the table. It must be called once, before any other
+// method but Table.
+func (k *Controller) SetLoop(l *wasabiloop.Loop) { k.loop = l }
 
 // Run sends updates to the other instances and logs refusals, until the context ends. It
 // must be called only once.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Controller) Run(ctx context.Context) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
@@ -105,10 +105,10 @@
 	}
 }
 
-func (k *Keeper) poll(ctx context.Context) {
+func (k *Controller) poll(ctx context.Context) {
 	k.updateActive()
 	var update wasabiridge.StateUpdate
-	var notes []Note
+	var refusals []Refusal
 	var silent, unconfirmed, snapshotTargets, owners []wasabiridge.InstanceID
 	limited := false
 	var hello, snapshot wasabiridge.StateUpdate
@@ -116,18 +116,18 @@
 	k.loop.Inspect(func() {
 		now := k.options.Clock.Now()
 		k.Add(now, &update)
-		notes, silent = k.table.TakeNotes(), k.table.Silent(now)
+		refusals, silent = k.table.TakeRefusals(), k.table.Unresponsive(now)
 		owners, limited = k.table.Owners(now), k.table.IsLimiting()
 		ownership = k.table.Ownership(now)
-		unconfirmed, hello = k.table.Strangers(now), k.table.Hello(now)
-		if snapshotTargets = k.table.Newcomers(); len(snapshotTargets) > 0 {
-			snapshot = k.table.All(now)
+		unconfirmed, hello = k.table.HelloTargets(now), k.table.Hello(now)
+		if snapshotTargets = k.table.SnapshotTargets(); len(snapshotTargets) > 0 {
+			snapshot = k.table.LevelSnapshot(now)
 		}
 	})
-	k.Tell(ctx, update, nil)
+	k.Send(ctx, update, nil)
 	k.sendEach(ctx, unconfirmed, hello)
 	k.sendEach(ctx, snapshotTargets, snapshot)
-	for _, n := range notes {
+	for _, n := range refusals {
 		k.logRefusal(n)
 	}
 	if limited {
@@ -138,7 +138,7 @@
 }
 
 // probeAll checks whether silent instances have ended, each at most once per probeInterval.
-func (k *Keeper) probeAll(ctx context.Context, silent []wasabiridge.InstanceID) {
+func (k *Controller) probeAll(ctx context.Context, silent []wasabiridge.InstanceID) {
 	now := k.options.Clock.Now()
 	maps.DeleteFunc(k.probedAt, func(_ wasabiridge.InstanceID, at wasabiridge.Millis) bool { return now-at >= probeInterval })
 	for _, id := range silent {
@@ -151,7 +151,7 @@
 
 // updateActive passes to the table which instances callers are routed to, and how many
 // instances there are.
-func (k *Keeper) updateActive() {
+func (k *Controller) updateActive() {
 	var entries []wasabiridge.InstanceEntry
 	count := 1
 	if k.options.Members != nil {
@@ -185,7 +185,7 @@
 // Add adds what the other instances need to know of the limits to an update, if the update
 // is sent anyway or one on the limits is due. It must be called in the goroutine of the
 // loop.
-func (k *Keeper) Add(now wasabiridge.Millis, update *wasabiridge.StateUpdate) {
+func (k *Controller) Add(now wasabiridge.Millis, update *wasabiridge.StateUpdate) {
 	k.mu.Lock()
 	for id := range k.answered {
 		k.table.Observe(now, wasabiridge.PeerReachable{From: id})
@@ -195,21 +195,21 @@
 	if len(update.Loads) == 0 && len(update.Segments) == 0 && !k.table.IsDue(now) {
 		return
 	}
-	own := k.table.TakeNews(now)
+	own := k.table.TakeUpdate(now)
 	if len(own.Usage) == 0 {
 		return
 	}
 	update.Usage, update.Incarnation, update.Sequence, update.Share = own.Usage, own.Incarnation, own.Sequence, own.Share
 	update.OwnersEpoch, update.OwnersDigest = own.OwnersEpoch, own.OwnersDigest
-	for _, id := range k.table.Others() {
+	for _, id := range k.table.Peers() {
 		k.table.Observe(now, wasabiridge.PeerUpdateSent{To: id})
 	}
 }
 
-// Tell sends an update in full to some instances, and its part on the limits to all other
+// Send sends an update in full to some instances, and its part on the limits to all other
 // instances that own a share of them. It does not wait for answers.
-func (k *Keeper) Tell(ctx context.Context, update wasabiridge.StateUpdate, full []wasabiridge.InstanceEntry) {
-	if k.options.Tell == nil {
+func (k *Controller) Send(ctx context.Context, update wasabiridge.StateUpdate, full []wasabiridge.InstanceEntry) {
+	if k.options.Send == nil {
 		return
 	}
 	update.From = k.options.Self
@@ -225,29 +225,29 @@
 	}
 	update.Loads, update.Segments = nil, nil
 	var others []wasabiridge.InstanceID
-	k.loop.Inspect(func() { others = k.table.Others() })
+	k.loop.Inspect(func() { others = k.table.Peers() })
 	others = slices.DeleteFunc(others, func(id wasabiridge.InstanceID) bool { return sent[id] })
 	k.sendEach(ctx, others, update)
 }
 
-func (k *Keeper) sendEach(ctx context.Context, to []wasabiridge.InstanceID, update wasabiridge.StateUpdate) {
+func (k *Controller) sendEach(ctx context.Context, to []wasabiridge.InstanceID, update wasabiridge.StateUpdate) {
 	for _, id := range to {
-		if address := k.addressOf(id); address != "" && k.options.Tell != nil {
+		if address := k.addressOf(id); address != "" && k.options.Send != nil {
 			go k.sendOne(ctx, id, address, update)
 		}
 	}
 }
 
-func (k *Keeper) addressOf(id wasabiridge.InstanceID) string {
+func (k *Controller) addressOf(id wasabiridge.InstanceID) string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.addresses[id]
 }
 
-func (k *Keeper) sendOne(ctx context.Context, id wasabiridge.InstanceID, address string, update wasabiridge.StateUpdate) {
+func (k *Controller) sendOne(ctx context.Context, id wasabiridge.InstanceID, address string, update wasabiridge.StateUpdate) {
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	if err := k.options.Tell(ctx, address, update); err != nil {
+	if err := k.options.Send(ctx, address, update); err != nil {
 		k.options.Log.Debug().Err(err).Str("member", string(id)).Msg("Update not delivered.")
 		return
 	}
@@ -255,15 +255,15 @@
 }
 
 // noteAnswer records that an instance has answered.
-func (k *Keeper) noteAnswer(id wasabiridge.InstanceID) {
+func (k *Controller) noteAnswer(id wasabiridge.InstanceID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.answered[id] = true
 }
 
-// Hear takes an update received from another instance. Its part on the limits is dropped
-// while the loop's queue is full; the sender repeats it.
-func (k *Keeper) Hear(n wasabiridge.StateUpdate) {
+// Receive takes an update received from another instance. Its part on the limits is
+// dropped while the loop's queue is full; the sender repeats it.
+func (k *Controller) Receive(n wasabiridge.StateUpdate) {
 	k.noteAnswer(n.From)
 	if n.Incarnation > 0 {
 		k.loop.TryPost(n.UsageReceived())
@@ -272,7 +272,7 @@
 
 // probe checks whether the process of a silent instance has ended. If so, it cannot spend
 // anything any more and its share of the limits is free.
-func (k *Keeper) probe(ctx context.Context, id wasabiridge.InstanceID) {
+func (k *Controller) probe(ctx context.Context, id wasabiridge.InstanceID) {
 	if address := k.addressOf(id); address != "" && k.endings.HasEnded(ctx, address) {
 		k.options.Log.Info().Str("member", string(id)).Msg("Instance has ended; its share of the limits is free.")
 		k.loop.TryPost(wasabiridge.PeerEnded{ID: id})
@@ -283,21 +283,21 @@
 type Snapshot struct {
 	// Entries holds all accounts with a limit.
 	Entries []Entry
-	// Part is the share of every limit that this instance can use.
-	Part   float64
-	Owners Owners
-	Counts Counts
-	// Use is a histogram of admitted requests by the used part of their account's burst, in
-	// equal bins from none to all of it.
-	Use []uint64
+	// UsableShare is the share of every limit that this instance can use.
+	UsableShare float64
+	Owners      Owners
+	Counts      Counts
+	// UsageHistogram is a histogram of admitted requests by the used part of their
+	// account's burst, in equal bins from none to all of it.
+	UsageHistogram []uint64
 }
 
 // Snapshot returns the current state of the limits.
-func (k *Keeper) Snapshot() Snapshot {
+func (k *Controller) Snapshot() Snapshot {
 	var s Snapshot
 	k.loop.Inspect(func() {
 		now := k.options.Clock.Now()
-		s = Snapshot{Entries: k.table.Entries(now), Part: k.table.Part(now), Owners: k.table.Ownership(now), Counts: k.table.Counts(), Use: k.table.Use()}
+		s = Snapshot{Entries: k.table.Entries(now), UsableShare: k.table.UsableShare(now), Owners: k.table.Ownership(now), Counts: k.table.Counts(), UsageHistogram: k.table.UsageHistogram()}
 	})
 	return s
 }
--- a/internal/wasabiquota/keeper_test.go
+++ b/internal/wasabiquota/keeper_test.go
@@ -56,15 +56,15 @@
 	return nil
 }
 
-// startKeeper starts the keeper of an instance that has one peer, which answers if answers
-// is set.
-func startKeeper(id wasabiridge.InstanceID, table wasabiridge.Table, answers bool) *wasabiquota.Keeper {
-	k := wasabiquota.NewKeeper(wasabiquota.KeeperOptions{
+// startController starts the controller of an instance that has one peer, which answers
+// if answers is set.
+func startController(id wasabiridge.InstanceID, table wasabiridge.Table, answers bool) *wasabiquota.Controller {
+	k := wasabiquota.NewController(wasabiquota.ControllerOptions{
 		Self: id, Incarnation: 1, Clock: wasabiclock.System(), Rows: table,
 		Members: func() []wasabiridge.Member {
 			return []wasabiridge.Member{{InstanceEntry: wasabiridge.InstanceEntry{ID: "z", PeerAddress: "127.0.0.1:1"}}}
 		},
-		Tell: func(context.Context, string, wasabiridge.StateUpdate) error {
+		Send: func(context.Context, string, wasabiridge.StateUpdate) error {
 			if !answers {
 				return wasabiridge.ErrUnavailable.New("test: instance does not answer")
 			}
@@ -72,7 +72,7 @@
 		},
 	})
 	loop := wasabiloop.New(wasabiloop.Options{Decider: tableDecider{k.Table()}, Clock: wasabiclock.System()})
-	k.Join(loop)
+	k.SetLoop(loop)
 	loop.Post(wasabiridge.ConfigAdopted{Config: wasabiridge.Config{Accounts: []wasabiridge.ClientAccount{limitedAccount("a", largeRate)}}})
 	ctx, cancel := context.WithCancel(context.Background())
 	go k.Run(ctx)
@@ -84,7 +84,7 @@
 }
 
 // level returns what is left of the limit of the only account.
-func level(k *wasabiquota.Keeper) float64 {
+func level(k *wasabiquota.Controller) float64 {
 	if s := k.Snapshot(); len(s.Entries) == 1 {
 		return s.Entries[0].Level
 	}
@@ -96,15 +96,15 @@
 var _ = Describe("The list of owners of the limits", func() {
 	It("is stored, and loaded by an instance that starts", func() {
 		table := &memoryTable{rows: map[string]wasabiridge.Row{}}
-		startKeeper("a", table, true)
+		startController("a", table, true)
 		Eventually(func() string { return table.value(wasabiquota.OwnersKey) }, "10s").Should(Equal(`["a","z"]`))
-		again := startKeeper("a", table, false)
+		again := startController("a", table, false)
 		Eventually(func() float64 { return level(again) }, "10s").Should(BeNumerically(">", largeRate/16))
 	})
 
 	It("is not waited for when the platform is unavailable, and not taken from an invalid row", func() {
 		for _, table := range []*memoryTable{{unavailable: true}, {rows: map[string]wasabiridge.Row{wasabiquota.OwnersKey: {Revision: 1, Value: []byte("{")}}}} {
-			k := startKeeper("a", table, false)
+			k := startController("a", table, false)
 			Eventually(func() float64 { return level(k) }, "10s").Should(BeNumerically(">", 0))
 		}
 	})
--- a/internal/wasabiquota/owners.go
+++ b/internal/wasabiquota/owners.go
@@ -31,7 +31,7 @@
 //
 // The failure it guards against: all instances start at once. None of them knows how many
 // instances share a limit, and for a second they refuse most of what an account sends.
-func (k *Keeper) syncOwners(ctx context.Context, limited bool, owners []wasabiridge.InstanceID) {
+func (k *Controller) syncOwners(ctx context.Context, limited bool, owners []wasabiridge.InstanceID) {
 	if k.options.Rows == nil || !limited {
 		return
 	}
@@ -47,7 +47,7 @@
 	go k.writeOwners(ctx, owners)
 }
 
-func (k *Keeper) readOwners(ctx context.Context) {
+func (k *Controller) readOwners(ctx context.Context) {
 	for range rowAttempts {
 		owners, err := k.getOwners(ctx)
 		if err == nil {
@@ -64,7 +64,7 @@
 	}
 }
 
-func (k *Keeper) getOwners(ctx context.Context) ([]wasabiridge.InstanceID, error) {
+func (k *Controller) getOwners(ctx context.Context) ([]wasabiridge.InstanceID, error) {
 	ctx, cancel := context.WithTimeout(ctx, rowTimeout)
 	defer cancel()
 	row, err := k.options.Rows.Get(ctx, OwnersKey)
@@ -80,7 +80,7 @@
 
 // writeOwners writes the names into the row. If the write fails, this instance does not
 // repeat it until the owners change.
-func (k *Keeper) writeOwners(ctx context.Context, owners []wasabiridge.InstanceID) {
+func (k *Controller) writeOwners(ctx context.Context, owners []wasabiridge.InstanceID) {
 	value, err := json.Marshal(owners)
 	if err != nil {
 		return
--- a/internal/wasabiquota/peer.go
+++ b/internal/wasabiquota/peer.go
@@ -93,14 +93,14 @@
 func (t *Table) peerFor(now wasabiridge.Millis, id wasabiridge.InstanceID) *peer {
 	p := t.peers[id]
 	if p == nil {
-		p = &peer{usedAt: now, joinDeferred: t.owner && t.hasSilent(now) && t.isSettled(now)}
+		p = &peer{usedAt: now, joinDeferred: t.owner && t.hasUnresponsive(now) && t.isSettled(now)}
 		t.peers[id] = p
 		t.membershipDirty = true
 	}
 	return p
 }
 
-func (t *Table) hasSilent(now wasabiridge.Millis) bool {
+func (t *Table) hasUnresponsive(now wasabiridge.Millis) bool {
 	for _, p := range t.peers {
 		if p.isSilent(now) {
 			return true
@@ -189,15 +189,15 @@
 	}
 }
 
-// Others returns the instances to which updates are sent, ordered by name.
-func (t *Table) Others() []wasabiridge.InstanceID {
+// Peers returns the instances to which updates are sent, ordered by name.
+func (t *Table) Peers() []wasabiridge.InstanceID {
 	return slices.Sorted(maps.Keys(t.peers))
 }
 
-// Silent returns the instances that have not answered in time, ordered by name.
-func (t *Table) Silent(now wasabiridge.Millis) []wasabiridge.InstanceID {
+// Unresponsive returns the instances that have not answered in time, ordered by name.
+func (t *Table) Unresponsive(now wasabiridge.Millis) []wasabiridge.InstanceID {
 	var out []wasabiridge.InstanceID
-	for _, id := range t.Others() {
+	for _, id := range t.Peers() {
 		if t.peers[id].isSilent(now) {
 			out = append(out, id)
 		}
--- a/internal/wasabiquota/share.go
+++ b/internal/wasabiquota/share.go
@@ -44,7 +44,7 @@
 // Owners returns the instances that own a share of every limit, ordered by name. It is
 // empty while they are not known for certain.
 func (t *Table) Owners(now wasabiridge.Millis) []wasabiridge.InstanceID {
-	if !t.owner || !t.agreed || !t.isSettled(now) || t.hasSilent(now) {
+	if !t.owner || !t.agreed || !t.isSettled(now) || t.hasUnresponsive(now) {
 		return nil
 	}
 	out := []wasabiridge.InstanceID{t.options.Self}
--- a/internal/wasabiquota/shares_test.go
+++ b/internal/wasabiquota/shares_test.go
@@ -21,7 +21,7 @@
 	if entries := table.Entries(f.now + n.clockSkew); !entries[0].Known {
 		return 0
 	}
-	return table.Part(f.now + n.clockSkew)
+	return table.UsableShare(f.now + n.clockSkew)
 }
 
 // sumShares adds the usable shares of the two sides of a partition. The share of a side is
@@ -243,7 +243,7 @@
 		for _, id := range instanceIDs[5:15] {
 			owner.Observe(f.now, wasabiridge.UsageReceived{From: id, Incarnation: 1})
 		}
-		Expect(owner.Newcomers()).To(Equal(instanceIDs[5:15]))
+		Expect(owner.SnapshotTargets()).To(Equal(instanceIDs[5:15]))
 	})
 })
 
--- a/internal/wasabiquota/table.go
+++ b/internal/wasabiquota/table.go
@@ -38,10 +38,10 @@
 //
 // # Usage
 //
-//	keeper := wasabiquota.NewController(wasabiquota.ControllerOptions{Self: "pos-1", Clock: clock, ...})
-//	core := wasabicore.New(wasabicore.Options{Quota: keeper.Table(), ...})
-//	keeper.SetLoop(wasabiloop.New(wasabiloop.Options{Decider: core, Clock: clock}))
-//	go keeper.Run(ctx)
+//	controller := wasabiquota.NewController(wasabiquota.ControllerOptions{Self: "pos-1", Clock: clock, ...})
+//	core := wasabicore.New(wasabicore.Options{Quota: controller.Table(), ...})
+//	controller.SetLoop(wasabiloop.New(wasabiloop.Options{Decider: core, Clock: clock}))
+//	go controller.Run(ctx)
 //
 // A Table makes the decisions; it is deterministic and not safe for concurrent use. A
 // Controller connects it to the other instances.
@@ -86,8 +86,8 @@
 // Options configure a Table. The zero value works.
 type Options struct {
 	// Self names this instance, Incarnation is the incarnation of its process.
-	Self wasabiridge.InstanceID
-	Life wasabiridge.Incarnation
+	Self        wasabiridge.InstanceID
+	Incarnation wasabiridge.Incarnation
 	// Started is when the process started.
 	Started wasabiridge.Millis
 	// Alone says that there are no other instances.
@@ -149,7 +149,7 @@
 	announcedAt      wasabiridge.Millis
 	counts           Counts
 	useHistogram     [histogramBuckets]uint64
-	notes            []Note
+	refusals         []Refusal
 }
 
 // charge is an attempt in flight.
@@ -193,7 +193,7 @@
 	}
 	t.counts.Refused++
 	after := a.refuse(now, cost, r.Action.Priority, share)
-	t.note(now, r, a, cost, after)
+	t.addRefusal(now, r, a, cost, after)
 	return wasabiridge.QuotaVerdict{RetryAfter: after, State: a.state(a.level, share)}
 }
 
--- a/internal/wasabiquota/table_test.go
+++ b/internal/wasabiquota/table_test.go
@@ -16,7 +16,7 @@
 }
 
 func newStandalone(limit wasabiridge.AccountLimit) *standalone {
-	a := &standalone{now: 1000, table: wasabiquota.New(wasabiquota.Options{Self: "i", Life: 1, Started: 1000, Alone: true})}
+	a := &standalone{now: 1000, table: wasabiquota.New(wasabiquota.Options{Self: "i", Incarnation: 1, Started: 1000, Alone: true})}
 	a.adopt(limit)
 	a.pass(60_000)
 	return a
--- a/internal/wasabiquota/totals_test.go
+++ b/internal/wasabiquota/totals_test.go
@@ -34,7 +34,7 @@
 func newRunningTotals(f *fleet, i int) limiter {
 	n := f.instances[i]
 	return &runningTotals{fleet: f, self: i, table: wasabiquota.New(wasabiquota.Options{
-		Self: instanceID(i), Life: wasabiridge.Incarnation(f.now + n.clockSkew), Started: f.now + n.clockSkew,
+		Self: instanceID(i), Incarnation: wasabiridge.Incarnation(f.now + n.clockSkew), Started: f.now + n.clockSkew,
 	})}
 }
 
@@ -84,17 +84,17 @@
 	if w.table.IsDue(now) {
 		w.sendUpdate(now)
 	}
-	for _, id := range w.table.Strangers(now) {
+	for _, id := range w.table.HelloTargets(now) {
 		w.fleet.send(w.self, slices.Index(instanceIDs[:], id), 0, w.table.Hello(now))
 	}
-	for _, id := range w.table.Newcomers() {
-		all := w.table.All(now)
+	for _, id := range w.table.SnapshotTargets() {
+		all := w.table.LevelSnapshot(now)
 		w.fleet.send(w.self, slices.Index(instanceIDs[:], id), entryBytes*len(all.Usage), all)
 	}
 }
 
 func (w *runningTotals) sendUpdate(now wasabiridge.Millis) {
-	update := w.table.TakeNews(now)
+	update := w.table.TakeUpdate(now)
 	if len(update.Usage) == 0 {
 		return
 	}
--- a/internal/wasabiquota/update.go
+++ b/internal/wasabiquota/update.go
@@ -70,13 +70,14 @@
 	return false
 }
 
-// Strangers returns the instances that should be sent a hello message now, because it is
-// not known whether they are reachable or which owners they assume, ordered by name.
+// HelloTargets returns the instances that should be sent a hello message now, because
+// it is not known whether they are reachable or which owners they assume, ordered by
+// name.
 //
 // The failures it guards against: instances without requests do not know of each other, and
 // the first requests of an account find only one instance's share of its limit. Or the
 // network is partitioned, which they do not detect, and each of them admits a whole burst.
-func (t *Table) Strangers(now wasabiridge.Millis) []wasabiridge.InstanceID {
+func (t *Table) HelloTargets(now wasabiridge.Millis) []wasabiridge.InstanceID {
 	var out []wasabiridge.InstanceID
 	if !t.IsLimiting() {
 		return nil
@@ -105,9 +106,9 @@
 	return !t.owner && (t.active || t.snapshotRequestedAt > 0 && now-t.snapshotRequestedAt < settleAfter)
 }
 
-// Newcomers returns the instances that have requested the levels of all accounts and that
-// this instance should answer, ordered by name. It clears the requests.
-func (t *Table) Newcomers() []wasabiridge.InstanceID {
+// SnapshotTargets returns the instances that have requested the levels of all accounts
+// and that this instance should answer, ordered by name. It clears the requests.
+func (t *Table) SnapshotTargets() []wasabiridge.InstanceID {
 	var out []wasabiridge.InstanceID
 	for id := range t.snapshotRequests {
 		if t.owner && t.isSnapshotSender(id) {
@@ -137,9 +138,9 @@
 	return xxhash.Sum64String(string(id) + "\x00" + string(sender))
 }
 
-// All returns the answer to a request for the levels of all accounts: every account of
-// which some use is known.
-func (t *Table) All(now wasabiridge.Millis) wasabiridge.StateUpdate {
+// LevelSnapshot returns the answer to a request for the levels of all accounts: every
+// account of which some use is known.
+func (t *Table) LevelSnapshot(now wasabiridge.Millis) wasabiridge.StateUpdate {
 	t.advance(now)
 	t.sequence++
 	update := t.Hello(now)
@@ -160,13 +161,13 @@
 // running, and which owners it assumes.
 func (t *Table) Hello(now wasabiridge.Millis) wasabiridge.StateUpdate {
 	return wasabiridge.StateUpdate{
-		From: t.options.Self, Incarnation: t.options.Life, Sequence: t.sequence, Share: t.shareToAnnounce(now), OwnersEpoch: t.change, OwnersDigest: t.view,
+		From: t.options.Self, Incarnation: t.options.Incarnation, Sequence: t.sequence, Share: t.shareToAnnounce(now), OwnersEpoch: t.change, OwnersDigest: t.view,
 	}
 }
 
-// TakeNews returns the update that is due for the other instances. It has no uses when
+// TakeUpdate returns the update that is due for the other instances. It has no uses when
 // nothing has run for a while.
-func (t *Table) TakeNews(now wasabiridge.Millis) wasabiridge.StateUpdate {
+func (t *Table) TakeUpdate(now wasabiridge.Millis) wasabiridge.StateUpdate {
 	t.advance(now)
 	ownShare := t.ownShare(now)
 	update := t.Hello(now)
--- a/internal/wasabiquota/view.go
+++ b/internal/wasabiquota/view.go
@@ -17,18 +17,19 @@
 	// the number by which limits are divided, Unconfirmed the number of other members
 	// that are not known to have the same set. Agreed says that all members have the
 	// same set.
-	Change                 uint64
-	Members, Divided, Open int
-	Agreed                 bool
-	// Own says that this instance owns a share, UsableShare is the share that it can use.
-	Own  bool
-	Part float64
+	Change                        uint64
+	Members, Divisor, Unconfirmed int
+	Agreed                        bool
+	// IsOwner says that this instance owns a share, UsableShare is the share that it
+	// can use.
+	IsOwner     bool
+	UsableShare float64
 }
 
 // Ownership returns the present set of owners.
 func (t *Table) Ownership(now wasabiridge.Millis) Owners {
 	t.advance(now)
-	o := Owners{Change: t.change, Divided: int(t.ownerCount(now)), Agreed: t.agreed, Own: t.owner, Part: t.usableShare(now)}
+	o := Owners{Change: t.change, Divisor: int(t.ownerCount(now)), Agreed: t.agreed, IsOwner: t.owner, UsableShare: t.usableShare(now)}
 	if t.membership.member {
 		o.Members++
 	}
@@ -36,7 +37,7 @@
 		if p.member {
 			o.Members++
 			if !p.isReachable(now) || !t.hasSameView(p) {
-				o.Open++
+				o.Unconfirmed++
 			}
 		}
 	}
@@ -117,7 +118,7 @@
 	}
 	t.view = 0
 	if t.membership.member {
-		t.view = memberHash(t.options.Self, t.options.Life, t.change)
+		t.view = memberHash(t.options.Self, t.options.Incarnation, t.change)
 	}
 	for id, p := range t.peers {
 		if p.member {
