--- a/internal/wasabirate/group.go
+++ b/internal/wasabirate/group.go
@@ -34,8 +34,8 @@
 	return &Group{self: self, departedAt: map[wasabiridge.InstanceID]wasabiridge.Millis{self: 0}, alone: true, version: 1}
 }
 
-// Set updates the instances that serve callers.
-func (g *Group) Set(now wasabiridge.Millis, instances []wasabiridge.InstanceID) {
+// SetInstances updates the instances that serve callers.
+func (g *Group) SetInstances(now wasabiridge.Millis, instances []wasabiridge.InstanceID) {
 	if g.firstSetAt == 0 {
 		g.firstSetAt = now
 	}
@@ -50,12 +50,12 @@
 			g.version++
 		}
 	}
-	g.Tick(now)
+	g.Expire(now)
 }
 
-// Tick removes instances that have not been seen for departedRetention. After soloDelay
+// Expire removes instances that have not been seen for departedRetention. After soloDelay
 // it lets an instance that sees no other one use the whole rate.
-func (g *Group) Tick(now wasabiridge.Millis) {
+func (g *Group) Expire(now wasabiridge.Millis) {
 	for id, departedAt := range g.departedAt {
 		if departedAt != 0 && now-departedAt >= departedRetention {
 			delete(g.departedAt, id)
--- a/internal/wasabirate/limit.go
+++ b/internal/wasabirate/limit.go
@@ -69,16 +69,16 @@
 	share   float64
 }
 
-// Name records a limit reported by the answer to a request that was sent at sentAt. It
+// Report records a limit reported by the answer to a request that was sent at sentAt. It
 // reports whether there was no limit before. It ignores the answer to a request that
 // was sent no later than the one whose answer ended the last limit.
-func (l *Limit) Name(now, sentAt wasabiridge.Millis, rate float64) bool {
+func (l *Limit) Report(now, sentAt wasabiridge.Millis, rate float64) bool {
 	return l.set(now, sentAt, now, rate)
 }
 
-// Hear records a limit that another instance has received. The update may have been in
+// Receive records a limit that another instance has received. The update may have been in
 // flight for long, so the limit is only known to be as recent as the request.
-func (l *Limit) Hear(now, sentAt wasabiridge.Millis, rate float64) {
+func (l *Limit) Receive(now, sentAt wasabiridge.Millis, rate float64) {
 	l.set(now, sentAt, sentAt, rate)
 }
 
@@ -94,9 +94,9 @@
 	return isNew
 }
 
-// Lift records that the answer to a request sent at sentAt reports no limit. It reports
+// Clear records that the answer to a request sent at sentAt reports no limit. It reports
 // whether that ends a limit.
-func (l *Limit) Lift(sentAt wasabiridge.Millis) bool {
+func (l *Limit) Clear(sentAt wasabiridge.Millis) bool {
 	if !l.limited || sentAt <= l.receivedAt {
 		return false
 	}
@@ -128,8 +128,8 @@
 	return wasabiridge.Millis(math.Ceil((1 - l.credit) / share * float64(wasabiridge.Second)))
 }
 
-// Take counts a request that is sent.
-func (l *Limit) Take(now wasabiridge.Millis, server wasabiridge.BackendServerID, g *Group) {
+// RecordSent counts a request that is sent.
+func (l *Limit) RecordSent(now wasabiridge.Millis, server wasabiridge.BackendServerID, g *Group) {
 	if _, limited := l.Rate(now); limited {
 		l.refill(now, server, g)
 		l.credit--
--- a/internal/wasabirate/rate_test.go
+++ b/internal/wasabirate/rate_test.go
@@ -36,7 +36,7 @@
 	var out []*sender
 	for _, id := range names(n) {
 		s := &sender{group: wasabirate.NewGroup(id)}
-		s.limit.Name(now, now, rate)
+		s.limit.Report(now, now, rate)
 		out = append(out, s)
 	}
 	return out
@@ -56,10 +56,10 @@
 	sent := 0
 	for now := from; now < until; now += 20 {
 		for _, s := range senders {
-			s.group.Tick(now)
-			s.limit.Name(now, now, rate)
+			s.group.Expire(now)
+			s.limit.Report(now, now, rate)
 			if s.limit.Wait(now, server, s.group) == 0 {
-				s.limit.Take(now, server, s.group)
+				s.limit.RecordSent(now, server, s.group)
 				sent++
 			}
 		}
@@ -73,7 +73,7 @@
 	It("is not used in full by each instance that has just started", func() {
 		senders := newSenders(1000, 12)
 		for i, s := range senders {
-			s.group.Set(1000, names(12)[i:i+1])
+			s.group.SetInstances(1000, names(12)[i:i+1])
 		}
 		Expect(send(1000, 1000+span, senders)).To(BeNumerically("<=", maxRequests))
 	})
@@ -83,11 +83,11 @@
 	It("is kept by both sides of a long network partition together", func() {
 		senders := newSenders(1000, 12)
 		for _, s := range senders {
-			s.group.Set(1000, names(12))
+			s.group.SetInstances(1000, names(12))
 		}
 		send(1000, 5000, senders)
 		for i, s := range senders {
-			s.group.Set(5000, names(12)[i/6*6:i/6*6+6])
+			s.group.SetInstances(5000, names(12)[i/6*6:i/6*6+6])
 		}
 		send(5000, 40_000, senders)
 		Expect(send(40_000, 40_000+span, senders)).To(BeNumerically("<=", maxRequests))
@@ -95,7 +95,7 @@
 
 	It("is used in full by an instance that has been alone for long", func() {
 		senders := newSenders(1000, 1)
-		senders[0].group.Set(1000, names(1))
+		senders[0].group.SetInstances(1000, names(1))
 		send(1000, 62_000, senders)
 		Expect(send(62_000, 62_000+span, senders)).To(BeNumerically("~", rate*4, 2))
 	})
--- a/internal/wasabireplica/attempt.go
+++ b/internal/wasabireplica/attempt.go
@@ -38,7 +38,7 @@
 	if pool == nil {
 		return
 	}
-	rep.limit.Take(now, rep.server.ID, p.rateGroup)
+	rep.limit.RecordSent(now, rep.server.ID, p.rateGroup)
 	a := attempt{replica: rep, sent: now, work: noPromptWork, prompt: pool.promptOf(pool.normalizeRequest(r)), pool: r.Action.Pool}
 	a.wait = rep.prefillQueue.wait(now, a.prompt.priority)
 	a.expected = float64(pl.ExpectedWait)
--- a/internal/wasabireplica/limit.go
+++ b/internal/wasabireplica/limit.go
@@ -15,9 +15,9 @@
 	}
 	changed := false
 	if e.Limited {
-		changed = r.limit.Name(now, e.RequestSentAt, e.Rate)
+		changed = r.limit.Report(now, e.RequestSentAt, e.Rate)
 	} else {
-		changed = r.limit.Lift(e.RequestSentAt)
+		changed = r.limit.Clear(e.RequestSentAt)
 	}
 	if changed {
 		r.limitSentAt = 0
@@ -42,9 +42,9 @@
 func (r *replica) applyPeerLimit(now wasabiridge.Millis, n wasabiridge.LimitUpdate) {
 	switch {
 	case n.Limited:
-		r.limit.Hear(now, now-n.Age, n.Rate)
+		r.limit.Receive(now, now-n.Age, n.Rate)
 	case n.Known:
-		r.limit.Lift(now - n.Age)
+		r.limit.Clear(now - n.Age)
 	}
 }
 
--- a/internal/wasabireplica/observe.go
+++ b/internal/wasabireplica/observe.go
@@ -16,7 +16,7 @@
 		}
 		p.detectSilence(now)
 		p.reviewIncarnations(now)
-		p.rateGroup.Tick(now)
+		p.rateGroup.Expire(now)
 	case wasabiridge.LimitAnnounced:
 		p.limitReported(now, e)
 	case wasabiridge.ConfigAdopted:
@@ -47,7 +47,7 @@
 	case wasabiridge.InstancesCounted:
 		p.sharers.Record(now, e.Count)
 		if len(e.Serving) > 0 {
-			p.rateGroup.Set(now, e.Serving)
+			p.rateGroup.SetInstances(now, e.Serving)
 		}
 	case wasabiridge.BackendLost:
 		if r := p.replicas[e.Backend]; r != nil {
