--- a/cmd/wasabistandin/regress.go
+++ b/cmd/wasabistandin/regress.go
@@ -51,7 +51,7 @@
 		return err
 	}
 	var sites []wasabiregression.Site
-	if sites, err = floors.Chosen(names); err != nil {
+	if sites, err = floors.Select(names); err != nil {
 		return err
 	}
 	below := 0
@@ -60,9 +60,9 @@
 		if score, err = f.play(c.Context(), site, c.ErrOrStderr()); err != nil {
 			return err
 		}
-		v := floors.Judge(site, score)
+		v := floors.Check(site, score)
 		fmt.Fprintln(c.OutOrStdout(), v)
-		if len(v.Fallen) > 0 {
+		if len(v.Failures) > 0 {
 			below++
 		}
 	}
@@ -78,7 +78,7 @@
 	bench := exec.CommandContext(ctx, f.bench, "score", filepath.Join(f.sites, site.File), "--jobs", strconv.Itoa(f.jobs), "--why", f.why)
 	bench.Stderr = log
 	output, failed := bench.Output()
-	score, err := wasabiregression.Read(string(output))
+	score, err := wasabiregression.ParseScore(string(output))
 	if err != nil && failed != nil {
 		return score, wasabiridge.ErrUnavailable.Wrap(failed, "regress: %s: %v", site.Name(), err)
 	}
--- a/internal/wasabiregression/regression.go
+++ b/internal/wasabiregression/regression.go
@@ -91,10 +91,10 @@
 	return f, nil
 }
 
-// Chosen returns the deployments with the given names. Without names, it returns
+// Select returns the deployments with the given names. Without names, it returns
 // all deployments that are not retired.
 // It reports ErrInvalid for a name that is not listed.
-func (f Floors) Chosen(names []string) ([]Site, error) {
+func (f Floors) Select(names []string) ([]Site, error) {
 	var out []Site
 	for _, s := range f.Sites {
 		if len(names) == 0 && !s.Retired || slices.Contains(names, s.Name()) {
@@ -134,9 +134,9 @@
 	worthColumn = 3
 )
 
-// Read parses the output of the bench. It reports ErrInvalid if there is no table,
+// ParseScore parses the output of the bench. It reports ErrInvalid if there is no table,
 // or if a row has no valid worth.
-func Read(output string) (Score, error) {
+func ParseScore(output string) (Score, error) {
 	var s Score
 	inTable := false
 	for line := range strings.Lines(output) {
@@ -165,9 +165,9 @@
 	return s, nil
 }
 
-// Troubled returns the mean worth of all days except the quiet ones, or zero if
+// TroubledMean returns the mean worth of all days except the quiet ones, or zero if
 // there are none.
-func (s Score) Troubled() float64 {
+func (s Score) TroubledMean() float64 {
 	sum, n := 0.0, 0
 	for _, d := range s.Days {
 		if !strings.HasPrefix(d.Name, quietDay) {
@@ -180,8 +180,8 @@
 	return sum / float64(n)
 }
 
-// Lowest returns the day with the lowest worth. It panics if there are no days.
-func (s Score) Lowest() Day {
+// LowestDay returns the day with the lowest worth. It panics if there are no days.
+func (s Score) LowestDay() Day {
 	return slices.MinFunc(s.Days, func(a, b Day) int {
 		switch {
 		case a.Worth < b.Worth:
@@ -197,35 +197,35 @@
 type Verdict struct {
 	Site  Site
 	Score Score
-	// Fallen describes each figure that is below its floor by more than the
+	// Failures describes each figure that is below its floor by more than the
 	// tolerance, and a gate that did not pass. It is empty if the floors hold.
-	Fallen []string
+	Failures []string
 }
 
-// Judge compares a score with the floors of its deployment.
-func (f Floors) Judge(site Site, s Score) Verdict {
+// Check compares a score with the floors of its deployment.
+func (f Floors) Check(site Site, s Score) Verdict {
 	v := Verdict{Site: site, Score: s}
 	if !s.Passed {
-		v.Fallen = append(v.Fallen, "the gate is not passed")
+		v.Failures = append(v.Failures, "the gate is not passed")
 	}
 	check := func(name string, reached, floor float64) {
 		if reached < floor-f.Tolerance {
-			v.Fallen = append(v.Fallen, fmt.Sprintf("%s %.3f is %.3f below %.3f", name, reached, floor-reached, floor))
+			v.Failures = append(v.Failures, fmt.Sprintf("%s %.3f is %.3f below %.3f", name, reached, floor-reached, floor))
 		}
 	}
-	check("troubled mean", s.Troubled(), site.Troubled)
-	lowest := s.Lowest()
+	check("troubled mean", s.TroubledMean(), site.Troubled)
+	lowest := s.LowestDay()
 	check(lowest.Name, lowest.Worth, site.Lowest)
 	return v
 }
 
 // String returns the verdict as one line of text, with scores and floors.
 func (v Verdict) String() string {
-	lowest := v.Score.Lowest()
+	lowest := v.Score.LowestDay()
 	line := fmt.Sprintf("%-24s troubled %.3f (floor %.3f)  lowest %s %.3f (floor %.3f)",
-		v.Site.Name(), v.Score.Troubled(), v.Site.Troubled, lowest.Name, lowest.Worth, v.Site.Lowest)
-	if len(v.Fallen) == 0 {
+		v.Site.Name(), v.Score.TroubledMean(), v.Site.Troubled, lowest.Name, lowest.Worth, v.Site.Lowest)
+	if len(v.Failures) == 0 {
 		return line + "  holds"
 	}
-	return line + "  FELL: " + strings.Join(v.Fallen, "; ")
+	return line + "  FELL: " + strings.Join(v.Failures, "; ")
 }
--- a/internal/wasabiregression/regression_test.go
+++ b/internal/wasabiregression/regression_test.go
@@ -35,19 +35,19 @@
 
 var _ = Describe("A score", func() {
 	It("is read from the output of the bench, without random days", func() {
-		s, err := wasabiregression.Read(benchOutput)
+		s, err := wasabiregression.ParseScore(benchOutput)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Passed).To(BeTrue())
 		Expect(s.Days).To(HaveLen(3))
-		Expect(s.Troubled()).To(BeNumerically("~", 0.6, 1e-9))
-		Expect(s.Lowest()).To(Equal(wasabiregression.Day{Name: "scale-1", Worth: 0.55}))
+		Expect(s.TroubledMean()).To(BeNumerically("~", 0.6, 1e-9))
+		Expect(s.LowestDay()).To(Equal(wasabiregression.Day{Name: "scale-1", Worth: 0.55}))
 	})
 
 	// If the bench was aborted, or has changed the format of its table, the result
 	// must not look like a run without regressions.
 	It("is rejected when the output has no valid table", func() {
 		for _, output := range []string{"", "days given up: the machine is too busy\n", "day own/srv score worth\nquiet-1 9/9 1.0 none\n"} {
-			_, err := wasabiregression.Read(output)
+			_, err := wasabiregression.ParseScore(output)
 			Expect(err).To(HaveOccurred(), output)
 		}
 	})
@@ -66,17 +66,17 @@
 	}
 	for _, name := range wasabitest.Names(cases) {
 		It(name, func() {
-			s, err := wasabiregression.Read(benchOutput)
+			s, err := wasabiregression.ParseScore(benchOutput)
 			Expect(err).NotTo(HaveOccurred())
-			v := wasabiregression.Floors{Tolerance: 0.03}.Judge(cases[name].site, s)
-			Expect(v.Fallen).To(HaveLen(cases[name].fallen))
+			v := wasabiregression.Floors{Tolerance: 0.03}.Check(cases[name].site, s)
+			Expect(v.Failures).To(HaveLen(cases[name].fallen))
 			Expect(v.String()).To(ContainSubstring("harbour"))
 		})
 	}
 
 	It("fail when the gate did not pass", func() {
-		v := wasabiregression.Floors{}.Judge(wasabiregression.Site{}, wasabiregression.Score{Days: []wasabiregression.Day{{Name: "scale-1", Worth: 1}}})
-		Expect(v.Fallen).To(ConsistOf("the gate is not passed"))
+		v := wasabiregression.Floors{}.Check(wasabiregression.Site{}, wasabiregression.Score{Days: []wasabiregression.Day{{Name: "scale-1", Worth: 1}}})
+		Expect(v.Failures).To(ConsistOf("the gate is not passed"))
 	})
 
 	It("are read from a file, and retired sites are selected only by name", func() {
@@ -89,13 +89,13 @@
 			],
 		}`)
 		Expect(err).NotTo(HaveOccurred())
-		sites, err := f.Chosen(nil)
+		sites, err := f.Select(nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(sites).To(HaveExactElements(HaveField("File", "a/harbour.toml")))
-		sites, err = f.Chosen([]string{"old"})
+		sites, err = f.Select([]string{"old"})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(sites).To(HaveExactElements(HaveField("File", "b/old.toml")))
-		_, err = f.Chosen([]string{"harbour", "nowhere"})
+		_, err = f.Select([]string{"harbour", "nowhere"})
 		Expect(err).To(MatchError(ContainSubstring("nowhere")))
 	})
 
