--- a/internal/wasabinode/config.go
+++ b/internal/wasabinode/config.go
@@ -131,7 +131,7 @@
 // it was last confirmed to be current.
 func (n *Node) view() wasabirelay.View {
 	active := n.activeConfig.Load()
-	return wasabirelay.View{Config: active.config, Proven: n.catalog.View().ConfigConfirmedAt, Sharing: active.sharing}
+	return wasabirelay.View{Config: active.config, ConfirmedAt: n.catalog.View().ConfigConfirmedAt, Sharing: active.sharing}
 }
 
 // wantedWeights returns the backend servers and the target version of each
--- a/internal/wasabinode/metrics.go
+++ b/internal/wasabinode/metrics.go
@@ -30,7 +30,7 @@
 		line("events_dropped_total", int64(n.loop.Dropped())),
 		line("log_lines_dropped_total", int64(dropped)),
 	}
-	for _, c := range n.relay.Counts().Times() {
+	for _, c := range n.relay.Counts().Summaries() {
 		lines = append(lines,
 			line("requests_total{outcome=\""+c.Name+"\"}", c.Total),
 			line("requests_ms{outcome=\""+c.Name+"\",quantile=\"0.5\"}", c.P50),
--- a/internal/wasabinode/migrate.go
+++ b/internal/wasabinode/migrate.go
@@ -38,7 +38,7 @@
 			slots <- struct{}{}
 			go func() {
 				defer func() { <-slots }()
-				n.relay.MoveAway(ctx, b, n.migrationTarget(b))
+				n.relay.MigrateAnswers(ctx, b, n.migrationTarget(b))
 			}()
 		case <-ctx.Done():
 			return
@@ -48,7 +48,7 @@
 
 // migrationTarget returns the function that chooses the backend server on which a request
 // from the given server continues.
-func (n *Node) migrationTarget(b wasabiridge.BackendServerID) wasabirelay.Refuge {
+func (n *Node) migrationTarget(b wasabiridge.BackendServerID) wasabirelay.TargetSelector {
 	return func(r wasabiridge.Request, w wasabiridge.WeightsVersion, not []wasabiridge.BackendServerID) (to wasabiridge.BackendServer, ok bool) {
 		n.loop.Inspect(func() {
 			to, ok = n.placer.Refuge(n.options.Clock.Now(), r, w, append([]wasabiridge.BackendServerID{b}, not...))
--- a/internal/wasabinode/node.go
+++ b/internal/wasabinode/node.go
@@ -237,9 +237,9 @@
 	n.relay = wasabirelay.New(wasabirelay.Options{
 		Instance: s.Instance, Clock: o.Clock, Log: wasabilog.Part(n.log, "relay"), Loop: n.loop,
 		Runner: o.Platform.Runner, Protocol: o.Platform.Protocol, View: n.view,
-		KeyLife:  func() wasabiridge.Millis { return n.terms.Load().KeyLife - keyMargin },
-		DenyLife: func() wasabiridge.Millis { return n.terms.Load().ConfigLife * denyPercent / 100 },
-		Leaving:  n.leaving.Load, Mover: o.Platform.Migrator, Names: wasabifingerprint.New([]byte(openPeerKey)),
+		MaxKeyAge:  func() wasabiridge.Millis { return n.terms.Load().KeyLife - keyMargin },
+		MaxDenyAge: func() wasabiridge.Millis { return n.terms.Load().ConfigLife * denyPercent / 100 },
+		Leaving:    n.leaving.Load, Mover: o.Platform.Migrator, Hasher: wasabifingerprint.New([]byte(openPeerKey)),
 	})
 	n.book = wasabiaddress.New(wasabiaddress.Options{
 		Self: n.self(), Members: n.members.Members, Lifetime: wasabiridge.Millis(addressShare * float64(n.bounds.AddressLife)),
--- a/internal/wasabirelay/counts.go
+++ b/internal/wasabirelay/counts.go
@@ -10,11 +10,11 @@
 
 // Outcomes of requests, as they appear in logs and metrics.
 const (
-	OutcomeAnswered = "answered"
-	OutcomeRefused  = "refused"
-	OutcomeBroken   = "broken"
-	OutcomeCut      = "cut"
-	OutcomeGone     = "caller_gone"
+	OutcomeAnswered   = "answered"
+	OutcomeRefused    = "refused"
+	OutcomeBroken     = "broken"
+	OutcomeCut        = "cut"
+	OutcomeCallerGone = "caller_gone"
 )
 
 const (
@@ -32,9 +32,9 @@
 	causes map[string]uint64
 }
 
-// Count is the summary of one histogram: the number of values and their quantiles in
+// Summary is the summary of one histogram: the number of values and their quantiles in
 // milliseconds. Name is an outcome, or first_byte_stream or first_byte_plain.
-type Count struct {
+type Summary struct {
 	Name          string
 	Total         int64
 	P50, P95, P99 int64
@@ -83,13 +83,13 @@
 	_ = h.RecordValue(min(max(int64(took), 1), maxMillis))
 }
 
-// Times returns the summaries of all histograms, in no particular order.
-func (c *Counts) Times() []Count {
+// Summaries returns the summaries of all histograms, in no particular order.
+func (c *Counts) Summaries() []Summary {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := make([]Count, 0, len(c.byName))
+	out := make([]Summary, 0, len(c.byName))
 	for name, h := range c.byName {
-		out = append(out, Count{Name: name, Total: h.TotalCount(), P50: h.ValueAtQuantile(50), P95: h.ValueAtQuantile(95), P99: h.ValueAtQuantile(99)})
+		out = append(out, Summary{Name: name, Total: h.TotalCount(), P50: h.ValueAtQuantile(50), P95: h.ValueAtQuantile(95), P99: h.ValueAtQuantile(99)})
 	}
 	return out
 }
--- a/internal/wasabirelay/exchange.go
+++ b/internal/wasabirelay/exchange.go
@@ -21,7 +21,7 @@
 	finalMargin = 15 * wasabiridge.Millis(1)
 )
 
-var errSilent = wasabiridge.ErrFirstByteTimeout.New("relay: backend server sent no byte within the time limit")
+var errFirstByteTimeout = wasabiridge.ErrFirstByteTimeout.New("relay: backend server sent no byte within the time limit")
 
 // exchange processes one request from its submission to the decider until it is
 // answered. It is owned by the goroutine of the request.
@@ -82,7 +82,7 @@
 
 // computeFingerprint returns the keyed hash of the request's content.
 func (c *call) computeFingerprint() wasabiridge.Fingerprint {
-	return c.relay.options.Names.Fingerprint(wasabifingerprint.Content{
+	return c.relay.options.Hasher.Fingerprint(wasabifingerprint.Content{
 		Account: c.account.ID, Method: c.r.Method, Host: hostOf(c.r), Path: c.r.URL.RequestURI(), Model: c.parsed.Model, Body: c.body, Blocks: c.parsed.Blocks,
 	})
 }
@@ -146,7 +146,7 @@
 	defer cancel(nil)
 	s := &sink{exchange: x, dispatch: d, cancel: cancel}
 	if d.FirstByte > 0 {
-		s.firstByteTimer = time.AfterFunc(d.FirstByte.Duration(), func() { cancel(errSilent) })
+		s.firstByteTimer = time.AfterFunc(d.FirstByte.Duration(), func() { cancel(errFirstByteTimeout) })
 		defer s.firstByteTimer.Stop()
 	}
 	before, started := x.disposition, x.relay.options.Clock.Now()
@@ -256,7 +256,7 @@
 	x.relay.options.Loop.Post(wasabiridge.CallerGone{Request: x.request.ID})
 	switch {
 	case x.r.Context().Err() != nil:
-		x.log("Caller disconnected before the answer was complete.", OutcomeGone, "")
+		x.log("Caller disconnected before the answer was complete.", OutcomeCallerGone, "")
 		// The connection is closed, so no answer can be written.
 		panic(http.ErrAbortHandler)
 	case x.headSent:
--- a/internal/wasabirelay/move.go
+++ b/internal/wasabirelay/move.go
@@ -29,10 +29,10 @@
 	maxMovePasses = 12
 )
 
-// Refuge selects the engine to which an answer is moved from an engine that is being
-// drained. Engines in excluded have refused an answer and must not be selected. It
-// reports false if no engine can take the answer.
-type Refuge func(r wasabiridge.Request, weights wasabiridge.WeightsVersion, excluded []wasabiridge.BackendServerID) (wasabiridge.BackendServer, bool)
+// TargetSelector selects the engine to which an answer is moved from an engine that is
+// being drained. Engines in excluded have refused an answer and must not be selected.
+// It reports false if no engine can take the answer.
+type TargetSelector func(r wasabiridge.Request, weights wasabiridge.WeightsVersion, excluded []wasabiridge.BackendServerID) (wasabiridge.BackendServer, bool)
 
 // activeRuns holds the resumable streams that are being answered, by attempt. It is
 // safe for concurrent use.
@@ -115,22 +115,22 @@
 	return r.move
 }
 
-// MoveAway moves the answers that run at an engine to the engines that refuge selects,
-// one after the other, because the network link of an engine transfers one at a time. An
-// answer that cannot be moved keeps running, and the move is tried again up to
-// maxMovePasses times.
+// MigrateAnswers moves the answers that run at an engine to the engines that
+// selectTarget selects, one after the other, because the network link of an engine
+// transfers one at a time. An answer that cannot be moved keeps running, and the move
+// is tried again up to maxMovePasses times.
 //
 // An engine that did not take an answer is excluded for the rest of the pass. Otherwise,
 // if the engine with the most free capacity does not respond, every answer is offered to
 // it first, each offer takes 300 ms, and the load of the weights is delayed by seconds
 // until the longest answer has ended.
-func (l *Relay) MoveAway(ctx context.Context, b wasabiridge.BackendServerID, refuge Refuge) {
+func (l *Relay) MigrateAnswers(ctx context.Context, b wasabiridge.BackendServerID, selectTarget TargetSelector) {
 	if l.options.Mover == nil {
 		return
 	}
 	left := l.running.at(b)
 	for range maxMovePasses {
-		if left = l.movePass(ctx, left, refuge); len(left) == 0 {
+		if left = l.movePass(ctx, left, selectTarget); len(left) == 0 {
 			return
 		}
 		select {
@@ -146,7 +146,7 @@
 // movePass tries to move each of the answers, and returns those that stay at their
 // engine. An engine that did not take an answer is full or not responding, and is not
 // tried again in this pass.
-func (l *Relay) movePass(ctx context.Context, ids []wasabiridge.AttemptID, refuge Refuge) []wasabiridge.AttemptID {
+func (l *Relay) movePass(ctx context.Context, ids []wasabiridge.AttemptID, selectTarget TargetSelector) []wasabiridge.AttemptID {
 	var left []wasabiridge.AttemptID
 	var excluded []wasabiridge.BackendServerID
 	for _, id := range ids {
@@ -155,7 +155,7 @@
 			if r == nil {
 				break // The answer has ended or is already being moved.
 			}
-			to, ok := refuge(r.request, r.dispatch.Weights, excluded)
+			to, ok := selectTarget(r.request, r.dispatch.Weights, excluded)
 			if !ok {
 				l.running.cancelMove(r)
 				left = append(left, id)
@@ -182,7 +182,7 @@
 	outcome := moveOutcome(err)
 	if err == nil {
 		r.move.moved = wasabiridge.MigrationResult{To: to, Handle: memory}
-		time.AfterFunc(oldStreamTimeout.Duration(), func() { r.cancel(errSilent) })
+		time.AfterFunc(oldStreamTimeout.Duration(), func() { r.cancel(errFirstByteTimeout) })
 	}
 	l.counts.addMove(outcome)
 	l.options.Log.Info().
@@ -228,15 +228,15 @@
 		return wasabiridge.MigrationResult{}
 	}
 	if end.Result != wasabiridge.AttemptBroken || x.ctx.Err() != nil {
-		go x.relay.dropRun(d.Backend, m.moved.Handle)
+		go x.relay.dropCache(d.Backend, m.moved.Handle)
 		return wasabiridge.MigrationResult{}
 	}
 	return m.moved
 }
 
-// dropRun releases a moved KV cache that will not be used. If the call fails, the engines
-// release it by themselves after some seconds.
-func (l *Relay) dropRun(from wasabiridge.BackendServer, memory string) {
+// dropCache releases a moved KV cache that will not be used. If the call fails, the
+// engines release it by themselves after some seconds.
+func (l *Relay) dropCache(from wasabiridge.BackendServer, memory string) {
 	ctx, cancel := context.WithTimeout(context.Background(), moveTimeout.Duration())
 	defer cancel()
 	if err := l.options.Mover.DropCache(ctx, from, memory); err != nil {
--- a/internal/wasabirelay/move_test.go
+++ b/internal/wasabirelay/move_test.go
@@ -87,8 +87,8 @@
 		Eventually(sent).Should(Receive())
 		return g, done, end
 	}
-	moveAway := func(g *rig, found bool) {
-		g.relay.MoveAway(context.Background(), g.first().Backend.ID, func(_ wasabiridge.Request, _ wasabiridge.WeightsVersion, excluded []wasabiridge.BackendServerID) (wasabiridge.BackendServer, bool) {
+	migrateAnswers := func(g *rig, found bool) {
+		g.relay.MigrateAnswers(context.Background(), g.first().Backend.ID, func(_ wasabiridge.Request, _ wasabiridge.WeightsVersion, excluded []wasabiridge.BackendServerID) (wasabiridge.BackendServer, bool) {
 			return other, found && len(excluded) == 0
 		})
 	}
@@ -100,7 +100,7 @@
 		m := &mover{}
 		g, done, ends := startStream(m, streams(wasabiridge.AttemptCompleted, "3", "4"))
 		m.stops = func() { ends <- wasabiridge.AttemptBroken }
-		moveAway(g, true)
+		migrateAnswers(g, true)
 		a := <-done
 		Expect(a.err).NotTo(HaveOccurred())
 		Expect(a.body).To(Equal("id:1 \n\nid:2 \n\nid:3 \n\nid:4 \n\n"))
@@ -123,7 +123,7 @@
 				ends <- wasabiridge.AttemptBroken
 			}
 		}
-		g.relay.MoveAway(context.Background(), g.first().Backend.ID, func(_ wasabiridge.Request, _ wasabiridge.WeightsVersion, excluded []wasabiridge.BackendServerID) (wasabiridge.BackendServer, bool) {
+		g.relay.MigrateAnswers(context.Background(), g.first().Backend.ID, func(_ wasabiridge.Request, _ wasabiridge.WeightsVersion, excluded []wasabiridge.BackendServerID) (wasabiridge.BackendServer, bool) {
 			if len(excluded) == 0 {
 				return wasabiridge.BackendServer{ID: "dark"}, true
 			}
@@ -141,7 +141,7 @@
 		g, done, ends := startStream(m, streams(wasabiridge.AttemptCompleted, "3"))
 		m.stops = func() { ends <- wasabiridge.AttemptBroken }
 		asked := 0
-		g.relay.MoveAway(context.Background(), g.first().Backend.ID, func(wasabiridge.Request, wasabiridge.WeightsVersion, []wasabiridge.BackendServerID) (wasabiridge.BackendServer, bool) {
+		g.relay.MigrateAnswers(context.Background(), g.first().Backend.ID, func(wasabiridge.Request, wasabiridge.WeightsVersion, []wasabiridge.BackendServerID) (wasabiridge.BackendServer, bool) {
 			asked++
 			return other, asked > 2
 		})
@@ -154,7 +154,7 @@
 	It("continues even if the end of its old stream is lost", func() {
 		m := &mover{}
 		g, done, _ := startStream(m, streams(wasabiridge.AttemptCompleted, "3"))
-		moveAway(g, true)
+		migrateAnswers(g, true)
 		Expect((<-done).body).To(Equal("id:1 \n\nid:2 \n\nid:3 \n\n"))
 	})
 
@@ -162,7 +162,7 @@
 		m := &mover{}
 		g, done, ends := startStream(m, streams(wasabiridge.AttemptCompleted, "never"))
 		m.stops = func() { ends <- wasabiridge.AttemptCompleted }
-		moveAway(g, true)
+		migrateAnswers(g, true)
 		Expect((<-done).body).To(Equal("id:1 \n\nid:2 \n\n"))
 		Eventually(m.drops).Should(ConsistOf("s:1/h1"))
 		Expect(g.attempts()).To(Equal(1))
@@ -191,7 +191,7 @@
 			if c.breaks {
 				m.stops = func() { ends <- wasabiridge.AttemptBroken }
 			}
-			moveAway(g, c.found)
+			migrateAnswers(g, c.found)
 			if !c.breaks {
 				ends <- wasabiridge.AttemptCompleted
 			}
@@ -216,7 +216,7 @@
 		done := make(chan answer, 1)
 		go func() { done <- g.send("/x", "k") }()
 		Eventually(sent).Should(Receive())
-		moveAway(g, true)
+		migrateAnswers(g, true)
 		Expect(m.moves).To(BeEmpty())
 		end <- wasabiridge.AttemptCompleted
 		Eventually(done, 2*time.Second).Should(Receive())
--- a/internal/wasabirelay/refusal.go
+++ b/internal/wasabirelay/refusal.go
@@ -66,7 +66,7 @@
 		Str("cause", f.Reason).
 		Int64("retry_after_ms", int64(f.RetryAfter)).
 		Uint64("config_version", uint64(c.view.Config.Version)).
-		Int64("config_age_ms", int64(c.arrived-c.view.Proven)).
+		Int64("config_age_ms", int64(c.arrived-c.view.ConfirmedAt)).
 		Int64("took_ms", int64(c.relay.options.Clock.Now()-c.arrived)).
 		Msg("Request refused.")
 	c.relay.options.Protocol.Refuse(c.w, f)
--- a/internal/wasabirelay/relay.go
+++ b/internal/wasabirelay/relay.go
@@ -65,9 +65,9 @@
 	// Config is the configuration in force with its backend servers. It must not
 	// be nil. Its version is zero if no configuration has been received yet.
 	Config *wasabiridge.Config
-	// Proven is the time at which Config was last confirmed to be in force, by the
+	// ConfirmedAt is the time at which Config was last confirmed to be in force, by the
 	// clock of the relay.
-	Proven wasabiridge.Millis
+	ConfirmedAt wasabiridge.Millis
 	// Sharing identifies the set of accounts that share cached prefix segments.
 	Sharing string
 }
@@ -83,18 +83,18 @@
 	Protocol wasabiridge.CallerProtocol
 	// View returns the current snapshot. It must be safe for concurrent use.
 	View func() View
-	// KeyLife returns the maximum age of View.ConfirmedAt for requests with a key. It
+	// MaxKeyAge returns the maximum age of View.ConfirmedAt for requests with a key. It
 	// must be safe for concurrent use, like MaxDenyAge.
-	KeyLife func() wasabiridge.Millis
-	// DenyLife returns the maximum age of View.ConfirmedAt at which a request is
+	MaxKeyAge func() wasabiridge.Millis
+	// MaxDenyAge returns the maximum age of View.ConfirmedAt at which a request is
 	// rejected because its route or key does not exist. With an older
 	// configuration, the route or key may have been added since, so the request
 	// is refused as not run instead and may be retried.
-	DenyLife func() wasabiridge.Millis
+	MaxDenyAge func() wasabiridge.Millis
 	// Mover moves running answers between engines. Nil disables moves.
 	Mover wasabiridge.RequestMigrator
-	// Names computes the fingerprints of requests. The zero value uses an empty key.
-	Names wasabifingerprint.Hasher
+	// Hasher computes the fingerprints of requests. The zero value uses an empty key.
+	Hasher wasabifingerprint.Hasher
 	// Leaving reports whether the instance is shutting down. Nil means never.
 	Leaving func() bool
 }
@@ -258,7 +258,7 @@
 // deny rejects a request whose route or key is not in the configuration. If the
 // configuration is older than MaxDenyAge, the request is refused as not run instead.
 func (c *call) deny(kind wasabiridge.RefusalKind, cause string) *wasabiridge.Refusal {
-	if c.arrived-c.view.Proven > c.relay.options.DenyLife() {
+	if c.arrived-c.view.ConfirmedAt > c.relay.options.MaxDenyAge() {
 		return c.notRun(cause + ", by a configuration that may be old")
 	}
 	return &wasabiridge.Refusal{Kind: kind, Reason: cause}
@@ -267,16 +267,16 @@
 // checkKeyFreshness refuses requests whose key may have been revoked meanwhile.
 func (c *call) checkKeyFreshness() *wasabiridge.Refusal {
 	if c.account.ID != "" && !c.keyInForce() {
-		return c.notRunSince("key not proven lately", c.view.Proven+c.relay.options.KeyLife())
+		return c.notRunSince("key not proven lately", c.view.ConfirmedAt+c.relay.options.MaxKeyAge())
 	}
 	return nil
 }
 
 // keyInForce reports whether the account's key was confirmed to be in force within the
-// last KeyLife. It uses the current snapshot, not that of the request's arrival.
+// last MaxKeyAge. It uses the current snapshot, not that of the request's arrival.
 func (c *call) keyInForce() bool {
 	view := c.relay.options.View()
-	if c.relay.options.Clock.Now()-view.Proven > c.relay.options.KeyLife() {
+	if c.relay.options.Clock.Now()-view.ConfirmedAt > c.relay.options.MaxKeyAge() {
 		return false
 	}
 	if view.Config == c.view.Config {
--- a/internal/wasabirelay/relay_test.go
+++ b/internal/wasabirelay/relay_test.go
@@ -92,14 +92,14 @@
 	clock  *wasabiclock.Virtual
 	relay  *wasabirelay.Relay
 	mover  moverOf
-	judge  *fixedVerdict
+	check  *fixedVerdict
 }
 
-// fixedVerdict is a quarantine that reports the same standing for every request.
-type fixedVerdict struct{ standing wasabiridge.QuarantineVerdict }
+// fixedVerdict is a quarantine that returns the same verdict for every request.
+type fixedVerdict struct{ verdict wasabiridge.QuarantineVerdict }
 
 func (v *fixedVerdict) Check(wasabiridge.Millis, wasabiridge.Request) wasabiridge.QuarantineVerdict {
-	return v.standing
+	return v.verdict
 }
 
 func (*fixedVerdict) Sent(wasabiridge.Millis, wasabiridge.Request, wasabiridge.AttemptID, wasabiridge.BackendServer) {
@@ -122,7 +122,7 @@
 func newRig(then wasabiridge.Action, script ...scriptedAttempt) *rig {
 	// The deadlines of the relay are timers of the real clock. Only the age of the
 	// configuration depends on the virtual clock, which the test advances.
-	g := &rig{runner: &runner{script: script}, clock: wasabiclock.NewVirtual(1e6), judge: &fixedVerdict{}}
+	g := &rig{runner: &runner{script: script}, clock: wasabiclock.NewVirtual(1e6), check: &fixedVerdict{}}
 	then.Pool = "p"
 	servers := []wasabiridge.BackendServer{{ID: "s1", URL: "http://a", Slots: 9}, {ID: "s2", URL: "http://b", Slots: 9}, {ID: "s3", URL: "http://c", Slots: 9}}
 	cfg := &wasabiridge.Config{
@@ -134,18 +134,18 @@
 		},
 	}
 	cfg.Rules[0].Then.Anonymous = true
-	g.view = wasabirelay.View{Config: cfg, Proven: g.clock.Now()}
+	g.view = wasabirelay.View{Config: cfg, ConfirmedAt: g.clock.Now()}
 	placer := wasabireplica.New(wasabireplica.Options{Seed: 1, RetrySlack: 100})
 	// An instance that has run for long has its share of the retry budget.
 	placer.Observe(g.clock.Now()-2*wasabiridge.Minute, wasabiridge.Ticked{})
-	core := wasabicore.New(wasabicore.Options{Placer: placer, Limiter: wasabireplica.NewLimiter(placer), Quarantine: g.judge})
+	core := wasabicore.New(wasabicore.Options{Placer: placer, Limiter: wasabireplica.NewLimiter(placer), Quarantine: g.check})
 	loop := wasabiloop.New(wasabiloop.Options{Decider: core, Clock: g.clock})
 	DeferCleanup(loop.Close)
 	loop.Post(wasabiridge.ConfigAdopted{Config: *cfg})
 	g.relay = wasabirelay.New(wasabirelay.Options{
 		Clock: g.clock, Loop: loop, Runner: g.runner, Protocol: protocol{}, View: g.seen, Mover: &g.mover,
-		KeyLife:  func() wasabiridge.Millis { return 4000 },
-		DenyLife: func() wasabiridge.Millis { return 1500 },
+		MaxKeyAge:  func() wasabiridge.Millis { return 4000 },
+		MaxDenyAge: func() wasabiridge.Millis { return 1500 },
 	})
 	g.server = httptest.NewServer(g.relay)
 	DeferCleanup(g.server.Close)
@@ -301,7 +301,7 @@
 	// Retry-After time its caller would send it again and be refused each time.
 	It("that is blocked by the quarantine gets no Retry-After time", func() {
 		g := newRig(wasabiridge.Action{}, answers(200, "ok"))
-		g.judge.standing = wasabiridge.QuarantineBlocked
+		g.check.verdict = wasabiridge.QuarantineBlocked
 		got := g.send("/x", "k")
 		Expect(got.kind).To(Equal(string(wasabiridge.RefusalNotRun)))
 		Expect(got.back).To(BeEmpty())
