--- a/internal/wasabinode/metrics.go
+++ b/internal/wasabinode/metrics.go
@@ -62,14 +62,14 @@
 // engineLines returns the estimated speed of the engines, by pool and model, with
 // times in microseconds.
 func (n *Node) engineLines() []string {
-	var estimates []wasabireplica.Learned
-	n.loop.Inspect(func() { estimates = n.placer.Learned() })
+	var estimates []wasabireplica.CostEstimate
+	n.loop.Inspect(func() { estimates = n.placer.CostEstimates() })
 	var lines []string
 	for _, l := range estimates {
 		labels := "{pool=\"" + string(l.Pool) + "\",model=\"" + string(l.Model) + "\"}"
 		lines = append(lines,
 			line("engine_first_token_us"+labels, int64(1000*l.FirstToken)),
-			line("engine_thousand_tokens_us"+labels, int64(1000*l.Thousand)),
+			line("engine_thousand_tokens_us"+labels, int64(1000*l.PerThousandTokens)),
 			line("engine_answers_total"+labels, int64(l.Answers)),
 			line("first_byte_overrun_percent"+labels, int64(100*l.Overrun)),
 		)
--- a/internal/wasabinode/migrate.go
+++ b/internal/wasabinode/migrate.go
@@ -51,7 +51,7 @@
 func (n *Node) migrationTarget(b wasabiridge.BackendServerID) wasabirelay.TargetSelector {
 	return func(r wasabiridge.Request, w wasabiridge.WeightsVersion, not []wasabiridge.BackendServerID) (to wasabiridge.BackendServer, ok bool) {
 		n.loop.Inspect(func() {
-			to, ok = n.placer.Refuge(n.options.Clock.Now(), r, w, append([]wasabiridge.BackendServerID{b}, not...))
+			to, ok = n.placer.MigrationTarget(n.options.Clock.Now(), r, w, append([]wasabiridge.BackendServerID{b}, not...))
 		})
 		return to, ok
 	}
--- a/internal/wasabinode/node.go
+++ b/internal/wasabinode/node.go
@@ -196,7 +196,7 @@
 	n.limits = serverLimits{log: wasabilog.Part(n.log, "limit"), byServer: map[wasabiridge.BackendServerID]serverLimit{}}
 	n.timeline = wasabitimeline.New(wasabitimeline.Options{Instance: s.Instance, Clock: o.Clock})
 	n.placer = wasabireplica.New(wasabireplica.Options{
-		Seed: seed, Self: s.Instance, Zone: s.Zone, WeightsBound: n.bounds.WeightsLife - weightsMargin,
+		Seed: seed, Self: s.Instance, Zone: s.Zone, WeightsDeadline: n.bounds.WeightsLife - weightsMargin,
 		RetryRatio: n.bounds.RetryRatio, RetrySlack: n.bounds.RetrySlack, RetryWindow: n.bounds.RetryWindow,
 	})
 	n.quarantine = wasabiquarantine.NewController(wasabiquarantine.ControllerOptions{
--- a/internal/wasabinode/publish.go
+++ b/internal/wasabinode/publish.go
@@ -53,7 +53,7 @@
 		}
 		var update wasabiridge.StateUpdate
 		n.loop.Inspect(func() {
-			update.Loads, update.Segments = n.placer.TakeNews(n.options.Clock.Now())
+			update.Loads, update.Segments = n.placer.TakeUpdates(n.options.Clock.Now())
 			n.quota.Add(n.options.Clock.Now(), &update)
 		})
 		if len(update.Loads) > 0 || len(update.Segments) > 0 || len(update.Usage) > 0 {
--- a/internal/wasabireplica/budget.go
+++ b/internal/wasabireplica/budget.go
@@ -8,8 +8,8 @@
 // startBudget sets up the retry budget at the first event, whose time stands for the
 // start of the process.
 func (p *Placer) startBudget(now wasabiridge.Millis) {
-	if p.sharers == nil {
-		p.startedAt, p.sharers = now, wasabibudget.NewInstanceCounter(p.retryTerms(), now)
+	if p.instances == nil {
+		p.startedAt, p.instances = now, wasabibudget.NewInstanceCounter(p.retryTerms(), now)
 	}
 }
 
@@ -62,7 +62,7 @@
 func (p *Placer) Retries(now wasabiridge.Millis) []Retries {
 	var out []Retries
 	for id, pl := range p.pools {
-		out = append(out, Retries{Pool: id, Granted: pl.retries.granted, Denied: pl.retries.denied, Instances: p.sharers.Instances(now)})
+		out = append(out, Retries{Pool: id, Granted: pl.retries.granted, Denied: pl.retries.denied, Instances: p.instances.Instances(now)})
 	}
 	return out
 }
--- a/internal/wasabireplica/deadline.go
+++ b/internal/wasabireplica/deadline.go
@@ -10,7 +10,7 @@
 // weights: no newer version was announced Options.WeightsDeadline ago or earlier.
 func (p *Placer) weightsAllowed(now wasabiridge.Millis, m wasabiridge.ModelID, v wasabiridge.WeightsVersion) bool {
 	age, older := p.announced.supersededFor(now, m, v)
-	return !older || age < p.options.WeightsBound
+	return !older || age < p.options.WeightsDeadline
 }
 
 const (
@@ -41,7 +41,7 @@
 // false when the replica serves the newest weights, which have no deadline.
 func (p *Placer) weightsTimeLeft(now wasabiridge.Millis, m wasabiridge.ModelID, r *replica) (wasabiridge.Millis, bool) {
 	age, older := p.announced.supersededFor(now, m, r.weights[m])
-	return max(1, p.options.WeightsBound-age), older
+	return max(1, p.options.WeightsDeadline-age), older
 }
 
 // isUnresumable reports whether no replica will ever be able to continue a stream,
--- a/internal/wasabireplica/limit_test.go
+++ b/internal/wasabireplica/limit_test.go
@@ -77,7 +77,7 @@
 	for i, g := range f.instances {
 		g.observe(wasabiridge.InstancesCounted{Count: len(f.instances), Serving: f.visibleTo(i)})
 		g.observe(wasabiridge.Ticked{})
-		loads, segments := g.placer.TakeNews(f.now)
+		loads, segments := g.placer.TakeUpdates(f.now)
 		for j, other := range f.instances {
 			if i != j && !f.silent && (!f.partitioned || i%2 == j%2) {
 				other.observe(wasabiridge.PeerPlaced{From: f.names[i], Loads: loads, Segments: segments})
@@ -272,7 +272,7 @@
 		sent := 0
 		for i := range 50 {
 			g.observe(wasabiridge.LimitAnnounced{Backend: "e0", Limited: true, Rate: float64(1 + i), RequestSentAt: g.now - 10})
-			loads, _ := g.placer.TakeNews(g.now)
+			loads, _ := g.placer.TakeUpdates(g.now)
 			sent += len(loads)
 			g.now += 100
 		}
--- a/internal/wasabireplica/limiter.go
+++ b/internal/wasabireplica/limiter.go
@@ -152,7 +152,7 @@
 	if pl == nil {
 		return false
 	}
-	granted := pl.budget.Spend(now, l.placer.sharers.SlackShare(now))
+	granted := pl.budget.Spend(now, l.placer.instances.SlackShare(now))
 	pl.retries.count(granted)
 	return granted
 }
--- a/internal/wasabireplica/migration.go
+++ b/internal/wasabireplica/migration.go
@@ -16,11 +16,11 @@
 // through a migrated answer. A fuller replica would have to evict running requests.
 const maxTargetLoad = 0.9
 
-// Refuge chooses the replica to which a running answer is migrated when it has to leave
-// its own. The target serves version w of the weights, has room and is not excluded.
-// MigrationTarget reports false when there is none, when w is zero, or when the engines
-// of the pool cannot migrate answers.
-func (p *Placer) Refuge(now wasabiridge.Millis, r wasabiridge.Request, w wasabiridge.WeightsVersion, excluded []wasabiridge.BackendServerID) (wasabiridge.BackendServer, bool) {
+// MigrationTarget chooses the replica to which a running answer is migrated when it has
+// to leave its own. The target serves version w of the weights, has room and is not
+// excluded. MigrationTarget reports false when there is none, when w is zero, or when
+// the engines of the pool cannot migrate answers.
+func (p *Placer) MigrationTarget(now wasabiridge.Millis, r wasabiridge.Request, w wasabiridge.WeightsVersion, excluded []wasabiridge.BackendServerID) (wasabiridge.BackendServer, bool) {
 	pl := p.pools[r.Action.Pool]
 	if pl == nil || !pl.config.MigratesRequests || w == 0 {
 		return wasabiridge.BackendServer{}, false
--- a/internal/wasabireplica/migration_test.go
+++ b/internal/wasabireplica/migration_test.go
@@ -59,7 +59,7 @@
 			g.pool.MigratesRequests = true
 			g.adopt()
 			cases[name].change(g)
-			to, ok := g.placer.Refuge(g.now, long(1), 1, []wasabiridge.BackendServerID{"e0"})
+			to, ok := g.placer.MigrationTarget(g.now, long(1), 1, []wasabiridge.BackendServerID{"e0"})
 			Expect(to.ID).To(Equal(cases[name].to))
 			Expect(ok).To(Equal(cases[name].to != ""))
 		})
--- a/internal/wasabireplica/observe.go
+++ b/internal/wasabireplica/observe.go
@@ -45,7 +45,7 @@
 			r.running, r.waiting, r.reported, r.ownAtReport = e.Report.Running, e.Report.Waiting, now, r.own.requests
 		}
 	case wasabiridge.InstancesCounted:
-		p.sharers.Record(now, e.Count)
+		p.instances.Record(now, e.Count)
 		if len(e.Serving) > 0 {
 			p.rateGroup.SetInstances(now, e.Serving)
 		}
--- a/internal/wasabireplica/placer.go
+++ b/internal/wasabireplica/placer.go
@@ -64,9 +64,9 @@
 	// Zone is the availability zone of this instance. Empty means that all replicas are
 	// equally far.
 	Zone wasabiridge.AvailabilityZone
-	// WeightsBound is how long older weights may be served after new ones were
+	// WeightsDeadline is how long older weights may be served after new ones were
 	// announced. Zero means 10 s.
-	WeightsBound wasabiridge.Millis
+	WeightsDeadline wasabiridge.Millis
 	// RetryRatio, RetrySlack and RetryWindow define the retry budget that all instances
 	// share: within a window, RetryRatio times the number of requests, and RetrySlack
 	// more. Zero means 0.1, 10 and 10 s.
@@ -76,8 +76,8 @@
 }
 
 func (o Options) withDefaults() Options {
-	if o.WeightsBound == 0 {
-		o.WeightsBound = 10 * wasabiridge.Second
+	if o.WeightsDeadline == 0 {
+		o.WeightsDeadline = 10 * wasabiridge.Second
 	}
 	if o.RetryRatio == 0 {
 		o.RetryRatio = 0.1
@@ -101,11 +101,11 @@
 	attempts    map[wasabiridge.AttemptID]attempt
 	kvStores    kvStores
 	peerUpdates peerUpdates
-	// startedAt is when the process started. sharers estimates the number of instances
+	// startedAt is when the process started. instances estimates the number of instances
 	// that share the retry budget, and budgets holds what this instance may spend, by
 	// pool.
 	startedAt wasabiridge.Millis
-	sharers   *wasabibudget.InstanceCounter
+	instances *wasabibudget.InstanceCounter
 	budgets   map[wasabiridge.PoolID]*wasabibudget.Budget
 	// rateGroup holds the instances that share the rates of servers that report limits.
 	rateGroup *wasabirate.Group
@@ -245,7 +245,7 @@
 	if !pr.worthFetching() {
 		return out
 	}
-	out.Why, out.ImportFrom, out.ClaimedTokens = c.source.why, c.source.fetchFrom, c.source.held
+	out.Why, out.ImportFrom, out.ClaimedTokens = c.source.why, c.source.importFrom, c.source.held
 	keys := pr.keysFor(out.Weights)
 	if s := p.kvStores.storeOf(keys[len(keys)-1]); s != nil && pr.own <= pr.shared && !s.holds(keys[len(keys)-1]) {
 		// The store receives the whole prompt, including the tokens that no other
--- a/internal/wasabireplica/pool.go
+++ b/internal/wasabireplica/pool.go
@@ -79,27 +79,27 @@
 	pl.overrun = max(1, pl.overrun*(1-overrunStep*overrunTail))
 }
 
-// Learned is the estimate of the computing costs of the engines of a pool that serve a
-// model. Times are in milliseconds.
-type Learned struct {
+// CostEstimate is the estimate of the computing costs of the engines of a pool that
+// serve a model. Times are in milliseconds.
+type CostEstimate struct {
 	Pool  wasabiridge.PoolID
 	Model wasabiridge.ModelID
 	// FirstToken is the time to the first token of an empty prompt, and
 	// PerThousandTokens the additional time for a thousand tokens.
-	FirstToken, Thousand float64
+	FirstToken, PerThousandTokens float64
 	// Overrun is the ratio of actual to expected time that nearly all first bytes stay
 	// below. Answers is the number of answers behind the estimate.
 	Overrun float64
 	Answers int
 }
 
-// Learned returns the estimates for all pools and models, in no particular order.
-func (p *Placer) Learned() []Learned {
-	var out []Learned
+// CostEstimates returns the estimates for all pools and models, in no particular order.
+func (p *Placer) CostEstimates() []CostEstimate {
+	var out []CostEstimate
 	for id, pl := range p.pools {
 		for model, costs := range pl.costs {
-			out = append(out, Learned{
-				Pool: id, Model: model, FirstToken: costs.Fixed(), Thousand: costs.Compute(wasabicost.Work{Tokens: 1000}),
+			out = append(out, CostEstimate{
+				Pool: id, Model: model, FirstToken: costs.Fixed(), PerThousandTokens: costs.Compute(wasabicost.Work{Tokens: 1000}),
 				Overrun: pl.overrun, Answers: costs.Answers(),
 			})
 		}
--- a/internal/wasabireplica/prefillqueue_test.go
+++ b/internal/wasabireplica/prefillqueue_test.go
@@ -142,7 +142,7 @@
 		}
 		_, ok := g.placer.Place(g.now, wasabiridge.PlaceQuery{Request: long(1), Pool: g.pool})
 		Expect(ok).To(BeTrue())
-		loads, _ := g.placer.TakeNews(g.now)
+		loads, _ := g.placer.TakeUpdates(g.now)
 		for _, l := range loads {
 			Expect(l.InFlight).To(BeZero())
 			Expect(l.Tokens).To(BeZero())
--- a/internal/wasabireplica/prompt.go
+++ b/internal/wasabireplica/prompt.go
@@ -111,8 +111,8 @@
 
 // source describes where a replica gets the shared segments of a prompt from.
 type source struct {
-	why       string
-	fetchFrom string
+	why        string
+	importFrom string
 	// held counts tokens that the replica holds already or is computing.
 	held int
 	// cost is the time to obtain the whole prompt, and work the part of it in which the
@@ -146,7 +146,7 @@
 	// Unless a better source is known, the replica queries the store: a miss there
 	// costs only a millisecond.
 	last := keys[len(keys)-1]
-	out.why, out.fetchFrom = whyComputed, p.kvStores.addressOf(last)
+	out.why, out.importFrom = whyComputed, p.kvStores.addressOf(last)
 	k := p.kvStores.holder(last)
 	if k != nil || p.isHeldElsewhere(pl, last, r) {
 		out.recomputed = missing
@@ -177,7 +177,7 @@
 func (s *source) consider(pr *prompt, why, address string, time float64) {
 	work := pr.compute(pr.own, pr.shared)
 	if cost := fetchOverhead + time + work; cost < s.cost+recomputeWait*float64(s.recomputed) {
-		s.why, s.fetchFrom, s.cost, s.work = why, address, cost, work
+		s.why, s.importFrom, s.cost, s.work = why, address, cost, work
 		s.recomputed, s.copied = 0, pr.shared-s.held
 	}
 }
--- a/internal/wasabireplica/replica_test.go
+++ b/internal/wasabireplica/replica_test.go
@@ -141,7 +141,7 @@
 	It("is sent where another instance has sent its segment", func() {
 		g := newRig(5)
 		first, _ := g.place(long(7))
-		_, segments := g.placer.TakeNews(g.now)
+		_, segments := g.placer.TakeUpdates(g.now)
 		other := newRig(5)
 		other.observe(wasabiridge.PeerPlaced{From: "i2", Segments: segments})
 		second, _ := other.place(long(7))
--- a/internal/wasabireplica/updates.go
+++ b/internal/wasabireplica/updates.go
@@ -27,9 +27,9 @@
 	u.segments = append(u.segments, p)
 }
 
-// TakeNews returns the state updates to send to the other instances, and clears them.
+// TakeUpdates returns the state updates to send to the other instances, and clears them.
 // It leaves out the loads of replicas that have not changed since the last call.
-func (p *Placer) TakeNews(now wasabiridge.Millis) ([]wasabiridge.LoadUpdate, []wasabiridge.SegmentUpdate) {
+func (p *Placer) TakeUpdates(now wasabiridge.Millis) ([]wasabiridge.LoadUpdate, []wasabiridge.SegmentUpdate) {
 	segments := p.peerUpdates.segments
 	p.peerUpdates.segments = nil
 	var loads []wasabiridge.LoadUpdate
