--- a/internal/wasabidaemon/components.go
+++ b/internal/wasabidaemon/components.go
@@ -66,7 +66,7 @@
 	quota    *wasabiquota.Controller
 	outcomes *wasabioutcome.Recorder
 	config   *wasabiconfig.Controller
-	rollouts *wasabirollout.Keeper
+	rollouts *wasabirollout.Controller
 	peers    peers
 	book     *wasabiaddress.Selector
 	gateway  *wasabigateway.Gateway
--- a/internal/wasabirollout/controller.go
+++ b/internal/wasabirollout/controller.go
@@ -144,7 +144,7 @@
 	return f.lastList >= c.requiredList
 }
 
-func (f *controller) calls(id wasabiridge.PoolID, effects []courseEffect) {
+func (f *controller) calls(id wasabiridge.PoolID, effects []reconcilerEffect) {
 	for _, e := range effects {
 		f.effects = append(f.effects, callEngine{Pool: id, Call: e})
 	}
@@ -157,7 +157,7 @@
 	}
 	grant := e.Grant
 	if !f.hasCurrentRow(now, c, grant) {
-		// The course must be notified of the end of its call, without a grant
+		// The reconciler must be notified of the end of its call, without a grant
 		// to send further orders.
 		grant = wasabilease.Grant{}
 	}
--- a/internal/wasabirollout/driver.go
+++ b/internal/wasabirollout/driver.go
@@ -47,11 +47,11 @@
 	return l
 }
 
-// replica is one engine of the pool with the course of orders and reads that
+// replica is one engine of the pool with the reconciler of orders and reads that
 // brings it to the weights of the rollout.
 type replica struct {
-	server wasabiridge.BackendServer
-	course *wasabiorder.Reconciler
+	server     wasabiridge.BackendServer
+	reconciler *wasabiorder.Reconciler
 }
 
 // driver advances one rollout. It is deterministic. It is not safe for
@@ -66,17 +66,17 @@
 	fencingSince wasabiridge.Millis
 	startAt      wasabiridge.Millis
 	lastLoad     wasabiridge.Millis
-	effects      []courseEffect
+	effects      []reconcilerEffect
 }
 
-// courseEvent is an event for the course of one replica.
-type courseEvent struct {
+// reconcilerEvent is an event for the reconciler of one replica.
+type reconcilerEvent struct {
 	Backend wasabiridge.BackendServerID
 	Event   wasabiorder.Event
 }
 
-// courseEffect is an effect that the course of one replica requests.
-type courseEffect struct {
+// reconcilerEffect is an effect that the reconciler of one replica requests.
+type reconcilerEffect struct {
 	Backend wasabiridge.BackendServerID
 	Effect  wasabiorder.Effect
 }
@@ -93,7 +93,7 @@
 }
 
 // setPool updates the replicas from the current configuration of the pool. The
-// course of a new replica starts; those of removed replicas are dropped.
+// reconciler of a new replica starts; those of removed replicas are dropped.
 func (d *driver) setPool(pool wasabiridge.Pool) {
 	before := d.byID
 	d.replicas, d.byID = nil, make(map[wasabiridge.BackendServerID]*replica)
@@ -104,7 +104,7 @@
 		r := before[server.ID]
 		if r == nil || r.server != server {
 			order := wasabiridge.EngineOrder{Model: d.rollout.Model, Adapter: d.rollout.Adapter, Weights: d.rollout.Weights}
-			r = &replica{server: server, course: wasabiorder.NewReconciler(server, order, d.limits.Order)}
+			r = &replica{server: server, reconciler: wasabiorder.NewReconciler(server, order, d.limits.Order)}
 		}
 		d.replicas = append(d.replicas, r)
 		d.byID[server.ID] = r
@@ -117,9 +117,9 @@
 	}
 }
 
-// tick advances all courses and returns the effects to execute. The result is
+// tick advances all reconcilers and returns the effects to execute. The result is
 // valid until the next call.
-func (d *driver) tick(now wasabiridge.Millis, g wasabilease.Grant) []courseEffect {
+func (d *driver) tick(now wasabiridge.Millis, g wasabilease.Grant) []reconcilerEffect {
 	d.effects = d.effects[:0]
 	if g.Fencing != d.fencing {
 		d.fencing, d.fencingSince = g.Fencing, now
@@ -131,7 +131,7 @@
 }
 
 // handle applies an event of one replica and returns the effects to execute.
-func (d *driver) handle(now wasabiridge.Millis, g wasabilease.Grant, e courseEvent) []courseEffect {
+func (d *driver) handle(now wasabiridge.Millis, g wasabilease.Grant, e reconcilerEvent) []reconcilerEffect {
 	d.effects = d.effects[:0]
 	if r := d.byID[e.Backend]; r != nil {
 		d.advance(now, g, r, e.Event)
@@ -143,26 +143,26 @@
 	// A result may change what the replica needs, so it is applied before the
 	// decision whether an order may be sent.
 	if _, ok := e.(wasabiorder.Ticked); !ok {
-		d.collect(now, r, r.course.Handle(now, g, false, e))
+		d.collect(now, r, r.reconciler.Handle(now, g, false, e))
 	}
-	d.collect(now, r, r.course.Handle(now, g, d.mayOrder(now, r), wasabiorder.Ticked{}))
+	d.collect(now, r, r.reconciler.Handle(now, g, d.mayOrder(now, r), wasabiorder.Ticked{}))
 }
 
 func (d *driver) collect(now wasabiridge.Millis, r *replica, effects []wasabiorder.Effect) {
 	for _, effect := range effects {
-		if _, ok := effect.(wasabiorder.SendOrder); ok && !r.course.AtTarget() {
+		if _, ok := effect.(wasabiorder.SendOrder); ok && !r.reconciler.AtTarget() {
 			d.lastLoad = now
 		}
-		d.effects = append(d.effects, courseEffect{Backend: r.server.ID, Effect: effect})
+		d.effects = append(d.effects, reconcilerEffect{Backend: r.server.ID, Effect: effect})
 	}
 }
 
 // mayOrder reports whether an order may be sent to the replica now.
 func (d *driver) mayOrder(now wasabiridge.Millis, r *replica) bool {
-	if d.rollout.State != stateRunning || now < d.startAt || r.course.Status() != wasabiorder.Waiting {
+	if d.rollout.State != stateRunning || now < d.startAt || r.reconciler.Status() != wasabiorder.Waiting {
 		return false
 	}
-	if r.course.AtTarget() {
+	if r.reconciler.AtTarget() {
 		return true
 	}
 	c := d.count(now)
@@ -183,23 +183,23 @@
 func (d *driver) count(now wasabiridge.Millis) counts {
 	var c counts
 	for _, r := range d.replicas {
-		switch course := r.course; {
-		case course.MayLoad():
+		switch reconciler := r.reconciler; {
+		case reconciler.MayLoad():
 			c.loading++
-		case course.Known():
+		case reconciler.Known():
 			c.serving++
 		case now-d.fencingSince < wasabiorder.LoadTimeout(d.limits.Order):
 			c.loading++
 		}
-		switch r.course.Status() {
+		switch r.reconciler.Status() {
 		case wasabiorder.Reached, wasabiorder.Superseded:
 			c.done++
 		case wasabiorder.Fenced:
 			c.fenced++
 		}
-		if !r.course.Attempted() {
+		if !r.reconciler.Attempted() {
 			c.unread++
-		} else if !r.course.Known() {
+		} else if !r.reconciler.Known() {
 			c.unreachable++
 		}
 	}
--- a/internal/wasabirollout/driver_test.go
+++ b/internal/wasabirollout/driver_test.go
@@ -52,7 +52,7 @@
 	at     wasabiridge.Millis
 	order  int
 	number wasabiridge.FencingNumber
-	effect wasabirollout.CourseEffect
+	effect wasabirollout.ReconcilerEffect
 	// answer is set once the engine has executed the call.
 	answer wasabiorder.Event
 }
@@ -94,8 +94,8 @@
 	}
 }
 
-func (s *simulation) emit(effects []wasabirollout.CourseEffect) {
-	for _, e := range append([]wasabirollout.CourseEffect(nil), effects...) {
+func (s *simulation) emit(effects []wasabirollout.ReconcilerEffect) {
+	for _, e := range append([]wasabirollout.ReconcilerEffect(nil), effects...) {
 		fails := s.effects == s.failAt
 		s.effects++
 		if fails {
@@ -128,7 +128,7 @@
 			c.at, c.answer = s.now+callTime, s.execute(c)
 			s.calls = append(s.calls, c)
 		} else if s.driver != nil && c.number == s.grant.Fencing {
-			s.emit(s.driver.Handle(s.now, s.grant, wasabirollout.CourseEvent{Backend: c.effect.Backend, Event: c.answer}))
+			s.emit(s.driver.Handle(s.now, s.grant, wasabirollout.ReconcilerEvent{Backend: c.effect.Backend, Event: c.answer}))
 		}
 	}
 }
--- a/internal/wasabirollout/events.go
+++ b/internal/wasabirollout/events.go
@@ -26,7 +26,7 @@
 type callEnded struct {
 	Pool  wasabiridge.PoolID
 	Grant wasabilease.Grant
-	Event courseEvent
+	Event reconcilerEvent
 }
 
 // progressWritten reports the end of a writeProgress, successful or not.
@@ -51,10 +51,10 @@
 	Limit  int
 }
 
-// callEngine executes the effect of a course.
+// callEngine executes the effect of a reconciler.
 type callEngine struct {
 	Pool wasabiridge.PoolID
-	Call courseEffect
+	Call reconcilerEffect
 }
 
 // writeProgress commits a transaction, without retries.
--- a/internal/wasabirollout/export_test.go
+++ b/internal/wasabirollout/export_test.go
@@ -10,10 +10,10 @@
 
 // Unexported names for external tests.
 type (
-	Driver       = driver
-	CourseEvent  = courseEvent
-	CourseEffect = courseEffect
-	Record       = record
+	Driver           = driver
+	ReconcilerEvent  = reconcilerEvent
+	ReconcilerEffect = reconcilerEffect
+	Record           = record
 )
 
 var (
@@ -22,10 +22,10 @@
 	DecodeRecord = decodeRecord
 )
 
-func (d *driver) Tick(now wasabiridge.Millis, g wasabilease.Grant) []CourseEffect {
+func (d *driver) Tick(now wasabiridge.Millis, g wasabilease.Grant) []ReconcilerEffect {
 	return d.tick(now, g)
 }
-func (d *driver) Handle(now wasabiridge.Millis, g wasabilease.Grant, e CourseEvent) []CourseEffect {
+func (d *driver) Handle(now wasabiridge.Millis, g wasabilease.Grant, e ReconcilerEvent) []ReconcilerEffect {
 	return d.handle(now, g, e)
 }
 func (d *driver) Progress(now wasabiridge.Millis) wasabiridge.Rollout { return d.progress(now) }
@@ -47,4 +47,4 @@
 }
 
 // Send sends an order as the workers do.
-func (k *Keeper) Send(ctx context.Context, e wasabiorder.SendOrder) error { return k.send(ctx, e) }
+func (k *Controller) Send(ctx context.Context, e wasabiorder.SendOrder) error { return k.send(ctx, e) }
--- a/internal/wasabirollout/keeper.go
+++ b/internal/wasabirollout/keeper.go
@@ -30,9 +30,9 @@
 	Lease    wasabilease.Timing
 }
 
-// Keeper implements wasabiridge.RolloutController. It drives rollouts while Run is
+// Controller implements wasabiridge.RolloutController. It drives rollouts while Run is
 // running. It is safe for concurrent use.
-type Keeper struct {
+type Controller struct {
 	options Options
 	writer  *wasabitable.Writer
 	// rowChanges notifies the driving goroutine that a row has changed. It
@@ -41,12 +41,12 @@
 	rowChanges chan struct{}
 }
 
-var _ wasabiridge.RolloutController = (*Keeper)(nil)
+var _ wasabiridge.RolloutController = (*Controller)(nil)
 
 // New returns a Controller. It drives no rollouts until Run is called.
-func New(o Options) *Keeper {
+func New(o Options) *Controller {
 	name := fmt.Sprintf("%s/%d/rollouts", o.Self, o.Incarnation)
-	return &Keeper{
+	return &Controller{
 		options:    o,
 		writer:     wasabitable.NewWriter(o.Table, wasabitable.WriterOptions{Name: name}),
 		rowChanges: make(chan struct{}, 1),
@@ -57,7 +57,7 @@
 // unpublished weights, ErrConflict if a rollout is active on the pool, and
 // ErrOutcomeUnknown if the table did not answer; List then shows whether the
 // rollout was started.
-func (k *Keeper) Start(ctx context.Context, r wasabiridge.Rollout) (wasabiridge.Rollout, error) {
+func (k *Controller) Start(ctx context.Context, r wasabiridge.Rollout) (wasabiridge.Rollout, error) {
 	pool, ok := k.options.Config().Pool(r.Pool)
 	if !ok {
 		return wasabiridge.Rollout{}, wasabiridge.ErrInvalid.New("rollout: there is no pool %q", r.Pool)
@@ -101,7 +101,7 @@
 // "rollback". A rollback starts a rollout of the latest published version and
 // returns it. It returns ErrInvalid if no version newer than the current one is
 // published.
-func (k *Keeper) Apply(ctx context.Context, id, action string) (wasabiridge.Rollout, error) {
+func (k *Controller) Apply(ctx context.Context, id, action string) (wasabiridge.Rollout, error) {
 	row, current, err := k.find(ctx, id)
 	if err != nil {
 		return wasabiridge.Rollout{}, err
@@ -113,7 +113,7 @@
 	return next.Current, k.store(ctx, row, next)
 }
 
-func (k *Keeper) applyAction(ctx context.Context, r record, action string) (record, error) {
+func (k *Controller) applyAction(ctx context.Context, r record, action string) (record, error) {
 	switch {
 	case action == "pause" && r.Current.State == stateRunning:
 		r.Current.State, r.Current.Blocked = statePaused, blockedByPause
@@ -130,7 +130,7 @@
 	}
 }
 
-func (k *Keeper) applyRollback(ctx context.Context, r record) (record, error) {
+func (k *Controller) applyRollback(ctx context.Context, r record) (record, error) {
 	latest, err := k.options.Weights.Latest(ctx, r.Current.Model, r.Current.Adapter)
 	if err != nil {
 		return record{}, err
@@ -147,7 +147,7 @@
 }
 
 // List returns the current and past rollouts of all pools.
-func (k *Keeper) List(ctx context.Context) ([]wasabiridge.Rollout, error) {
+func (k *Controller) List(ctx context.Context) ([]wasabiridge.Rollout, error) {
 	rows, err := k.options.Table.List(ctx, rowPrefix, "", maxRollouts)
 	if err != nil {
 		return nil, err
@@ -163,7 +163,7 @@
 	return out, nil
 }
 
-func (k *Keeper) load(ctx context.Context, pool wasabiridge.PoolID) (wasabiridge.Row, record, error) {
+func (k *Controller) load(ctx context.Context, pool wasabiridge.PoolID) (wasabiridge.Row, record, error) {
 	row, err := k.options.Table.Get(ctx, rowKey(pool))
 	if err != nil || row.Revision == 0 {
 		return row, record{}, err
@@ -172,7 +172,7 @@
 	return row, r, err
 }
 
-func (k *Keeper) find(ctx context.Context, id string) (wasabiridge.Row, record, error) {
+func (k *Controller) find(ctx context.Context, id string) (wasabiridge.Row, record, error) {
 	rows, err := k.options.Table.List(ctx, rowPrefix, "", maxRollouts)
 	if err != nil {
 		return wasabiridge.Row{}, record{}, err
@@ -186,7 +186,7 @@
 	return wasabiridge.Row{}, record{}, wasabiridge.ErrNotFound.New("rollout: there is no current rollout %q", id)
 }
 
-func (k *Keeper) store(ctx context.Context, row wasabiridge.Row, r record) error {
+func (k *Controller) store(ctx context.Context, row wasabiridge.Row, r record) error {
 	change := wasabiridge.RowChange{Key: rowKey(r.Current.Pool), IfRevision: row.Revision, Value: encodeRecord(r)}
 	if err := k.writer.Commit(ctx, wasabitable.Write{Changes: []wasabiridge.RowChange{change}}); err != nil {
 		return err
@@ -199,7 +199,7 @@
 	return nil
 }
 
-func (k *Keeper) record(r wasabiridge.Rollout) {
+func (k *Controller) record(r wasabiridge.Rollout) {
 	if k.options.Recorder == nil {
 		return
 	}
--- a/internal/wasabirollout/keeper_test.go
+++ b/internal/wasabirollout/keeper_test.go
@@ -111,7 +111,7 @@
 
 // startInstance starts an instance and returns its Controller and a function that
 // stops it.
-func (s *cluster) startInstance(id wasabiridge.InstanceID) (*wasabirollout.Keeper, func()) {
+func (s *cluster) startInstance(id wasabiridge.InstanceID) (*wasabirollout.Controller, func()) {
 	s.incarnation++
 	k := wasabirollout.New(wasabirollout.Options{
 		Self: id, Incarnation: s.incarnation, Table: s.table, Clock: s.clock, Weights: s.weights, Engines: s.enginePool,
@@ -126,14 +126,14 @@
 	return k, func() { cancel(); <-done }
 }
 
-func (s *cluster) start(k *wasabirollout.Keeper) wasabiridge.Rollout {
+func (s *cluster) start(k *wasabirollout.Controller) wasabiridge.Rollout {
 	r, err := k.Start(context.Background(), wasabiridge.Rollout{Pool: "answers", Model: "large", Weights: 2})
 	s.Expect(err).NotTo(HaveOccurred())
 	s.Expect(r.State).To(Equal("running"))
 	return r
 }
 
-func (s *cluster) current(k *wasabirollout.Keeper) wasabiridge.Rollout {
+func (s *cluster) current(k *wasabirollout.Controller) wasabiridge.Rollout {
 	list, err := k.List(context.Background())
 	s.Expect(err).NotTo(HaveOccurred())
 	s.Expect(list).NotTo(BeEmpty())
@@ -160,7 +160,7 @@
 	s.Expect(errorx.IsOfType(err, want)).To(BeTrue(), "%v", err)
 }
 
-var keeperCases = map[string]func(s *cluster){
+var controllerCases = map[string]func(s *cluster){
 	// Guards against a second instance that acquires the lease when the first
 	// releases it, while its copy of the row still says that the rollout is
 	// running. It once sent orders to all engines again.
@@ -280,9 +280,9 @@
 }
 
 func TestRolloutsOfInstances(t *testing.T) {
-	for _, name := range wasabitest.Names(keeperCases) {
+	for _, name := range wasabitest.Names(controllerCases) {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { keeperCases[name](newCluster(t, 6)) })
+			synctest.Test(t, func(t *testing.T) { controllerCases[name](newCluster(t, 6)) })
 		})
 	}
 }
--- a/internal/wasabirollout/run.go
+++ b/internal/wasabirollout/run.go
@@ -36,7 +36,7 @@
 
 // Run drives rollouts until ctx is done. It returns after all goroutines that
 // it started have ended.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Controller) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	start := func(task func()) {
@@ -56,7 +56,7 @@
 }
 
 // decide runs the controller. It is the only goroutine that uses it.
-func (k *Keeper) decide(ctx context.Context, start func(func()), jobs chan<- controllerEffect, results <-chan controllerEvent) {
+func (k *Controller) decide(ctx context.Context, start func(func()), jobs chan<- controllerEffect, results <-chan controllerEvent) {
 	f := newController(k.options.Self, k.options.Incarnation, k.options.Limits)
 	contenders := make(map[wasabiridge.PoolID]*contender)
 	ticker := time.NewTicker(tickInterval)
@@ -102,7 +102,7 @@
 }
 
 // startContender starts a contender for the lease of a pool.
-func (k *Keeper) startContender(ctx context.Context, start func(func()), pool wasabiridge.PoolID) *contender {
+func (k *Controller) startContender(ctx context.Context, start func(func()), pool wasabiridge.PoolID) *contender {
 	o := k.options
 	lease := wasabilease.New(wasabilease.Options{
 		Name: rowPrefix + string(pool), Self: o.Self, Incarnation: o.Incarnation, Table: o.Table,
@@ -114,7 +114,7 @@
 
 // grants returns the leases that this instance holds, and updates for which of
 // them it contends.
-func (k *Keeper) grants(contenders map[wasabiridge.PoolID]*contender) map[wasabiridge.PoolID]wasabilease.Grant {
+func (k *Controller) grants(contenders map[wasabiridge.PoolID]*contender) map[wasabiridge.PoolID]wasabilease.Grant {
 	grants := make(map[wasabiridge.PoolID]wasabilease.Grant, len(contenders))
 	var members []wasabiridge.InstanceID
 	if k.options.Members != nil {
@@ -138,7 +138,7 @@
 	return wasabilease.Grant{}
 }
 
-func (k *Keeper) work(ctx context.Context, jobs <-chan controllerEffect, results chan<- controllerEvent) {
+func (k *Controller) work(ctx context.Context, jobs <-chan controllerEffect, results chan<- controllerEvent) {
 	for {
 		var result controllerEvent
 		select {
@@ -155,10 +155,10 @@
 	}
 }
 
-func (k *Keeper) execute(ctx context.Context, job controllerEffect) controllerEvent {
+func (k *Controller) execute(ctx context.Context, job controllerEffect) controllerEvent {
 	switch j := job.(type) {
 	case callEngine:
-		return callEnded{Pool: j.Pool, Event: courseEvent{Backend: j.Call.Backend, Event: k.call(ctx, j.Call.Effect)}}
+		return callEnded{Pool: j.Pool, Event: reconcilerEvent{Backend: j.Call.Backend, Event: k.call(ctx, j.Call.Effect)}}
 	case writeProgress:
 		ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 		defer cancel()
@@ -175,8 +175,8 @@
 	}
 }
 
-// call executes the effect of a course.
-func (k *Keeper) call(ctx context.Context, e wasabiorder.Effect) wasabiorder.Event {
+// call executes the effect of a reconciler.
+func (k *Controller) call(ctx context.Context, e wasabiorder.Effect) wasabiorder.Event {
 	switch e := e.(type) {
 	case wasabiorder.SendOrder:
 		return wasabiorder.OrderResult{Fencing: e.Order.Fencing, Err: k.send(ctx, e)}
@@ -191,7 +191,7 @@
 
 // send sends an order, unless its time has expired before it could be sent. The
 // lease covers an order only until then.
-func (k *Keeper) send(ctx context.Context, e wasabiorder.SendOrder) error {
+func (k *Controller) send(ctx context.Context, e wasabiorder.SendOrder) error {
 	remaining := e.Before - k.options.Clock.Now()
 	if remaining <= 0 {
 		return wasabiridge.ErrUnavailable.New("rollout: order to %s expired before it was sent", e.Server.ID)
