--- a/internal/wasabigateway/serve.go
+++ b/internal/wasabigateway/serve.go
@@ -90,7 +90,7 @@
 // match finds the rule of the request and checks that the client account may
 // use its pool. A fallback pool that the account may not use is removed.
 func match(r *http.Request, c *call) *failure {
-	rule, ok := wasabirule.Match(*c.config, wasabirule.View{
+	rule, ok := wasabirule.Match(*c.config, wasabirule.RequestView{
 		Account:      c.account.ID,
 		Method:       r.Method,
 		Path:         r.URL.Path,
--- a/internal/wasabioperator/handlers.go
+++ b/internal/wasabioperator/handlers.go
@@ -123,7 +123,7 @@
 // Explain returns which rule of a configuration applies to a request, and for each
 // rule why it matches or not.
 func Explain(cfg wasabiridge.Config, q ExplainRequest) ExplainResponse {
-	view := wasabirule.View{
+	view := wasabirule.RequestView{
 		Account: q.Account, Method: q.Method, Path: q.Path, Model: q.Model,
 		PromptTokens: q.PromptTokens, Header: headersOf(q.Headers),
 	}
--- a/internal/wasabirelay/index.go
+++ b/internal/wasabirelay/index.go
@@ -43,7 +43,7 @@
 	if !ok {
 		rules = t.any
 	}
-	return wasabirule.Match(rules, wasabirule.View{Host: host, Path: path})
+	return wasabirule.Match(rules, wasabirule.RequestView{Host: host, Path: path})
 }
 
 // newRuleTable groups the rules by host and keeps their order within each group. Rules
--- a/internal/wasabirule/rule.go
+++ b/internal/wasabirule/rule.go
@@ -27,8 +27,8 @@
 // matches.
 const PriorityClassHeader = "X-Priority-Class"
 
-// View holds the properties of a request that rules match on.
-type View struct {
+// RequestView holds the properties of a request that rules match on.
+type RequestView struct {
 	Account wasabiridge.ClientAccountID
 	Method  string
 	Host    string
@@ -41,7 +41,7 @@
 	Header func(name string) []string
 }
 
-func (v View) header(name string) []string {
+func (v RequestView) header(name string) []string {
 	if v.Header == nil {
 		return nil
 	}
@@ -50,7 +50,7 @@
 
 // Match returns the first rule whose conditions all hold. The result is false when no
 // rule matches; such a request is refused.
-func Match(cfg wasabiridge.Config, v View) (wasabiridge.Rule, bool) {
+func Match(cfg wasabiridge.Config, v RequestView) (wasabiridge.Rule, bool) {
 	for _, rule := range cfg.Rules {
 		if mismatch(rule.When, v) == "" {
 			return rule, true
@@ -70,7 +70,7 @@
 
 // Explain returns an explanation for each rule up to and including the first that
 // matches.
-func Explain(cfg wasabiridge.Config, v View) []Explanation {
+func Explain(cfg wasabiridge.Config, v RequestView) []Explanation {
 	var lines []Explanation
 	for _, rule := range cfg.Rules {
 		why := mismatch(rule.When, v)
@@ -84,7 +84,7 @@
 
 // mismatch describes the first condition that does not hold. It returns the empty
 // string when all hold.
-func mismatch(c wasabiridge.Condition, v View) string {
+func mismatch(c wasabiridge.Condition, v RequestView) string {
 	switch {
 	case len(c.Accounts) > 0 && !hasAccount(c.Accounts, v.Account):
 		return fmt.Sprintf("client account is %q, not one of %q", v.Account, c.Accounts)
--- a/internal/wasabirule/rule_test.go
+++ b/internal/wasabirule/rule_test.go
@@ -35,13 +35,13 @@
 
 var _ = Describe("Match", func() {
 	cases := map[string]struct {
-		view wasabirule.View
+		view wasabirule.RequestView
 		want string
 	}{
-		"prefix and method": {wasabirule.View{Method: "post", Path: "/bookings/7"}, "book"},
-		"long prompt":       {wasabirule.View{Path: "/v1/completions", PromptTokens: 1000}, "long"},
-		"short prompt":      {wasabirule.View{Path: "/v1/completions", PromptTokens: 999}, ""},
-		"headers": {wasabirule.View{Path: "/x", Header: func(name string) []string {
+		"prefix and method": {wasabirule.RequestView{Method: "post", Path: "/bookings/7"}, "book"},
+		"long prompt":       {wasabirule.RequestView{Path: "/v1/completions", PromptTokens: 1000}, "long"},
+		"short prompt":      {wasabirule.RequestView{Path: "/v1/completions", PromptTokens: 999}, ""},
+		"headers": {wasabirule.RequestView{Path: "/x", Header: func(name string) []string {
 			return map[string][]string{"X-Van": {"7"}, wasabirule.PriorityClassHeader: {"urgent"}}[name]
 		}}, "vip"},
 	}
