--- a/cmd/wasabirouter/process_test.go
+++ b/cmd/wasabirouter/process_test.go
@@ -40,7 +40,7 @@
 		Expect(ok).To(BeTrue())
 		keys := map[string]string{"key of the caller": "in-flight", "ticket of the router": located.Ticket}
 		for _, name := range wasabitest.Names(keys) {
-			r.service.Inject(wasabiserver.Fault{Point: wasabiserver.BeforeHeaders, Manner: wasabiserver.Stall})
+			r.service.Inject(wasabiserver.Fault{Point: wasabiserver.BeforeHeaders, Kind: wasabiserver.Stall})
 			go r.caller(0).book(victim.url(), keys[name])
 			Eventually(func() int { return r.service.Executions(keys[name]) }, waitTimeout).Should(Equal(1), name)
 		}
@@ -117,7 +117,7 @@
 		Eventually(func() *router { paused = r.driver(); return paused }, waitTimeout).ShouldNot(BeNil())
 		Eventually(func() int { return weights(r.engines)[2] }, waitTimeout).Should(BeNumerically(">", 0))
 		c := r.caller(0)
-		r.service.Inject(wasabiserver.Fault{Point: wasabiserver.BeforeHeaders, Manner: wasabiserver.Stall})
+		r.service.Inject(wasabiserver.Fault{Point: wasabiserver.BeforeHeaders, Kind: wasabiserver.Stall})
 		go c.book(paused.url(), "under way")
 		Eventually(func() int { return r.service.Executions("under way") }, waitTimeout).Should(Equal(1))
 		streamed, started := make(chan reply, 1), make(chan struct{})
--- a/internal/wasabibackend/failure_test.go
+++ b/internal/wasabibackend/failure_test.go
@@ -43,16 +43,16 @@
 	}
 	cases := map[string]want{
 		"before headers":             {wasabiserver.Fault{Point: wasabiserver.BeforeHeaders}, 0, false},
-		"before headers, as empty":   {wasabiserver.Fault{Point: wasabiserver.BeforeHeaders, Manner: wasabiserver.CleanEnd}, 0, false},
+		"before headers, as empty":   {wasabiserver.Fault{Point: wasabiserver.BeforeHeaders, Kind: wasabiserver.TruncatedEnd}, 0, false},
 		"after headers":              {wasabiserver.Fault{Point: wasabiserver.AfterHeaders}, 0, true},
 		"mid-stream":                 {wasabiserver.Fault{Point: wasabiserver.AtToken, Token: 4}, 4, true},
 		"before the end marker":      {wasabiserver.Fault{Point: wasabiserver.BeforeEndMarker}, 10, true},
-		"cleanly after headers":      {wasabiserver.Fault{Point: wasabiserver.AfterHeaders, Manner: wasabiserver.CleanEnd}, 0, true},
-		"cleanly mid-stream":         {wasabiserver.Fault{Point: wasabiserver.AtToken, Token: 4, Manner: wasabiserver.CleanEnd}, 4, true},
-		"cleanly before the marker":  {wasabiserver.Fault{Point: wasabiserver.BeforeEndMarker, Manner: wasabiserver.CleanEnd}, 10, true},
-		"with broken chunking":       {wasabiserver.Fault{Point: wasabiserver.AtToken, Token: 4, Manner: wasabiserver.BrokenChunking}, 4, true},
-		"with an event without end":  {wasabiserver.Fault{Point: wasabiserver.AtToken, Token: 4, Manner: wasabiserver.OversizeLine}, 4, true},
-		"with broken chunking later": {wasabiserver.Fault{Point: wasabiserver.BeforeEndMarker, Manner: wasabiserver.BrokenChunking}, 10, true},
+		"cleanly after headers":      {wasabiserver.Fault{Point: wasabiserver.AfterHeaders, Kind: wasabiserver.TruncatedEnd}, 0, true},
+		"cleanly mid-stream":         {wasabiserver.Fault{Point: wasabiserver.AtToken, Token: 4, Kind: wasabiserver.TruncatedEnd}, 4, true},
+		"cleanly before the marker":  {wasabiserver.Fault{Point: wasabiserver.BeforeEndMarker, Kind: wasabiserver.TruncatedEnd}, 10, true},
+		"with broken chunking":       {wasabiserver.Fault{Point: wasabiserver.AtToken, Token: 4, Kind: wasabiserver.BrokenChunking}, 4, true},
+		"with an event without end":  {wasabiserver.Fault{Point: wasabiserver.AtToken, Token: 4, Kind: wasabiserver.OversizeLine}, 4, true},
+		"with broken chunking later": {wasabiserver.Fault{Point: wasabiserver.BeforeEndMarker, Kind: wasabiserver.BrokenChunking}, 10, true},
 	}
 	for _, name := range slices.Sorted(maps.Keys(cases)) {
 		w := cases[name]
@@ -72,7 +72,7 @@
 	// connection open.
 	It("is detected by the time-out between events when its connection stays open", func() {
 		e := newEngine(wasabiengine.Options{})
-		e.Inject(wasabiserver.Fault{Point: wasabiserver.AtToken, Token: 4, Manner: wasabiserver.Stall})
+		e.Inject(wasabiserver.Fault{Point: wasabiserver.AtToken, Token: 4, Kind: wasabiserver.Stall})
 		ended, _ := run(newRunner(wasabibackend.Options{StreamIdleTimeout: wasabiridge.Second}), streamOf(e.Backend()))
 		Expect(ended.Result).To(Equal(wasabiridge.AttemptBroken), "ended by the time-out, not cancelled by the caller")
 		Expect(ended.Delivered).To(Equal(4))
@@ -95,7 +95,7 @@
 	// caller would take the truncated answer for a complete one.
 	It("is detected for a plain service that sends no content length", func() {
 		service := newService()
-		service.Inject(wasabiserver.Fault{Point: wasabiserver.AfterHeaders, Manner: wasabiserver.CleanEnd})
+		service.Inject(wasabiserver.Fault{Point: wasabiserver.AfterHeaders, Kind: wasabiserver.TruncatedEnd})
 		ended, _ := run(newRunner(wasabibackend.Options{}), bookingOf(service.Backend(), "visit"))
 		Expect(ended.Result).To(Equal(wasabiridge.AttemptBroken))
 	})
--- a/internal/wasabibackend/resume_test.go
+++ b/internal/wasabibackend/resume_test.go
@@ -64,12 +64,12 @@
 
 func drawFault(t *rapid.T) wasabiserver.Fault {
 	return wasabiserver.Fault{
-		Point: rapid.SampledFrom([]wasabiserver.Point{
+		Point: rapid.SampledFrom([]wasabiserver.FaultPoint{
 			wasabiserver.BeforeHeaders, wasabiserver.AfterHeaders, wasabiserver.AtToken,
 			wasabiserver.AtToken, wasabiserver.AtToken, wasabiserver.BeforeEndMarker,
 		}).Draw(t, "point"),
-		Manner: rapid.SampledFrom([]wasabiserver.Manner{
-			wasabiserver.Abort, wasabiserver.CleanEnd, wasabiserver.BrokenChunking,
+		Kind: rapid.SampledFrom([]wasabiserver.FaultKind{
+			wasabiserver.Abort, wasabiserver.TruncatedEnd, wasabiserver.BrokenChunking,
 		}).Draw(t, "manner"),
 		Token: rapid.IntRange(0, 12).Draw(t, "token"),
 	}
--- a/internal/wasabibackend/send_test.go
+++ b/internal/wasabibackend/send_test.go
@@ -19,7 +19,7 @@
 // abortAfterRun makes the service run a booking and then close the connection
 // without sending any part of the answer, as a server that crashes at that
 // moment does.
-var abortAfterRun = wasabiserver.Fault{Point: wasabiserver.BeforeHeaders, Manner: wasabiserver.Abort}
+var abortAfterRun = wasabiserver.Fault{Point: wasabiserver.BeforeHeaders, Kind: wasabiserver.Abort}
 
 var _ = Describe("non-idempotent attempts", func() {
 	// Demonstrates the fault that the runner must avoid. The transport holds an
--- a/internal/wasabidaemon/openai_test.go
+++ b/internal/wasabidaemon/openai_test.go
@@ -70,7 +70,7 @@
 	// The engine closes its answer in an orderly way before the end marker. The
 	// caller must not take the truncated answer for a complete one.
 	It("receives an error when a stream is truncated", func() {
-		engine.Inject(wasabiserver.Fault{Point: wasabiserver.AtToken, Token: 7, Manner: wasabiserver.CleanEnd})
+		engine.Inject(wasabiserver.Fault{Point: wasabiserver.AtToken, Token: 7, Kind: wasabiserver.TruncatedEnd})
 		stream := client.Chat.Completions.NewStreaming(context.Background(), params)
 		tokens := 0
 		for stream.Next() {
--- a/internal/wasabiengine/handler.go
+++ b/internal/wasabiengine/handler.go
@@ -99,12 +99,12 @@
 		w.Header().Set(wasabiridge.HeaderResumedFrom, strconv.Itoa(body.ResumeFrom))
 	}
 	s := &response{
-		engine: e, w: w, r: r, format: f, body: body, fault: e.Take(), pending: pending,
+		engine: e, w: w, r: r, format: f, body: body, fault: e.Next(), pending: pending,
 		generator: newTokenGenerator(body.text(), weights),
 		id:        fmt.Sprintf("cmpl-%d", e.served.Add(1)),
 	}
-	if s.fault.Strikes(wasabiserver.BeforeHeaders, 0) {
-		s.fault.Perform(w, r)
+	if s.fault.OccursAt(wasabiserver.BeforeHeaders, 0) {
+		s.fault.Execute(w, r)
 		return
 	}
 	if body.Stream {
--- a/internal/wasabiengine/stream.go
+++ b/internal/wasabiengine/stream.go
@@ -115,15 +115,15 @@
 	s.w.Header().Set("Content-Type", "text/event-stream")
 	s.w.WriteHeader(http.StatusOK)
 	s.flush()
-	if s.fault.Strikes(wasabiserver.AfterHeaders, 0) {
-		s.fault.Perform(s.w, s.r)
+	if s.fault.OccursAt(wasabiserver.AfterHeaders, 0) {
+		s.fault.Execute(s.w, s.r)
 		return
 	}
 	if !s.awaitFirstToken() || !s.writeTokens() {
 		return
 	}
-	if s.fault.Strikes(wasabiserver.BeforeEndMarker, 0) {
-		s.fault.Perform(s.w, s.r)
+	if s.fault.OccursAt(wasabiserver.BeforeEndMarker, 0) {
+		s.fault.Execute(s.w, s.r)
 		return
 	}
 	if s.body.StreamOptions.IncludeUsage {
@@ -145,8 +145,8 @@
 			return false
 		}
 		for ; i < ready; i++ {
-			if s.fault.Strikes(wasabiserver.AtToken, i) {
-				s.fault.Perform(s.w, s.r)
+			if s.fault.OccursAt(wasabiserver.AtToken, i) {
+				s.fault.Execute(s.w, s.r)
 				return false
 			}
 			if s.r.Context().Err() != nil {
--- a/internal/wasabiserver/fault.go
+++ b/internal/wasabiserver/fault.go
@@ -6,14 +6,14 @@
 	"sync"
 )
 
-// Point is the point in an answer at which a fault occurs.
-type Point uint8
+// FaultPoint is the point in an answer at which a fault occurs.
+type FaultPoint uint8
 
 // Points in an answer, in the order in which they are reached.
 const (
 	// BeforeHeaders is after the request was read and run, before the header of
 	// the answer is sent.
-	BeforeHeaders Point = iota
+	BeforeHeaders FaultPoint = iota
 	// AfterHeaders is after the header, before the first token or byte of the
 	// body.
 	AfterHeaders
@@ -23,15 +23,15 @@
 	BeforeEndMarker
 )
 
-// Manner is the kind of a fault.
-type Manner uint8
+// FaultKind is the kind of a fault.
+type FaultKind uint8
 
 // Kinds of faults.
 const (
 	// Abort closes the connection without finishing the answer.
-	Abort Manner = iota
-	// CleanEnd ends the truncated answer as if it were complete.
-	CleanEnd
+	Abort FaultKind = iota
+	// TruncatedEnd ends the truncated answer as if it were complete.
+	TruncatedEnd
 	// BrokenChunking writes bytes that are not a valid HTTP chunk.
 	BrokenChunking
 	// OversizeLine writes one event line of 4 MiB.
@@ -44,25 +44,25 @@
 
 // Fault is an injected fault in one answer. It is an immutable value.
 type Fault struct {
-	Point  Point
-	Manner Manner
+	Point FaultPoint
+	Kind  FaultKind
 	// Token is the index of the output token before which an AtToken fault
 	// occurs, counted from zero at the start of the complete answer.
 	Token int
 }
 
-// Strikes reports whether the fault occurs at a point of the answer; token is the
+// OccursAt reports whether the fault occurs at a point of the answer; token is the
 // index of the next token and only used with AtToken. A nil fault never occurs.
-func (f *Fault) Strikes(p Point, token int) bool {
+func (f *Fault) OccursAt(p FaultPoint, token int) bool {
 	return f != nil && f.Point == p && (p != AtToken || f.Token == token)
 }
 
-// Perform executes the fault in an HTTP handler. It returns only for TruncatedEnd,
+// Execute executes the fault in an HTTP handler. It returns only for TruncatedEnd,
 // after which the handler must return; for the other kinds it panics with
 // http.ErrAbortHandler to abort the handler.
-func (f *Fault) Perform(w http.ResponseWriter, r *http.Request) {
-	switch f.Manner {
-	case CleanEnd:
+func (f *Fault) Execute(w http.ResponseWriter, r *http.Request) {
+	switch f.Kind {
+	case TruncatedEnd:
 		return
 	case Stall:
 		<-r.Context().Done()
@@ -105,8 +105,8 @@
 	l.queue = append(l.queue, f...)
 }
 
-// Take removes and returns the first fault of the queue, or nil if it is empty.
-func (l *Faults) Take() *Fault {
+// Next removes and returns the first fault of the queue, or nil if it is empty.
+func (l *Faults) Next() *Fault {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.queue) == 0 {
--- a/internal/wasabiservice/service.go
+++ b/internal/wasabiservice/service.go
@@ -138,20 +138,20 @@
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	fault := s.Take()
-	if fault.Strikes(wasabiserver.BeforeHeaders, 0) {
-		fault.Perform(w, r)
+	fault := s.Next()
+	if fault.OccursAt(wasabiserver.BeforeHeaders, 0) {
+		fault.Execute(w, r)
 	}
-	if fault.Strikes(wasabiserver.AfterHeaders, 0) && fault.Manner == wasabiserver.CleanEnd {
+	if fault.OccursAt(wasabiserver.AfterHeaders, 0) && fault.Kind == wasabiserver.TruncatedEnd {
 		endByClose(w, data[:len(data)/2])
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	if fault.Strikes(wasabiserver.AfterHeaders, 0) {
+	if fault.OccursAt(wasabiserver.AfterHeaders, 0) {
 		_, _ = w.Write(data[:len(data)/2])
 		_ = http.NewResponseController(w).Flush()
-		fault.Perform(w, r)
+		fault.Execute(w, r)
 	}
 	_, _ = w.Write(data)
 }
