--- a/internal/wasabibackend/send_test.go
+++ b/internal/wasabibackend/send_test.go
@@ -74,7 +74,7 @@
 
 	It("did not run when the service refuses them with the not_run disposition", func() {
 		service := newService()
-		service.Refuse(1)
+		service.RefuseNext(1)
 		ended, s := run(newRunner(wasabibackend.Options{}), bookingOf(service.Backend(), "visit"))
 		Expect(ended.Result).To(Equal(wasabiridge.AttemptNotRun))
 		Expect(ended.Overloaded).To(BeTrue())
--- a/internal/wasabiservice/service.go
+++ b/internal/wasabiservice/service.go
@@ -82,9 +82,9 @@
 	return s.total
 }
 
-// Refuse makes the service refuse the next count bookings without running them,
+// RefuseNext makes the service refuse the next count bookings without running them,
 // with status 503 and the disposition not_run.
-func (s *Service) Refuse(count int) {
+func (s *Service) RefuseNext(count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refusals = count
