--- a/internal/wasabidaemon/components.go
+++ b/internal/wasabidaemon/components.go
@@ -164,7 +164,7 @@
 		Decider:  core,
 		Clock:    d.options.Clock,
 		Recorder: d.components.timeline,
-		RingSize: d.options.Settings.Limits.Ring,
+		RingSize: d.options.Settings.Limits.RingSize,
 	})
 }
 
--- a/internal/wasabinode/config.go
+++ b/internal/wasabinode/config.go
@@ -79,7 +79,7 @@
 	if v.Observed {
 		return v.At
 	}
-	return v.At - (n.bounds.WeightsLife - weightsMargin) + unknownAgeGrace
+	return v.At - (n.bounds.OldWeightsLifetime - weightsMargin) + unknownAgeGrace
 }
 
 // withBackends returns the configuration with each pool's backend servers,
--- a/internal/wasabinode/lifecycle.go
+++ b/internal/wasabinode/lifecycle.go
@@ -81,9 +81,9 @@
 		n.log.Error().Msg("Settings not applied: they have no section hosted.")
 		return
 	}
-	terms := s.Hosted.Bounds.Terms()
+	terms := s.Hosted.Bounds.Resolve()
 	n.terms.Store(&terms)
-	n.log.Info().Int64("key_life_ms", int64(terms.KeyLife)).Int64("config_life_ms", int64(terms.ConfigLife)).
+	n.log.Info().Int64("key_life_ms", int64(terms.RevokedKeyLifetime)).Int64("config_life_ms", int64(terms.ConfigPropagationTime)).
 		Bool("restart_needed", s.Caller.Listen != n.options.Settings.Caller.Listen || s.Hosted.Store != n.options.Settings.Hosted.Store).
 		Msg("Settings reloaded.")
 }
@@ -98,7 +98,7 @@
 		n.members.Leave(context.Background())
 		n.timeline.Record(wasabiridge.TimelineEvent{Kind: wasabiridge.EventLifecycle, Cause: "leaving"})
 		n.log.Info().Int("open", n.relay.Open()).Msg("Leaving; still accepting.")
-		time.AfterFunc(acceptFor(n.bounds.Grace).Duration(), func() { close(n.drained) })
+		time.AfterFunc(acceptFor(n.bounds.ShutdownGrace).Duration(), func() { close(n.drained) })
 	})
 }
 
@@ -114,7 +114,7 @@
 // finish waits for the open requests within the grace period and then closes the
 // node.
 func (n *Node) finish() error {
-	remaining := n.bounds.Grace - acceptFor(n.bounds.Grace) - endMargin
+	remaining := n.bounds.ShutdownGrace - acceptFor(n.bounds.ShutdownGrace) - endMargin
 	ctx, cancel := context.WithTimeout(context.Background(), remaining.Duration())
 	defer cancel()
 	var err error
--- a/internal/wasabinode/node.go
+++ b/internal/wasabinode/node.go
@@ -125,10 +125,10 @@
 // Node is one router instance. It is safe for concurrent use.
 type Node struct {
 	options Options
-	bounds  wasabisettings.Terms
+	bounds  wasabisettings.ResolvedBounds
 	// terms are the bounds of the last settings that were applied. Bounds that are
 	// used only at the start are read from bounds.
-	terms       atomic.Pointer[wasabisettings.Terms]
+	terms       atomic.Pointer[wasabisettings.ResolvedBounds]
 	log         zerolog.Logger
 	incarnation wasabiridge.Incarnation
 	timeline    *wasabitimeline.Log
@@ -169,7 +169,7 @@
 	}
 	n := &Node{
 		options:        o,
-		bounds:         o.Settings.Hosted.Bounds.Terms(),
+		bounds:         o.Settings.Hosted.Bounds.Resolve(),
 		incarnation:    wasabiridge.Incarnation(o.Clock.Now()),
 		drained:        make(chan struct{}),
 		placed:         make(chan struct{}, 1),
@@ -196,7 +196,7 @@
 	n.limits = serverLimits{log: wasabilog.Part(n.log, "limit"), byServer: map[wasabiridge.BackendServerID]serverLimit{}}
 	n.timeline = wasabitimeline.New(wasabitimeline.Options{Instance: s.Instance, Clock: o.Clock})
 	n.placer = wasabireplica.New(wasabireplica.Options{
-		Seed: seed, Self: s.Instance, Zone: s.Zone, WeightsDeadline: n.bounds.WeightsLife - weightsMargin,
+		Seed: seed, Self: s.Instance, Zone: s.Zone, WeightsDeadline: n.bounds.OldWeightsLifetime - weightsMargin,
 		RetryRatio: n.bounds.RetryRatio, RetrySlack: n.bounds.RetrySlack, RetryWindow: n.bounds.RetryWindow,
 	})
 	n.quarantine = wasabiquarantine.NewController(wasabiquarantine.ControllerOptions{
@@ -232,17 +232,17 @@
 	n.upgrade = wasabiupgrade.NewKeeper(wasabiupgrade.Options{
 		Self: s.Instance, Address: s.Peer.Address, Incarnation: n.incarnation, Clock: o.Clock, Table: o.Platform.Table, Engines: o.Platform.Engines,
 		Recorder: n.timeline, Catalog: n.wantedWeights, Rank: n.rank, Leaving: n.leaving.Load, Tell: n.sendBackoffs, Log: wasabilog.Part(n.log, "upgrade"),
-		Timing: wasabiupgrade.Timing{Turn: n.bounds.Turn},
+		Timing: wasabiupgrade.Timing{Turn: n.bounds.LeaseTerm},
 	})
 	n.relay = wasabirelay.New(wasabirelay.Options{
 		Instance: s.Instance, Clock: o.Clock, Log: wasabilog.Part(n.log, "relay"), Loop: n.loop,
 		Runner: o.Platform.Runner, Protocol: o.Platform.Protocol, View: n.view,
-		MaxKeyAge:  func() wasabiridge.Millis { return n.terms.Load().KeyLife - keyMargin },
-		MaxDenyAge: func() wasabiridge.Millis { return n.terms.Load().ConfigLife * denyPercent / 100 },
+		MaxKeyAge:  func() wasabiridge.Millis { return n.terms.Load().RevokedKeyLifetime - keyMargin },
+		MaxDenyAge: func() wasabiridge.Millis { return n.terms.Load().ConfigPropagationTime * denyPercent / 100 },
 		Leaving:    n.leaving.Load, Mover: o.Platform.Migrator, Hasher: wasabifingerprint.New([]byte(openPeerKey)),
 	})
 	n.book = wasabiaddress.New(wasabiaddress.Options{
-		Self: n.self(), Members: n.members.Members, Lifetime: wasabiridge.Millis(addressShare * float64(n.bounds.AddressLife)),
+		Self: n.self(), Members: n.members.Members, Lifetime: wasabiridge.Millis(addressShare * float64(n.bounds.AddressLifetime)),
 	})
 	return n.listen()
 }
--- a/internal/wasabinode/node_test.go
+++ b/internal/wasabinode/node_test.go
@@ -438,7 +438,7 @@
 		hosted *wasabisettings.Hosted
 		want   string
 	}{
-		"with bounds":  {&wasabisettings.Hosted{Bounds: wasabisettings.Bounds{KeyLife: 9000}}, `"key_life_ms":9000`},
+		"with bounds":  {&wasabisettings.Hosted{Bounds: wasabisettings.Bounds{RevokedKeyLifetime: 9000}}, `"key_life_ms":9000`},
 		"without them": {nil, "not applied"},
 	}
 	for _, name := range slices.Sorted(maps.Keys(reloads)) {
--- a/internal/wasabisettings/check.go
+++ b/internal/wasabisettings/check.go
@@ -35,7 +35,7 @@
 		c.required(fmt.Sprintf("/peer/seeds/%d/address", i), seed.Address)
 		c.address(fmt.Sprintf("/peer/seeds/%d/address", i), seed.Address)
 	}
-	if s.Peer.Listen != "" && !s.Peer.Open {
+	if s.Peer.Listen != "" && !s.Peer.Trusted {
 		c.required("/peer/secret_file", s.Peer.SecretFile)
 	}
 	c.platform(s.Platform)
@@ -140,7 +140,7 @@
 	c.nonNegative("/limits/header_timeout_ms", int64(l.HeaderTimeout))
 	c.nonNegative("/limits/body_timeout_ms", int64(l.BodyTimeout))
 	c.nonNegative("/limits/idle_timeout_ms", int64(l.IdleTimeout))
-	c.nonNegative("/limits/ring", int64(l.Ring))
+	c.nonNegative("/limits/ring", int64(l.RingSize))
 }
 
 func (c *checker) drain(d Drain) {
--- a/internal/wasabisettings/settings.go
+++ b/internal/wasabisettings/settings.go
@@ -100,9 +100,9 @@
 	// authenticates tickets and, without TLS, the instances to each other. It is
 	// required unless Trusted is set.
 	SecretFile string `json:"secret_file,omitempty"`
-	// Open means that only instances can reach the listener through the network,
+	// Trusted means that only instances can reach the listener through the network,
 	// so that they need no secret.
-	Open bool `json:"open,omitempty"`
+	Trusted bool `json:"open,omitempty"`
 	// Seeds are other instances to contact at the start while the platform's list
 	// of instances cannot be read.
 	Seeds []Seed `json:"seeds,omitempty"`
@@ -139,9 +139,9 @@
 	// IdleTimeout limits the time for which a connection waits for its next
 	// request. The default is 120 s.
 	IdleTimeout wasabiridge.Millis `json:"idle_timeout_ms,omitempty"`
-	// Ring is the capacity of the event queue of the decision loop. The default is
+	// RingSize is the capacity of the event queue of the decision loop. The default is
 	// 8192.
-	Ring int `json:"ring,omitempty"`
+	RingSize int `json:"ring,omitempty"`
 }
 
 // Drain are the settings for draining the process before it ends.
@@ -165,7 +165,7 @@
 	DefaultHeaderTimeout  = 10 * wasabiridge.Second
 	DefaultBodyTimeout    = wasabiridge.Minute
 	DefaultIdleTimeout    = 2 * wasabiridge.Minute
-	DefaultRing           = 8192
+	DefaultRingSize       = 8192
 	DefaultAnswerLifetime = 10 * wasabiridge.Second
 	DefaultDrainLimit     = 15 * wasabiridge.Minute
 )
@@ -220,7 +220,7 @@
 	setMillis(&l.HeaderTimeout, DefaultHeaderTimeout)
 	setMillis(&l.BodyTimeout, DefaultBodyTimeout)
 	setMillis(&l.IdleTimeout, DefaultIdleTimeout)
-	setInt(&l.Ring, DefaultRing)
+	setInt(&l.RingSize, DefaultRingSize)
 	return l
 }
 
