--- a/internal/wasabitable/writer.go
+++ b/internal/wasabitable/writer.go
@@ -131,7 +131,7 @@
 // readBack reads the rows of the transaction, the witness last. If the witness
 // were read first, a late copy could take effect after that read and be
 // overwritten before the other rows are read, and a write that took effect
-// would be judged overtaken.
+// would be classified as superseded.
 func (w *Writer) readBack(ctx context.Context, tx wasabiridge.Transaction, witness string) (verdict, error) {
 	rows := make([]wasabiridge.Row, len(tx.Changes))
 	for _, last := range []bool{false, true} {
@@ -145,7 +145,7 @@
 			}
 		}
 	}
-	return judge(tx, rows, witness), nil
+	return classify(tx, rows, witness), nil
 }
 
 // verdict is the result of a read-back.
@@ -156,16 +156,16 @@
 	pending verdict = iota
 	// committed means that a copy took effect.
 	committed
-	// overtaken means that no copy took effect and none can any more.
-	overtaken
+	// superseded means that no copy took effect and none can any more.
+	superseded
 	// ambiguous means that another write changed the rows, and that this one
 	// may have taken effect before it.
 	ambiguous
 )
 
-// judge compares the rows, read after an unknown outcome, with the transaction.
+// classify compares the rows, read after an unknown outcome, with the transaction.
 // rows[i] is the row of tx.Changes[i].
-func judge(tx wasabiridge.Transaction, rows []wasabiridge.Row, witness string) verdict {
+func classify(tx wasabiridge.Transaction, rows []wasabiridge.Row, witness string) verdict {
 	met, witnessed := true, false
 	for i, c := range tx.Changes {
 		if rows[i].Revision != 0 && rows[i].LastWrite == tx.ID {
@@ -178,7 +178,7 @@
 	case met:
 		return pending
 	case witnessed:
-		return overtaken
+		return superseded
 	default:
 		return ambiguous
 	}
@@ -188,7 +188,7 @@
 	switch v {
 	case committed:
 		return nil
-	case overtaken:
+	case superseded:
 		return wasabiridge.ErrConflict.New("write %q was overtaken by another write and did not take effect", id)
 	default:
 		return wasabiridge.ErrOutcomeUnknown.New("write %q may have taken effect", id)
