--- a/cmd/wasabirouter/process_test.go
+++ b/cmd/wasabirouter/process_test.go
@@ -39,7 +39,7 @@
 		located, ok := r.caller(0).locate(victim.url())
 		Expect(ok).To(BeTrue())
 		keys := map[string]string{"key of the caller": "in-flight", "ticket of the router": located.Ticket}
-		for _, name := range wasabitest.Names(keys) {
+		for _, name := range wasabitest.SortedKeys(keys) {
 			r.service.Inject(wasabiserver.Fault{Point: wasabiserver.BeforeHeaders, Kind: wasabiserver.Stall})
 			go r.caller(0).book(victim.url(), keys[name])
 			Eventually(func() int { return r.service.Executions(keys[name]) }, waitTimeout).Should(Equal(1), name)
@@ -47,7 +47,7 @@
 		l := r.startLoad(12, 6)
 		l.progress(20, 20)
 		victim.kill()
-		for _, name := range wasabitest.Names(keys) {
+		for _, name := range wasabitest.SortedKeys(keys) {
 			for _, p := range r.routers[1:] {
 				Expect(r.caller(0).book(p.url(), keys[name]).Code).To(BeElementOf("still_running", "outcome_unknown"), name)
 			}
@@ -56,7 +56,7 @@
 		victim.restart()
 		l.progress(40, 40)
 		l.verify()
-		for _, name := range wasabitest.Names(keys) {
+		for _, name := range wasabitest.SortedKeys(keys) {
 			Expect(r.service.Executions(keys[name])).To(Equal(1), name)
 		}
 	})
@@ -190,7 +190,7 @@
 			return conns
 		},
 	}
-	for _, name := range wasabitest.Names(pauseCases) {
+	for _, name := range wasabitest.SortedKeys(pauseCases) {
 		// Guards against closing connections after a pause of the process: a request that
 		// arrived during the pause is complete in the receive buffer, but with the header
 		// time-out expired, the router closed the connection without reading it, and the
@@ -268,7 +268,7 @@
 			return func() { r.setPlan(wasabifault.Plan{}) }
 		},
 	}
-	for _, name := range wasabitest.Names(outages) {
+	for _, name := range wasabitest.SortedKeys(outages) {
 		// Guards against depending on the platform's store for streams. While the store
 		// fails, streams must continue, bookings with a ticket must succeed, and no
 		// response may misstate whether a booking ran. The same holds after all instances
@@ -352,7 +352,7 @@
 		r := newRig(rigOptions{routers: 3, engines: 1})
 		stop := r.watchVersions()
 		exits := map[string]wasabicommand.Exit{}
-		for i, name := range wasabitest.Names(cases) {
+		for i, name := range wasabitest.SortedKeys(cases) {
 			c := cases[name]
 			base := r.converge()
 			r.platform.Table.Faults().SetNextOutcomes(wasabifault.Write, c.fates...)
--- a/internal/wasabicatalog/catalog_test.go
+++ b/internal/wasabicatalog/catalog_test.go
@@ -23,7 +23,7 @@
 // fleet simulates instances, their messages and the platform in virtual time.
 type fleet struct {
 	random    *rand.Rand
-	agenda    wasabitest.Agenda
+	agenda    wasabitest.EventQueue
 	now       wasabiridge.Millis
 	instances []*instance
 	// changed[v] is when version v took effect at the platform.
@@ -70,7 +70,7 @@
 }
 
 // at runs a step after a delay.
-func (f *fleet) at(after wasabiridge.Millis, run func()) { f.agenda.Add(f.now+after, run) }
+func (f *fleet) at(after wasabiridge.Millis, run func()) { f.agenda.Schedule(f.now+after, run) }
 
 // run advances the time.
 func (f *fleet) run(span wasabiridge.Millis) {
--- a/internal/wasabicatalog/scale_test.go
+++ b/internal/wasabicatalog/scale_test.go
@@ -18,7 +18,7 @@
 // simulation runs many instances in virtual time and counts their messages.
 type simulation struct {
 	random  *rand.Rand
-	agenda  wasabitest.Agenda
+	agenda  wasabitest.EventQueue
 	now     wasabiridge.Millis
 	members []*member
 	// config and entries are the state of the platform.
@@ -97,7 +97,7 @@
 }
 
 func (r *simulation) tick(m *member) {
-	r.agenda.Add(r.now+50, func() {
+	r.agenda.Schedule(r.now+50, func() {
 		r.handle(m, wasabicatalog.Ticked{Peers: m.peers, Sources: m.sources})
 		r.tick(m)
 	})
@@ -110,7 +110,7 @@
 }
 
 func (r *simulation) after(limit int, run func()) {
-	r.agenda.Add(r.now+1+wasabiridge.Millis(r.random.IntN(limit)), run)
+	r.agenda.Schedule(r.now+1+wasabiridge.Millis(r.random.IntN(limit)), run)
 }
 
 func (r *simulation) find(id wasabiridge.InstanceID) *member {
@@ -158,7 +158,7 @@
 		answer := wasabicatalog.PeerResponded{Sent: sent, Peer: e.Peer.ID}
 		if to.dead {
 			answer.Err = errDown
-			r.agenda.Add(sent+400, func() { r.handle(m, answer) })
+			r.agenda.Schedule(sent+400, func() { r.handle(m, answer) })
 			return
 		}
 		answer.Answer = to.machine.Answer(r.now, e.Query)
@@ -289,7 +289,7 @@
 			}
 			r.changes++
 			if r.now < stop {
-				r.agenda.Add(r.now+330, change)
+				r.agenda.Schedule(r.now+330, change)
 			}
 		}
 		change()
--- a/internal/wasabiclaim/bench_test.go
+++ b/internal/wasabiclaim/bench_test.go
@@ -17,7 +17,7 @@
 type rowSimulation struct {
 	machines                     []*wasabiclaim.RowMachine
 	rows                         map[string]wasabiridge.Row
-	agenda                       wasabitest.Agenda
+	agenda                       wasabitest.EventQueue
 	now                          wasabiridge.Millis
 	requestedAt                  map[uint64]wasabiridge.Millis
 	queries                      map[uint64]wasabiridge.ClaimQuery
@@ -30,7 +30,7 @@
 const tableDelay = 8
 
 func (r *rowSimulation) schedule(at wasabiridge.Millis, machine int, e wasabiclaim.RowEvent) {
-	r.agenda.Add(at, func() { r.step(machine, e) })
+	r.agenda.Schedule(at, func() { r.step(machine, e) })
 }
 
 func (r *rowSimulation) step(machine int, e wasabiclaim.RowEvent) {
--- a/internal/wasabiclaim/keeper_test.go
+++ b/internal/wasabiclaim/keeper_test.go
@@ -169,7 +169,7 @@
 }
 
 var _ = Describe("Claims", func() {
-	for _, name := range wasabitest.Names(scenarios) {
+	for _, name := range wasabitest.SortedKeys(scenarios) {
 		It("by ticket: "+name, func() {
 			b := newBooking(wasabiclaim.Limits{})
 			b.key = b.a.Ticket("lifts")
--- a/internal/wasabifingerprint/fingerprint_test.go
+++ b/internal/wasabifingerprint/fingerprint_test.go
@@ -34,7 +34,7 @@
 	}
 	g := NewWithT(t)
 	hasher := wasabifingerprint.New([]byte("key"))
-	for _, name := range wasabitest.Names(cases) {
+	for _, name := range wasabitest.SortedKeys(cases) {
 		changed := base
 		cases[name].change(&changed)
 		g.Expect(hasher.Fingerprint(changed) == hasher.Fingerprint(base)).To(Equal(cases[name].same), name)
--- a/internal/wasabilease/bench_test.go
+++ b/internal/wasabilease/bench_test.go
@@ -22,7 +22,7 @@
 		"rollout": {candidates: 3},
 		"sweep":   {timing: wasabilease.Timing{TTL: 10 * wasabiridge.Minute}, candidates: 370},
 	}
-	for _, name := range wasabitest.Names(timings) {
+	for _, name := range wasabitest.SortedKeys(timings) {
 		for _, n := range []int{9, 37, 370} {
 			b.Run(fmt.Sprintf("%s/instances=%d", name, n), func(b *testing.B) {
 				for range b.N {
--- a/internal/wasabilease/lease_test.go
+++ b/internal/wasabilease/lease_test.go
@@ -208,7 +208,7 @@
 }
 
 var _ = Describe("A lease", func() {
-	for _, name := range wasabitest.Names(cases) {
+	for _, name := range wasabitest.SortedKeys(cases) {
 		It(name, func() { cases[name](newLeaseTest()) })
 	}
 })
--- a/internal/wasabinode/drain_test.go
+++ b/internal/wasabinode/drain_test.go
@@ -21,7 +21,7 @@
 	graces := map[string]wasabiridge.Millis{
 		"of the users": 8 * wasabiridge.Second, "short": 3 * wasabiridge.Second, "long": 60 * wasabiridge.Second, "none": 0,
 	}
-	for _, name := range wasabitest.Names(graces) {
+	for _, name := range wasabitest.SortedKeys(graces) {
 		g := NewWithT(t)
 		accepting := wasabinode.AcceptFor(graces[name])
 		g.Expect(accepting).To(BeNumerically("<=", late-transit), name)
--- a/internal/wasabiorder/client_test.go
+++ b/internal/wasabiorder/client_test.go
@@ -32,7 +32,7 @@
 }
 
 var _ = Describe("The client for engines", func() {
-	for _, name := range wasabitest.Names(answers) {
+	for _, name := range wasabitest.SortedKeys(answers) {
 		It("handles a response: "+name, func(ctx SpecContext) {
 			a := answers[name]
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/wasabiorder/course_test.go
+++ b/internal/wasabiorder/course_test.go
@@ -171,7 +171,7 @@
 }
 
 var _ = Describe("A course", func() {
-	for _, name := range wasabitest.Names(reconcilers) {
+	for _, name := range wasabitest.SortedKeys(reconcilers) {
 		It(name, func() { reconcilers[name]() })
 	}
 })
--- a/internal/wasabiorder/simulation_test.go
+++ b/internal/wasabiorder/simulation_test.go
@@ -53,7 +53,7 @@
 type simulation struct {
 	clock     *wasabiclock.Virtual
 	rng       *rand.Rand
-	agenda    wasabitest.Agenda
+	agenda    wasabitest.EventQueue
 	faultsOff bool
 	instances []*instance
 	engine    map[wasabiridge.BackendServerID]*engine
@@ -73,7 +73,7 @@
 }
 
 func (w *simulation) after(span wasabiridge.Millis, run func()) {
-	w.agenda.Add(w.clock.Now()+span, run)
+	w.agenda.Schedule(w.clock.Now()+span, run)
 }
 
 func (w *simulation) run(until wasabiridge.Millis) {
--- a/internal/wasabipeer/crash_test.go
+++ b/internal/wasabipeer/crash_test.go
@@ -64,7 +64,7 @@
 		"have few crashes":      {wasabiridge.CrashUpdate{Fingerprint: 9, Crashes: many}, false},
 		"have a bounded age":    {wasabiridge.CrashUpdate{Fingerprint: 9, Crashes: []wasabiridge.ServerCrash{{Backend: "e1", Age: 1 << 40}}}, true},
 	}
-	for _, name := range wasabitest.Names(cases) {
+	for _, name := range wasabitest.SortedKeys(cases) {
 		It(name, func() {
 			h := &updateHandler{}
 			o := wasabipeer.Options{Clock: wasabiclock.System(), Key: key}
--- a/internal/wasabipeer/limit_test.go
+++ b/internal/wasabipeer/limit_test.go
@@ -24,7 +24,7 @@
 		"is unknown if negative": {sent: wasabiridge.LimitUpdate{Known: true, Limited: true, Rate: -1}},
 		"is unknown if infinite": {sent: wasabiridge.LimitUpdate{Known: true, Limited: true, Rate: math.Inf(1)}},
 	}
-	for _, name := range wasabitest.Names(cases) {
+	for _, name := range wasabitest.SortedKeys(cases) {
 		It(name, func() {
 			h := &updateHandler{}
 			o := wasabipeer.Options{Clock: wasabiclock.System(), Key: key}
--- a/internal/wasabiquarantine/fleet_test.go
+++ b/internal/wasabiquarantine/fleet_test.go
@@ -35,7 +35,7 @@
 // time.
 type fleet struct {
 	design    design
-	agenda    wasabitest.Agenda
+	agenda    wasabitest.EventQueue
 	now       wasabiridge.Millis
 	random    *rand.Rand
 	instances []*instance
@@ -104,7 +104,7 @@
 	n.spread = wasabiquarantine.NewRecipientSelector(f.random.Uint64())
 	f.instances[i] = n
 	f.membersCurrent = false
-	f.agenda.Add(f.now, n.tick)
+	f.agenda.Schedule(f.now, n.tick)
 }
 
 func (f *fleet) run(d wasabiridge.Millis) {
@@ -124,7 +124,7 @@
 		return
 	}
 	n.sendScheduled = true
-	n.fleet.agenda.Add(n.fleet.now+batchDelay, func() {
+	n.fleet.agenda.Schedule(n.fleet.now+batchDelay, func() {
 		n.sendScheduled = false
 		updates := n.table.TakeUpdates(n.fleet.now)
 		n.send(n.fleet.instances[:n.fleet.active], updates.Narrow)
@@ -156,9 +156,9 @@
 	f.messages++
 	f.sentRecords += len(records)
 	lost := f.random.Float64() < f.lossRate
-	f.agenda.Add(f.now+messageDelay, func() {
+	f.agenda.Schedule(f.now+messageDelay, func() {
 		if lost || other.offline {
-			f.agenda.Add(f.now+sendRetryDelay, func() { n.sendOne(other, records, attempts-1) })
+			f.agenda.Schedule(f.now+sendRetryDelay, func() { n.sendOne(other, records, attempts-1) })
 			return
 		}
 		other.table.Observe(f.now, wasabiridge.CrashesReceived{From: n.id, Crashes: records})
@@ -170,7 +170,7 @@
 		return
 	}
 	f := n.fleet
-	f.agenda.Add(f.now+repeatInterval, n.tick)
+	f.agenda.Schedule(f.now+repeatInterval, n.tick)
 	if n.offline {
 		return
 	}
@@ -235,7 +235,7 @@
 	case wasabiridge.QuarantineDeferred:
 		f.deferred[r.Fingerprint]++
 		if back {
-			f.agenda.Add(f.now+deferredRetry, func() { f.request(f.anyInstance(), r, fatal, false, retries) })
+			f.agenda.Schedule(f.now+deferredRetry, func() { f.request(f.anyInstance(), r, fatal, false, retries) })
 		}
 		return
 	}
@@ -262,7 +262,7 @@
 		if !n.offline && f.now >= n.backAt+propagation {
 			f.arrivals = append(f.arrivals, f.now)
 		}
-		f.agenda.Add(f.now+fatalDuration, func() {
+		f.agenda.Schedule(f.now+fatalDuration, func() {
 			if s.running[id] != nil {
 				f.ends = append(f.ends, f.now)
 				f.crash(s)
@@ -270,7 +270,7 @@
 		})
 		return
 	}
-	f.agenda.Add(f.now+wasabiridge.Millis(1+f.random.IntN(int(maxDuration))), func() {
+	f.agenda.Schedule(f.now+wasabiridge.Millis(1+f.random.IntN(int(maxDuration))), func() {
 		if s.running[id] != nil {
 			f.served[r.Fingerprint]++
 			end(answered)
@@ -321,7 +321,7 @@
 			end()
 		}
 	}
-	f.agenda.Add(f.now+restartTime, func() { s.down = false })
+	f.agenda.Schedule(f.now+restartTime, func() { s.down = false })
 }
 
 // furtherSends counts how often the fatal request reached a server later than propagation
--- a/internal/wasabiquarantine/quarantine_test.go
+++ b/internal/wasabiquarantine/quarantine_test.go
@@ -223,7 +223,7 @@
 			b.table.Observe(b.now, wasabiridge.TargetWeightsSet{Model: "n", Weights: 2})
 		}, blocked},
 	}
-	for _, name := range wasabitest.Names(cases) {
+	for _, name := range wasabitest.SortedKeys(cases) {
 		b := newTableDriver()
 		cases[name].do(b)
 		NewWithT(t).Expect(b.table.Check(b.now, requestWith(1))).To(Equal(cases[name].want), name)
--- a/internal/wasabiquarantine/row_test.go
+++ b/internal/wasabiquarantine/row_test.go
@@ -46,7 +46,7 @@
 		"no value":                        {Key: wasabiquarantine.RowKey(1)},
 		"a list":                          {Key: wasabiquarantine.RowKey(1), Value: []byte("[]")},
 	}
-	for _, name := range wasabitest.Names(cases) {
+	for _, name := range wasabitest.SortedKeys(cases) {
 		_, err := wasabiquarantine.DecodeRow(0, cases[name])
 		NewWithT(t).Expect(errorx.IsOfType(err, wasabiridge.ErrInvalid)).To(BeTrue(), name)
 	}
--- a/internal/wasabiquarantine/spread_test.go
+++ b/internal/wasabiquarantine/spread_test.go
@@ -16,7 +16,7 @@
 // instance.
 func (f *fleet) sendFatal(every, span wasabiridge.Millis, callers, retries int) {
 	for at := wasabiridge.Millis(0); at < span; at += every {
-		f.agenda.Add(f.now+at, func() {
+		f.agenda.Schedule(f.now+at, func() {
 			for range callers {
 				f.request(f.anyInstance(), requestWith(fatal), true, true, retries)
 			}
@@ -28,7 +28,7 @@
 // later.
 func (f *fleet) interruptThird(set func(n *instance, offline bool)) {
 	for at, offline := range map[wasabiridge.Millis]bool{100: true, 5100: false} {
-		f.agenda.Add(f.now+at, func() {
+		f.agenda.Schedule(f.now+at, func() {
 			for i := range len(f.instances) / 3 {
 				set(f.instances[3*i], offline)
 			}
@@ -61,15 +61,15 @@
 		"hundreds of instances":                         {374, 62, 1600, 1, 1, 300, nil, 6},
 		"hundreds of instances, ten at the same moment": {374, 62, 1600, 10, 1, 600, nil, 14},
 		"the instance that saw the third end is killed": {6, 6, 9, 1, 0, 600, func(f *fleet) {
-			f.agenda.Add(f.now+1302, func() { f.instances[0].kill() })
+			f.agenda.Schedule(f.now+1302, func() { f.instances[0].kill() })
 		}, 6},
 		"half of hundreds are killed and restart": {374, 62, 1600, 1, 1, 300, func(f *fleet) {
-			f.agenda.Add(f.now+2000, func() {
+			f.agenda.Schedule(f.now+2000, func() {
 				for i := range 187 {
 					f.instances[i].kill()
 				}
 			})
-			f.agenda.Add(f.now+4000, func() {
+			f.agenda.Schedule(f.now+4000, func() {
 				for i := range 187 {
 					f.start(i)
 				}
@@ -83,7 +83,7 @@
 			f.interruptThird(func(n *instance, away bool) { n.offline, n.backAt = away, f.now })
 		}, 34},
 	}
-	for _, name := range wasabitest.Names(cases) {
+	for _, name := range wasabitest.SortedKeys(cases) {
 		c := cases[name]
 		seeds := uint64(5)
 		if c.instances > 100 {
@@ -114,7 +114,7 @@
 		"few":      {6, 6, 9, 50, 300},
 		"hundreds": {374, 62, 1600, 500, 9300},
 	}
-	for _, name := range wasabitest.Names(cases) {
+	for _, name := range wasabitest.SortedKeys(cases) {
 		t.Run(name, func(t *testing.T) {
 			c := cases[name]
 			runHarmlessRequests(t, newFleet(1, c.instances, c.active, c.servers, design{}), c.popular, c.perSecond)
@@ -128,7 +128,7 @@
 	next := wasabiridge.Fingerprint(1e6)
 	const span = 15 * wasabiridge.Second
 	for at := range span {
-		f.agenda.Add(f.now+at, func() {
+		f.agenda.Schedule(f.now+at, func() {
 			for range perSecond*int(at+1)/1000 - perSecond*int(at)/1000 {
 				next++
 				r := wasabiridge.Request{Fingerprint: next, Account: wasabiridge.ClientAccountID(fmt.Sprint("a", next%40000)), Model: "m"}
@@ -141,7 +141,7 @@
 		})
 	}
 	lose := func(at wasabiridge.Millis, one, of int) {
-		f.agenda.Add(f.now+at, func() {
+		f.agenda.Schedule(f.now+at, func() {
 			for i, s := range f.servers {
 				if i%of < one {
 					f.crash(s)
@@ -188,7 +188,7 @@
 	g := NewWithT(t)
 	type total struct{ ended, further, refused, deferred int }
 	totals := map[string]total{}
-	for _, name := range wasabitest.Names(designs) {
+	for _, name := range wasabitest.SortedKeys(designs) {
 		for _, callers := range []int{1, 10} {
 			var sum total
 			for seed := range uint64(40) {
@@ -196,7 +196,7 @@
 				f.lossRate = 0.1
 				f.sendFatal(600, 15*wasabiridge.Second, callers, 1)
 				for at := wasabiridge.Millis(0); at < 15*wasabiridge.Second; at += 5 {
-					f.agenda.Add(f.now+at, func() {
+					f.agenda.Schedule(f.now+at, func() {
 						f.request(f.anyInstance(), requestWith(wasabiridge.Fingerprint(10+f.random.IntN(50))), false, true, 1)
 					})
 				}
--- a/internal/wasabiregression/regression_test.go
+++ b/internal/wasabiregression/regression_test.go
@@ -64,7 +64,7 @@
 		"fail by both":                  {site: wasabiregression.Site{File: "a/harbour.toml", Troubled: 0.7, Lowest: 0.7}, fallen: 2},
 		"hold exactly at the tolerance": {site: wasabiregression.Site{File: "a/harbour.toml", Troubled: 0.625, Lowest: 0.575}},
 	}
-	for _, name := range wasabitest.Names(cases) {
+	for _, name := range wasabitest.SortedKeys(cases) {
 		It(name, func() {
 			s, err := wasabiregression.ParseScore(benchOutput)
 			Expect(err).NotTo(HaveOccurred())
--- a/internal/wasabirelay/relay_test.go
+++ b/internal/wasabirelay/relay_test.go
@@ -327,7 +327,7 @@
 			"the key's proof": func() {},
 			"a configuration": func() { g.view.Config = &wasabiridge.Config{} },
 		}
-		for _, name := range wasabitest.Names(waits) {
+		for _, name := range wasabitest.SortedKeys(waits) {
 			waits[name]()
 			g.clock.Advance(6 * wasabiridge.Second)
 			for range 10 {
--- a/internal/wasabireplica/budget_test.go
+++ b/internal/wasabireplica/budget_test.go
@@ -251,7 +251,7 @@
 		Expect(f.excess()).To(BeNumerically("<=", 0))
 	})
 
-	for _, name := range wasabitest.Names(faults) {
+	for _, name := range wasabitest.SortedKeys(faults) {
 		It("stay within the budget of every window "+name, func() {
 			f := newRetryFleet(1, 7, 71)
 			f.advance(2 * retryWindow)
--- a/internal/wasabireplica/limit_test.go
+++ b/internal/wasabireplica/limit_test.go
@@ -32,7 +32,7 @@
 // limitedFleet simulates instances in front of servers, some of which report limits.
 type limitedFleet struct {
 	random    *rand.Rand
-	agenda    wasabitest.Agenda
+	agenda    wasabitest.EventQueue
 	now, end  wasabiridge.Millis
 	instances []*rig
 	names     []wasabiridge.InstanceID
@@ -56,8 +56,8 @@
 	for range servers {
 		f.servers = append(f.servers, &limitedServer{})
 	}
-	f.agenda.Add(f.now, f.tick)
-	f.agenda.Add(f.now, f.arrive)
+	f.agenda.Schedule(f.now, f.tick)
+	f.agenda.Schedule(f.now, f.arrive)
 	return f
 }
 
@@ -84,7 +84,7 @@
 			}
 		}
 	}
-	f.agenda.Add(f.now+100, f.tick)
+	f.agenda.Schedule(f.now+100, f.tick)
 }
 
 // visibleTo returns the instances that one instance sees, itself included.
@@ -100,7 +100,7 @@
 
 func (f *limitedFleet) arrive() {
 	f.request(f.instances[f.random.IntN(len(f.instances))])
-	f.agenda.Add(f.now+wasabiridge.Millis(1+f.random.ExpFloat64()*1000/f.rate), f.arrive)
+	f.agenda.Schedule(f.now+wasabiridge.Millis(1+f.random.ExpFloat64()*1000/f.rate), f.arrive)
 }
 
 func (f *limitedFleet) request(g *rig) {
@@ -121,7 +121,7 @@
 	_, _ = fmt.Sscanf(string(pl.Backend.ID), "e%d", &at)
 	s := f.servers[at]
 	s.arrivals = append(s.arrivals, f.now)
-	f.agenda.Add(f.now+answerTime, func() {
+	f.agenda.Schedule(f.now+answerTime, func() {
 		g.observe(wasabiridge.LimitAnnounced{Backend: pl.Backend.ID, Limited: s.limited, Rate: s.rate, RequestSentAt: sentAt})
 		g.answer(id)
 	})
@@ -157,7 +157,7 @@
 		"a rate of zero":                       {6, 9, 1, 170, 0},
 		"three of 45 servers, sixty instances": {60, 45, 3, 800, 5},
 	}
-	for _, name := range wasabitest.Names(cases) {
+	for _, name := range wasabitest.SortedKeys(cases) {
 		c := cases[name]
 		// Guards against limited servers that keep receiving as many requests as
 		// before.
--- a/internal/wasabirollout/driver_test.go
+++ b/internal/wasabirollout/driver_test.go
@@ -262,7 +262,7 @@
 }
 
 var _ = Describe("A rollout", func() {
-	for _, name := range wasabitest.Names(driverCases) {
+	for _, name := range wasabitest.SortedKeys(driverCases) {
 		It(name, func() { driverCases[name]() })
 	}
 
--- a/internal/wasabirollout/keeper_test.go
+++ b/internal/wasabirollout/keeper_test.go
@@ -280,7 +280,7 @@
 }
 
 func TestRolloutsOfInstances(t *testing.T) {
-	for _, name := range wasabitest.Names(controllerCases) {
+	for _, name := range wasabitest.SortedKeys(controllerCases) {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { controllerCases[name](newCluster(t, 6)) })
 		})
--- a/internal/wasabitest/agenda.go
+++ b/internal/wasabitest/agenda.go
@@ -6,10 +6,10 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Agenda is a queue of the steps of a simulation, ordered by time. Steps at the same
+// EventQueue is a queue of the steps of a simulation, ordered by time. Steps at the same
 // time run in the order in which they were added. The zero value is empty. It is
 // not safe for concurrent use.
-type Agenda struct {
+type EventQueue struct {
 	steps steps
 	added uint64
 }
@@ -34,8 +34,8 @@
 	return last
 }
 
-// Add schedules run at the given time.
-func (a *Agenda) Add(at wasabiridge.Millis, run func()) {
+// Schedule schedules run at the given time.
+func (a *EventQueue) Schedule(at wasabiridge.Millis, run func()) {
 	a.added++
 	heap.Push(&a.steps, step{at: at, order: a.added, run: run})
 }
@@ -43,7 +43,7 @@
 // Run runs all steps up to and including until, also those that are added
 // meanwhile. Before each step it calls moved with the time of the step, so that the
 // caller can advance its clock.
-func (a *Agenda) Run(until wasabiridge.Millis, moved func(wasabiridge.Millis)) {
+func (a *EventQueue) Run(until wasabiridge.Millis, moved func(wasabiridge.Millis)) {
 	for len(a.steps) > 0 && a.steps[0].at <= until {
 		next := heap.Pop(&a.steps).(step)
 		moved(next.at)
--- a/internal/wasabitest/knownred_test.go
+++ b/internal/wasabitest/knownred_test.go
@@ -83,7 +83,7 @@
 		"malformed entry":              {"example/a | TestRed\n", noFailure, false, []string{"not an entry"}, nil},
 		"special characters in a spec": {"example/a | TestSuite/a (b) is red | 1 | x | issue 9\n", noFailure, true, nil, []string{`-ginkgo.skip=a \(b\) is red$`}},
 	}
-	for _, name := range wasabitest.Names(cases) {
+	for _, name := range wasabitest.SortedKeys(cases) {
 		t.Run(name, func(t *testing.T) {
 			g, c := NewWithT(t), cases[name]
 			output, calls, err := runTests(t, c.list, c.failing)
