--- a/internal/wasabicommand/timeline.go
+++ b/internal/wasabicommand/timeline.go
@@ -83,7 +83,7 @@
 }
 
 func (a *app) showTimeline(r wasabiridge.TimelineReport) error {
-	wasabitimeline.WriteStory(a.Out, r.Events)
+	wasabitimeline.WriteTimeline(a.Out, r.Events)
 	if len(r.Events) == 0 {
 		a.warn("no such events at the %d instances that were reached.", len(r.Reached))
 	}
--- a/internal/wasabidaemon/tasks.go
+++ b/internal/wasabidaemon/tasks.go
@@ -78,7 +78,7 @@
 func (d *Daemon) watchTimeline(ctx context.Context) {
 	bus := wasabitimeline.NewPubSub()
 	defer func() { _ = bus.Close() }()
-	messages, err := bus.Subscribe(ctx, wasabitimeline.Topic)
+	messages, err := bus.Subscribe(ctx, wasabitimeline.EventsTopic)
 	if err != nil {
 		d.log.Error().Err(err).Msg("Cannot subscribe to the time line; metrics do not count its events.")
 		return
--- a/internal/wasabimetrics/metrics.go
+++ b/internal/wasabimetrics/metrics.go
@@ -134,7 +134,7 @@
 	return Gauges{
 		TimelineEvents:  func() int64 { recorded, _ := l.Recorded(); return int64(recorded) },
 		TimelineDropped: func() int64 { _, dropped := l.Recorded(); return int64(dropped) },
-		TimelineSkews:   func() int64 { return int64(l.RefusedSkews()) },
+		TimelineSkews:   func() int64 { return int64(l.IgnoredSkews()) },
 	}
 }
 
@@ -202,7 +202,7 @@
 		s.Counter(TimelineUnreadable).Inc(1)
 		return
 	}
-	s.Counter(TimelineUnpublished).Inc(int64(batch.Lost))
+	s.Counter(TimelineUnpublished).Inc(int64(batch.Overwritten))
 	for _, e := range batch.Events {
 		s.Counter(eventCounter(e.Kind)).Inc(1)
 		if e.Kind == wasabiridge.EventFirstToken {
--- a/internal/wasabimetrics/metrics_test.go
+++ b/internal/wasabimetrics/metrics_test.go
@@ -50,7 +50,7 @@
 	It("counts time line events, lost events and unreadable messages", func() {
 		set := wasabimetrics.New()
 		events := []wasabiridge.TimelineEvent{{Kind: wasabiridge.EventArrived}, {Kind: wasabiridge.EventFirstToken, Value: 212}, {Kind: "unheard_of"}}
-		good := wasabitimeline.NewMessage(wasabitimeline.Batch{Events: events, Lost: 3})
+		good := wasabitimeline.NewMessage(wasabitimeline.Batch{Events: events, Overwritten: 3})
 		messages := make(chan *message.Message, 2)
 		messages <- good
 		messages <- message.NewMessage("x", []byte("{"))
--- a/internal/wasabitimeline/bench_test.go
+++ b/internal/wasabitimeline/bench_test.go
@@ -50,7 +50,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		m := wasabitimeline.NewMessage(wasabitimeline.Batch{Events: []wasabiridge.TimelineEvent{sample}})
-		if err := pubSub.Publish(wasabitimeline.Topic, m); err != nil {
+		if err := pubSub.Publish(wasabitimeline.EventsTopic, m); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -64,7 +64,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		m := wasabitimeline.NewMessage(wasabitimeline.Batch{Events: slices.Clone(events)})
-		if err := pubSub.Publish(wasabitimeline.Topic, m); err != nil {
+		if err := pubSub.Publish(wasabitimeline.EventsTopic, m); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -111,7 +111,7 @@
 			pubSub := wasabitimeline.NewPubSub()
 			defer pubSub.Close()
 			set := wasabimetrics.New()
-			messages, err := pubSub.Subscribe(context.Background(), wasabitimeline.Topic)
+			messages, err := pubSub.Subscribe(context.Background(), wasabitimeline.EventsTopic)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -126,7 +126,7 @@
 						batch.Events = append(batch.Events, e)
 					}
 				}
-				if err := pubSub.Publish(wasabitimeline.Topic, wasabitimeline.NewMessage(batch)); err != nil {
+				if err := pubSub.Publish(wasabitimeline.EventsTopic, wasabitimeline.NewMessage(batch)); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/wasabitimeline/cost_test.go
+++ b/internal/wasabitimeline/cost_test.go
@@ -142,7 +142,7 @@
 // returned function stops both.
 func follow(b *testing.B, l *wasabitimeline.Log) context.CancelFunc {
 	pubSub := wasabitimeline.NewPubSub()
-	messages, err := pubSub.Subscribe(context.Background(), wasabitimeline.Topic)
+	messages, err := pubSub.Subscribe(context.Background(), wasabitimeline.EventsTopic)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/wasabitimeline/format.go
+++ b/internal/wasabitimeline/format.go
@@ -76,10 +76,10 @@
 	return c, c.request != ""
 }
 
-// WriteStory prints events in the form of WriteLines. If all events belong to
+// WriteTimeline prints events in the form of WriteLines. If all events belong to
 // one request, it first prints a heading with the request, its client account
 // and its rule, and leaves these out of the lines.
-func WriteStory(w io.Writer, events []wasabiridge.TimelineEvent) {
+func WriteTimeline(w io.Writer, events []wasabiridge.TimelineEvent) {
 	c, single := sharedFieldsOf(events)
 	if single {
 		parts := appendField([]string{"request " + string(c.request)}, "account ", string(c.account))
--- a/internal/wasabitimeline/publish.go
+++ b/internal/wasabitimeline/publish.go
@@ -12,9 +12,9 @@
 	"github.com/wasabiridge/wasabiridge"
 )
 
-// Topic is the watermill topic of time line events. BatchOf returns the events
+// EventsTopic is the watermill topic of time line events. BatchOf returns the events
 // of a message.
-const Topic = "timeline"
+const EventsTopic = "timeline"
 
 // Limits of publishing.
 const (
@@ -76,8 +76,8 @@
 		if buf, cursor, lost = l.read(cursor, buf); len(buf) == 0 {
 			return cursor, nil
 		}
-		m := NewMessage(Batch{Events: slices.Clone(buf), Lost: lost})
-		if err := publisher.Publish(Topic, m); err != nil {
+		m := NewMessage(Batch{Events: slices.Clone(buf), Overwritten: lost})
+		if err := publisher.Publish(EventsTopic, m); err != nil {
 			return cursor, wasabiridge.ErrUnavailable.Wrap(err, "timeline: publish events")
 		}
 	}
@@ -88,9 +88,9 @@
 	// Events are in the order in which they were recorded. Subscribers share
 	// the slice and must not modify it.
 	Events []wasabiridge.TimelineEvent
-	// Lost counts events between the previous batch and this one that were
+	// Overwritten counts events between the previous batch and this one that were
 	// overwritten before they could be published.
-	Lost uint64
+	Overwritten uint64
 }
 
 type batchKey struct{}
--- a/internal/wasabitimeline/timeline.go
+++ b/internal/wasabitimeline/timeline.go
@@ -146,8 +146,8 @@
 	}
 }
 
-// RefusedSkews returns how many remote times Observe has ignored.
-func (l *Log) RefusedSkews() uint64 {
+// IgnoredSkews returns how many remote times Observe has ignored.
+func (l *Log) IgnoredSkews() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.refusedSkews
--- a/internal/wasabitimeline/timeline_test.go
+++ b/internal/wasabitimeline/timeline_test.go
@@ -78,7 +78,7 @@
 		a.Observe(noon + wasabitimeline.DefaultMaxSkew + 1)
 		record(a, "r", wasabiridge.EventArrived)
 		Expect(a.Page(wasabiridge.TimelineQuery{}).Events[0].At).To(Equal(noon))
-		Expect(a.RefusedSkews()).To(Equal(uint64(1)))
+		Expect(a.IgnoredSkews()).To(Equal(uint64(1)))
 	})
 
 	// Under load the ring overwrites its oldest events. A page must report this
@@ -191,7 +191,7 @@
 		l, _ := newLog("a", noon, 2048)
 		pubSub := wasabitimeline.NewPubSub()
 		defer pubSub.Close()
-		messages, err := pubSub.Subscribe(ctx, wasabitimeline.Topic)
+		messages, err := pubSub.Subscribe(ctx, wasabitimeline.EventsTopic)
 		Expect(err).NotTo(HaveOccurred())
 		running, stop := context.WithCancel(ctx)
 		done := make(chan error, 1)
@@ -205,7 +205,7 @@
 			case m := <-messages:
 				batch, err := wasabitimeline.BatchOf(m)
 				Expect(err).NotTo(HaveOccurred())
-				Expect(batch.Lost).To(BeZero())
+				Expect(batch.Overwritten).To(BeZero())
 				got = append(got, batch.Events...)
 				m.Ack()
 			default:
@@ -240,7 +240,7 @@
 			clock.Advance(70)
 		}
 		var out bytes.Buffer
-		wasabitimeline.WriteStory(&out, l.Page(wasabiridge.TimelineQuery{}).Events)
+		wasabitimeline.WriteTimeline(&out, l.Page(wasabiridge.TimelineQuery{}).Events)
 		GinkgoWriter.Println(out.String())
 		Expect(out.String()).To(ContainSubstring(" +70ms  pos-1  attempt broken         on answer-3, attempt 1, stream cut, 40 tokens delivered\n"))
 		Expect(out.String()).To(HavePrefix("request r1, account liftwell, rule manuals\n"))
--- a/internal/wasabitimeline/whole_test.go
+++ b/internal/wasabitimeline/whole_test.go
@@ -83,7 +83,7 @@
 			wasabiridge.EventFirstToken, wasabiridge.EventEnded,
 		}))
 		var out bytes.Buffer
-		wasabitimeline.WriteStory(&out, events)
+		wasabitimeline.WriteTimeline(&out, events)
 		Expect(out.String()).To(MatchRegexp(`attempt broken +on e\d, attempt 1, 3 tokens delivered\n.*resumed +on e\d, attempt 2`))
 	})
 })
