--- a/internal/wasabidaemon/listener.go
+++ b/internal/wasabidaemon/listener.go
@@ -39,7 +39,7 @@
 		return l, nil
 	}
 	l.url = strings.Replace(l.url, "http://", "https://", 1)
-	var controller *wasabitls.Keeper
+	var controller *wasabitls.CertReloader
 	controller, err = wasabitls.New(wasabitls.Options{
 		Files: *s.TLS, Clock: d.options.Clock, Log: wasabilog.Part(d.log, part), Protocols: []string{"h2", "http/1.1"},
 	})
--- a/internal/wasabidaemon/peers.go
+++ b/internal/wasabidaemon/peers.go
@@ -120,7 +120,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return certificates.Mutual(), nil
+	return certificates.MutualConfig(), nil
 }
 
 // peerAddress returns the address at which other instances reach this one, or the
--- a/internal/wasabitls/keeper.go
+++ b/internal/wasabitls/keeper.go
@@ -3,12 +3,12 @@
 //
 // # Usage
 //
-//	var keeper *wasabitls.CertReloader
+//	var reloader *wasabitls.CertReloader
 //	var err error
-//	if keeper, err = wasabitls.New(wasabitls.Options{Files: files, Clock: clock}); err != nil {
+//	if reloader, err = wasabitls.New(wasabitls.Options{Files: files, Clock: clock}); err != nil {
 //		return err
 //	}
-//	listener = tls.NewListener(listener, keeper.Config())
+//	listener = tls.NewListener(listener, reloader.Config())
 package wasabitls
 
 import (
@@ -40,9 +40,9 @@
 	Protocols []string
 }
 
-// Keeper holds the certificate of one listener and reloads it when its files
+// CertReloader holds the certificate of one listener and reloads it when its files
 // change. It is safe for concurrent use.
-type Keeper struct {
+type CertReloader struct {
 	options Options
 
 	mu      sync.Mutex
@@ -59,8 +59,8 @@
 
 // New loads the files. It returns ErrInvalid when they cannot be read or do not
 // contain a valid certificate and key.
-func New(o Options) (*Keeper, error) {
-	k := &Keeper{options: o, checked: o.Clock.Now()}
+func New(o Options) (*CertReloader, error) {
+	k := &CertReloader{options: o, checked: o.Clock.Now()}
 	k.digests = digestsOf(o.Files)
 	var err error
 	if k.current, err = k.load(); err != nil {
@@ -71,7 +71,7 @@
 
 // Config returns a server configuration. Every new connection uses the current
 // certificate and authorities.
-func (k *Keeper) Config() *tls.Config {
+func (k *CertReloader) Config() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		NextProtos: k.options.Protocols,
@@ -81,10 +81,10 @@
 	}
 }
 
-// Mutual returns a configuration for both the server and the client side of
+// MutualConfig returns a configuration for both the server and the client side of
 // mutual TLS between instances. New connections use the current certificate; the
 // authorities are those loaded when MutualConfig is called.
-func (k *Keeper) Mutual() *tls.Config {
+func (k *CertReloader) MutualConfig() *tls.Config {
 	initial := k.latest()
 	cfg := initial.Clone()
 	cfg.Certificates = nil
@@ -102,7 +102,7 @@
 // changed. If the files cannot be used, such as a certificate whose key has not
 // been written yet, the previous configuration stays in use, and the next check
 // tries again.
-func (k *Keeper) latest() *tls.Config {
+func (k *CertReloader) latest() *tls.Config {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.options.Clock.Now()
@@ -126,7 +126,7 @@
 }
 
 // load reads the files and returns a server configuration for them.
-func (k *Keeper) load() (*tls.Config, error) {
+func (k *CertReloader) load() (*tls.Config, error) {
 	files := k.options.Files
 	var pair tls.Certificate
 	var err error
--- a/internal/wasabitls/keeper_test.go
+++ b/internal/wasabitls/keeper_test.go
@@ -63,7 +63,7 @@
 
 // serve starts a server and returns a function that opens a new connection to it and
 // returns the serial number of its certificate.
-func serve(k *wasabitls.Keeper, client *tls.Config) func() (int64, error) {
+func serve(k *wasabitls.CertReloader, client *tls.Config) func() (int64, error) {
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	server.Config.ErrorLog = nil
 	server.Listener = tls.NewListener(server.Listener, k.Config())
