--- a/internal/wasabinode/metrics.go
+++ b/internal/wasabinode/metrics.go
@@ -41,7 +41,7 @@
 	for cause, count := range n.relay.Counts().Causes() {
 		lines = append(lines, line("requests_by_cause_total{cause=\""+cause+"\"}", int64(count)))
 	}
-	for _, p := range n.upgrade.Times().Phases() {
+	for _, p := range n.upgrade.Durations().Phases() {
 		lines = append(lines,
 			line("upgrades_total{phase=\""+p.Name+"\"}", p.Total),
 			line("upgrades_ms{phase=\""+p.Name+"\",quantile=\"0.5\"}", p.P50),
--- a/internal/wasabinode/node.go
+++ b/internal/wasabinode/node.go
@@ -143,7 +143,7 @@
 	quota          *wasabiquota.Controller
 	relay          *wasabirelay.Relay
 	catalog        *wasabicatalog.Controller
-	upgrade        *wasabiupgrade.Keeper
+	upgrade        *wasabiupgrade.Controller
 	client         *wasabipeer.Client
 	server         *wasabipeer.Server
 	members        *wasabimember.Controller
@@ -229,10 +229,10 @@
 		Self: n.self(), Clock: o.Clock, Source: o.Platform.Source, Peers: n.client, Members: n.members.Members, Active: n.activeEntries,
 		Log: wasabilog.Part(n.log, "catalog"), OnChange: n.adopt, OnUpdate: n.applyUpdate,
 	})
-	n.upgrade = wasabiupgrade.NewKeeper(wasabiupgrade.Options{
+	n.upgrade = wasabiupgrade.NewController(wasabiupgrade.Options{
 		Self: s.Instance, Address: s.Peer.Address, Incarnation: n.incarnation, Clock: o.Clock, Table: o.Platform.Table, Engines: o.Platform.Engines,
-		Recorder: n.timeline, Catalog: n.wantedWeights, Rank: n.rank, Leaving: n.leaving.Load, Tell: n.sendBackoffs, Log: wasabilog.Part(n.log, "upgrade"),
-		Timing: wasabiupgrade.Timing{Turn: n.bounds.LeaseTerm},
+		Recorder: n.timeline, Catalog: n.wantedWeights, Rank: n.rank, Leaving: n.leaving.Load, Send: n.sendBackoffs, Log: wasabilog.Part(n.log, "upgrade"),
+		Timing: wasabiupgrade.Timing{LeaseTerm: n.bounds.LeaseTerm},
 	})
 	n.relay = wasabirelay.New(wasabirelay.Options{
 		Instance: s.Instance, Clock: o.Clock, Log: wasabilog.Part(n.log, "relay"), Loop: n.loop,
--- a/internal/wasabinode/peers.go
+++ b/internal/wasabinode/peers.go
@@ -46,7 +46,7 @@
 	now := n.options.Clock.Now()
 	for _, r := range update.Backoffs {
 		if update.From != n.options.Settings.Instance {
-			n.upgrade.Hear(r.Backend)
+			n.upgrade.Receive(r.Backend)
 		}
 		n.loop.TryPost(wasabiridge.BackendInBackoff{Backend: r.Backend, Until: now + r.Backoff})
 		if r.Backoff > 0 {
--- a/internal/wasabiupgrade/event.go
+++ b/internal/wasabiupgrade/event.go
@@ -12,13 +12,13 @@
 // lists, the target version of each model, and the state of the lease.
 type Ticked struct {
 	Entries []wasabiridge.BackendEntry
-	Wanted  map[wasabiridge.ModelID]wasabiridge.WeightsVersion
+	Targets map[wasabiridge.ModelID]wasabiridge.WeightsVersion
 	Grant   wasabilease.Grant
 }
 
-// Ordered is the result of a SendOrder effect. If no flag is set, the replica accepted the
-// order.
-type Ordered struct {
+// OrderResult is the result of a SendOrder effect. If no flag is set, the replica
+// accepted the order.
+type OrderResult struct {
 	Backend wasabiridge.BackendServerID
 	Model   wasabiridge.ModelID
 	Fencing wasabiridge.FencingNumber
@@ -33,29 +33,29 @@
 	Unsure bool
 }
 
-// StateRead is the result of a ReadState effect. Failed is set if the replica did not
+// StateResult is the result of a ReadState effect. Failed is set if the replica did not
 // answer.
-type StateRead struct {
+type StateResult struct {
 	Backend wasabiridge.BackendServerID
 	Model   wasabiridge.ModelID
 	State   wasabiridge.EngineState
 	Failed  bool
 }
 
-// Heard reports that another instance has sent a state update about a replica, as it
-// does when it sends orders.
-type Heard struct{ Backend wasabiridge.BackendServerID }
+// UpdateReceived reports that another instance has sent a state update about a replica,
+// as it does when it sends orders.
+type UpdateReceived struct{ Backend wasabiridge.BackendServerID }
 
-func (Ticked) isEvent()    {}
-func (Heard) isEvent()     {}
-func (Ordered) isEvent()   {}
-func (StateRead) isEvent() {}
+func (Ticked) isEvent()         {}
+func (UpdateReceived) isEvent() {}
+func (OrderResult) isEvent()    {}
+func (StateResult) isEvent()    {}
 
 // Effect is an output of Machine, which the caller must carry out.
 type Effect interface{ isEffect() }
 
-// Tell requests that a state update is sent to all instances, including this one.
-type Tell struct{ News wasabiridge.BackoffUpdate }
+// SendUpdate requests that a state update is sent to all instances, including this one.
+type SendUpdate struct{ Update wasabiridge.BackoffUpdate }
 
 // SendOrder requests that an upgrade order is sent to a replica. It must not be sent after
 // Before.
@@ -75,14 +75,14 @@
 // before its order. LoadTime is the time from the order until the new weights were
 // served, which includes the time until the running answers had ended.
 type Upgraded struct {
-	Backend wasabiridge.BackendServerID
-	Model   wasabiridge.ModelID
-	Weights wasabiridge.WeightsVersion
-	Rested  wasabiridge.Millis
-	Loaded  wasabiridge.Millis
+	Backend  wasabiridge.BackendServerID
+	Model    wasabiridge.ModelID
+	Weights  wasabiridge.WeightsVersion
+	Backoff  wasabiridge.Millis
+	LoadTime wasabiridge.Millis
 }
 
-func (Tell) isEffect()      {}
-func (Upgraded) isEffect()  {}
-func (SendOrder) isEffect() {}
-func (ReadState) isEffect() {}
+func (SendUpdate) isEffect() {}
+func (Upgraded) isEffect()   {}
+func (SendOrder) isEffect()  {}
+func (ReadState) isEffect()  {}
--- a/internal/wasabiupgrade/keeper.go
+++ b/internal/wasabiupgrade/keeper.go
@@ -53,20 +53,20 @@
 	// Leaving reports whether the instance is shutting down. It then releases the
 	// lease, so that the next holder need not wait for its expiry. Nil means never.
 	Leaving func() bool
-	// Tell sends state updates about replicas to all instances that place requests or
+	// Send sends state updates about replicas to all instances that place requests or
 	// may send the next orders, including this one. It must not block.
-	Tell   func(updates []wasabiridge.BackoffUpdate)
+	Send   func(updates []wasabiridge.BackoffUpdate)
 	Log    zerolog.Logger
 	Timing Timing
 }
 
-// Keeper runs a Machine: it holds the lease, passes it the time, the catalog and the
+// Controller runs a Machine: it holds the lease, passes it the time, the catalog and the
 // results of its effects, and sends its orders to the replicas. It is safe for concurrent
 // use.
-type Keeper struct {
+type Controller struct {
 	options Options
 	lease   *wasabilease.Lease
-	times   Times
+	times   Durations
 	results chan Event
 	// stalledSince is the time since which the outstanding upgrades make no progress.
 	stalledSince wasabiridge.Millis
@@ -74,9 +74,9 @@
 	lastOutstanding int
 }
 
-// NewKeeper returns a Controller that is not running yet. Run runs it.
-func NewKeeper(o Options) *Keeper {
-	return &Keeper{
+// NewController returns a Controller that is not running yet. Run runs it.
+func NewController(o Options) *Controller {
+	return &Controller{
 		options: o,
 		results: make(chan Event, resultsSize),
 		lease: wasabilease.New(wasabilease.Options{
@@ -86,20 +86,20 @@
 	}
 }
 
-// Times returns the durations of the upgrades since the start.
-func (k *Keeper) Times() *Times { return &k.times }
+// Durations returns the durations of the upgrades since the start.
+func (k *Controller) Durations() *Durations { return &k.times }
 
-// Hear is called when another instance has sent a state update about a replica. It does
-// not block; the update is dropped if the queue is full.
-func (k *Keeper) Hear(b wasabiridge.BackendServerID) {
+// Receive is called when another instance has sent a state update about a replica. It
+// does not block; the update is dropped if the queue is full.
+func (k *Controller) Receive(b wasabiridge.BackendServerID) {
 	select {
-	case k.results <- Heard{Backend: b}:
+	case k.results <- UpdateReceived{Backend: b}:
 	default:
 	}
 }
 
-// Run runs the keeper until the context is cancelled.
-func (k *Keeper) Run(ctx context.Context) {
+// Run runs the controller until the context is cancelled.
+func (k *Controller) Run(ctx context.Context) {
 	go k.lease.Run(ctx)
 	m := NewMachine(k.options.Timing)
 	ticker := time.NewTicker(tickEvery)
@@ -112,13 +112,13 @@
 		case e = <-k.results:
 		case <-ticker.C:
 			entries, wanted := k.options.Catalog()
-			e = Ticked{Entries: entries, Wanted: wanted, Grant: k.lease.Grant()}
+			e = Ticked{Entries: entries, Targets: wanted, Grant: k.lease.Grant()}
 		}
 		now := k.options.Clock.Now()
 		var updates []wasabiridge.BackoffUpdate
 		for _, effect := range slices.Clone(m.Handle(now, e)) {
-			if tell, ok := effect.(Tell); ok {
-				updates = append(updates, tell.News)
+			if send, ok := effect.(SendUpdate); ok {
+				updates = append(updates, send.Update)
 			} else {
 				k.carryOut(ctx, effect)
 			}
@@ -131,7 +131,7 @@
 // wantsLease reports whether this instance should hold or contend for the lease. While
 // upgrades are outstanding, the instance of the lowest rank contends immediately, and the
 // others only if the upgrades make no progress for their rank's delay.
-func (k *Keeper) wantsLease(now wasabiridge.Millis, outstanding int) bool {
+func (k *Controller) wantsLease(now wasabiridge.Millis, outstanding int) bool {
 	if outstanding == 0 || outstanding < k.lastOutstanding || k.stalledSince == 0 {
 		k.stalledSince = now
 	}
@@ -142,7 +142,7 @@
 	return k.lease.Grant().Fencing != 0 || now-k.stalledSince >= wasabiridge.Millis(k.options.Rank())*rankDelay
 }
 
-func (k *Keeper) carryOut(ctx context.Context, e Effect) {
+func (k *Controller) carryOut(ctx context.Context, e Effect) {
 	switch e := e.(type) {
 	case SendOrder:
 		go k.send(ctx, e)
@@ -151,12 +151,12 @@
 	case Upgraded:
 		k.times.add(e)
 		k.options.Log.Info().Str("backend", string(e.Backend)).Str("model", string(e.Model)).Uint64("weights", uint64(e.Weights)).
-			Int64("rested_ms", int64(e.Rested)).Int64("loaded_ms", int64(e.Loaded)).Msg("Replica upgraded.")
+			Int64("rested_ms", int64(e.Backoff)).Int64("loaded_ms", int64(e.LoadTime)).Msg("Replica upgraded.")
 	}
 }
 
 // notify logs the state updates that one event caused, and sends them in one message.
-func (k *Keeper) notify(updates []wasabiridge.BackoffUpdate) {
+func (k *Controller) notify(updates []wasabiridge.BackoffUpdate) {
 	if len(updates) == 0 {
 		return
 	}
@@ -164,13 +164,13 @@
 		k.options.Log.Info().Str("backend", string(u.Backend)).Int64("resting_ms", int64(u.Backoff)).Int64("easing_ms", int64(u.Drain)).
 			Uint64("weights", uint64(u.Weights)).Uint64("fencing", uint64(k.lease.Grant().Fencing)).Msg("Replica state announced.")
 	}
-	k.options.Tell(updates)
+	k.options.Send(updates)
 }
 
 // send sends an order, unless its latest send time has passed. The lease is only
 // guaranteed to be held until then.
-func (k *Keeper) send(ctx context.Context, e SendOrder) {
-	result := Ordered{Backend: e.Server.ID, Model: e.Order.Model, Fencing: e.Order.Fencing}
+func (k *Controller) send(ctx context.Context, e SendOrder) {
+	result := OrderResult{Backend: e.Server.ID, Model: e.Order.Model, Fencing: e.Order.Fencing}
 	defer func() { k.post(ctx, result) }()
 	remaining := e.Before - k.options.Clock.Now()
 	if remaining <= 0 {
@@ -191,14 +191,14 @@
 		Uint64("fencing", uint64(e.Order.Fencing)).Str("outcome", outcome).Msg("Upgrade order sent.")
 }
 
-func (k *Keeper) read(ctx context.Context, e ReadState) {
+func (k *Controller) read(ctx context.Context, e ReadState) {
 	timed, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	state, err := k.options.Engines.ReadState(timed, e.Server)
-	k.post(ctx, StateRead{Backend: e.Server.ID, Model: e.Model, State: state, Failed: err != nil})
+	k.post(ctx, StateResult{Backend: e.Server.ID, Model: e.Model, State: state, Failed: err != nil})
 }
 
-func (k *Keeper) post(ctx context.Context, e Event) {
+func (k *Controller) post(ctx context.Context, e Event) {
 	select {
 	case k.results <- e:
 	case <-ctx.Done():
--- a/internal/wasabiupgrade/keeper_test.go
+++ b/internal/wasabiupgrade/keeper_test.go
@@ -26,7 +26,7 @@
 	return wasabiridge.EngineState{Weights: 1}, nil
 }
 
-var _ = Describe("A keeper", func() {
+var _ = Describe("A controller", func() {
 	// All machines are restarted, one every two seconds, during an upgrade. If a holder
 	// keeps its lease when it shuts down, no instance sends orders until the lease expires,
 	// three seconds after the last renewal.
@@ -36,16 +36,16 @@
 		var leaving atomic.Bool
 		clock := wasabiclock.Boot()
 		table := wasabitable.NewMemory(wasabitable.MemoryOptions{Clock: clock})
-		keeper := wasabiupgrade.NewKeeper(wasabiupgrade.Options{
+		controller := wasabiupgrade.NewController(wasabiupgrade.Options{
 			Self: "i", Incarnation: 1, Clock: clock, Table: table, Engines: stuckEngines{},
 			Catalog: func() ([]wasabiridge.BackendEntry, map[wasabiridge.ModelID]wasabiridge.WeightsVersion) {
 				return []wasabiridge.BackendEntry{{
 					Server: wasabiridge.BackendServer{ID: "e"}, Weights: map[wasabiridge.ModelID]wasabiridge.WeightsVersion{model: 1},
 				}}, map[wasabiridge.ModelID]wasabiridge.WeightsVersion{model: 2}
 			},
-			Rank: func() int { return 0 }, Leaving: leaving.Load, Tell: func([]wasabiridge.BackoffUpdate) {},
+			Rank: func() int { return 0 }, Leaving: leaving.Load, Send: func([]wasabiridge.BackoffUpdate) {},
 		})
-		go keeper.Run(running)
+		go controller.Run(running)
 
 		// Another instance that contends for the lease must get it once it is released.
 		other := wasabilease.New(wasabilease.Options{
--- a/internal/wasabiupgrade/machine.go
+++ b/internal/wasabiupgrade/machine.go
@@ -40,10 +40,10 @@
 //
 // # Usage
 //
-//	keeper := wasabiupgrade.NewController(wasabiupgrade.Options{
-//		Self: "pos-1", Clock: clock, Table: table, Engines: engines, Catalog: view, Tell: tell,
+//	controller := wasabiupgrade.NewController(wasabiupgrade.Options{
+//		Self: "pos-1", Clock: clock, Table: table, Engines: engines, Catalog: view, Send: send,
 //	})
-//	go keeper.Run(ctx)
+//	go controller.Run(ctx)
 package wasabiupgrade
 
 import (
@@ -123,11 +123,11 @@
 		m.updateReplicas(now, e)
 		m.grant = e.Grant
 		m.step(now)
-	case Ordered:
-		m.handleOrdered(now, e)
-	case StateRead:
-		m.handleStateRead(now, e)
-	case Heard:
+	case OrderResult:
+		m.handleOrderResult(now, e)
+	case StateResult:
+		m.handleStateResult(now, e)
+	case UpdateReceived:
 		m.reported[e.Backend] = now
 	}
 	return m.effects
@@ -147,7 +147,7 @@
 
 // updateReplicas updates the replicas from the platform's list.
 func (m *Machine) updateReplicas(now wasabiridge.Millis, e Ticked) {
-	m.wanted = e.Wanted
+	m.wanted = e.Targets
 	for _, r := range m.replicas {
 		r.present = false
 	}
@@ -157,7 +157,7 @@
 			continue
 		}
 		for model, version := range entry.Weights {
-			if e.Wanted[model] == 0 {
+			if e.Targets[model] == 0 {
 				continue
 			}
 			u := unit{entry.Server.ID, model}
@@ -191,7 +191,7 @@
 // mayOrder reports whether this instance holds the lease for long enough to send an order,
 // and no replica has rejected its fencing number.
 func (m *Machine) mayOrder(now wasabiridge.Millis) bool {
-	return m.grant.Covers(now, m.timing.OrderTime) && m.rejectedFencing < m.grant.Fencing
+	return m.grant.Covers(now, m.timing.OrderTimeout) && m.rejectedFencing < m.grant.Fencing
 }
 
 // step advances all replicas, sends the orders that are due, and starts further upgrades.
@@ -204,7 +204,7 @@
 	}
 	for _, id := range m.order {
 		r := m.replicas[id]
-		if r.phase == inBackoff && now-r.since >= m.timing.Rest && r.readInBackoff && !r.busy {
+		if r.phase == inBackoff && now-r.since >= m.timing.Backoff && r.readInBackoff && !r.busy {
 			m.send(now, r)
 		}
 	}
@@ -259,14 +259,14 @@
 func (m *Machine) startBackoff(now wasabiridge.Millis, r *replica) {
 	r.phase, r.since, r.target = inBackoff, now, m.wanted[r.model]
 	r.readInBackoff, r.busy = false, true
-	m.effects = append(m.effects, Tell{News: wasabiridge.BackoffUpdate{Backend: r.server.ID, Backoff: backoffTTL}}, ReadState{Server: r.server, Model: r.model})
+	m.effects = append(m.effects, SendUpdate{Update: wasabiridge.BackoffUpdate{Backend: r.server.ID, Backoff: backoffTTL}}, ReadState{Server: r.server, Model: r.model})
 }
 
 // mayBeOrderedByOther reports whether another instance may have sent the replica an order
 // within the last lease term.
 func (m *Machine) mayBeOrderedByOther(now wasabiridge.Millis, id wasabiridge.BackendServerID) bool {
 	at, ok := m.reported[id]
-	return ok && now-at < m.timing.Turn
+	return ok && now-at < m.timing.LeaseTerm
 }
 
 // isBusy reports whether an upgrade of any model of the replica is in progress. A
--- a/internal/wasabiupgrade/order.go
+++ b/internal/wasabiupgrade/order.go
@@ -19,7 +19,7 @@
 		Order: wasabiridge.EngineOrder{
 			Model: r.model, Weights: r.target, Fencing: m.grant.Fencing, Conditional: true, After: r.acceptedOrders,
 		},
-		Before: min(now+m.timing.OrderTime, m.grant.Until),
+		Before: min(now+m.timing.OrderTimeout, m.grant.Until),
 	})
 }
 
@@ -29,7 +29,7 @@
 	if r.busy {
 		return
 	}
-	if now-r.since > m.timing.Patience {
+	if now-r.since > m.timing.LoadTimeout {
 		m.abandon(now, r)
 		return
 	}
@@ -47,10 +47,10 @@
 	if silent {
 		return
 	}
-	m.effects = append(m.effects, Tell{News: wasabiridge.BackoffUpdate{Backend: r.server.ID}})
+	m.effects = append(m.effects, SendUpdate{Update: wasabiridge.BackoffUpdate{Backend: r.server.ID}})
 }
 
-func (m *Machine) handleOrdered(now wasabiridge.Millis, e Ordered) {
+func (m *Machine) handleOrderResult(now wasabiridge.Millis, e OrderResult) {
 	r := m.replicas[unit{e.Backend, e.Model}]
 	if e.Fenced {
 		m.rejectedFencing = max(m.rejectedFencing, e.Fencing)
@@ -77,7 +77,7 @@
 		return
 	}
 	r.phase, r.lastRead = unanswered, now
-	m.effects = append(m.effects, Tell{News: wasabiridge.BackoffUpdate{Backend: r.server.ID, Drain: drainTTL}})
+	m.effects = append(m.effects, SendUpdate{Update: wasabiridge.BackoffUpdate{Backend: r.server.ID, Drain: drainTTL}})
 }
 
 // markAccepted records that a replica has accepted its order. If the order had no answer
@@ -88,10 +88,10 @@
 		return
 	}
 	r.phase, r.lastRead = ordered, now
-	m.effects = append(m.effects, Tell{News: wasabiridge.BackoffUpdate{Backend: r.server.ID, Backoff: backoffTTL}})
+	m.effects = append(m.effects, SendUpdate{Update: wasabiridge.BackoffUpdate{Backend: r.server.ID, Backoff: backoffTTL}})
 }
 
-func (m *Machine) handleStateRead(now wasabiridge.Millis, e StateRead) {
+func (m *Machine) handleStateResult(now wasabiridge.Millis, e StateResult) {
 	r := m.replicas[unit{e.Backend, e.Model}]
 	if r == nil {
 		return
@@ -137,7 +137,7 @@
 		m.startBackoff(now, r)
 	case !r.drainAnnounced:
 		r.drainAnnounced, r.since = true, now
-		m.effects = append(m.effects, Tell{News: wasabiridge.BackoffUpdate{Backend: r.server.ID, Drain: drainTTL}})
+		m.effects = append(m.effects, SendUpdate{Update: wasabiridge.BackoffUpdate{Backend: r.server.ID, Drain: drainTTL}})
 	}
 }
 
@@ -158,8 +158,8 @@
 // finish ends the upgrade of a replica and notifies all instances of its new weights.
 func (m *Machine) finish(now wasabiridge.Millis, r *replica) {
 	if r.phase == ordered || r.phase == unanswered {
-		m.effects = append(m.effects, Upgraded{Backend: r.server.ID, Model: r.model, Weights: r.serves, Rested: r.backoffTime, Loaded: now - r.since})
+		m.effects = append(m.effects, Upgraded{Backend: r.server.ID, Model: r.model, Weights: r.serves, Backoff: r.backoffTime, LoadTime: now - r.since})
 	}
 	r.phase = idle
-	m.effects = append(m.effects, Tell{News: wasabiridge.BackoffUpdate{Backend: r.server.ID, Model: r.model, Weights: r.serves, Incarnation: r.server.Incarnation}})
+	m.effects = append(m.effects, SendUpdate{Update: wasabiridge.BackoffUpdate{Backend: r.server.ID, Model: r.model, Weights: r.serves, Incarnation: r.server.Incarnation}})
 }
--- a/internal/wasabiupgrade/times.go
+++ b/internal/wasabiupgrade/times.go
@@ -15,9 +15,9 @@
 	significantDigits = 2
 )
 
-// Times holds histograms of the durations of upgrade phases, in milliseconds. The zero
-// value is empty and ready to use. It is safe for concurrent use.
-type Times struct {
+// Durations holds histograms of the durations of upgrade phases, in milliseconds. The
+// zero value is empty and ready to use. It is safe for concurrent use.
+type Durations struct {
 	mu             sync.Mutex
 	rested, loaded *hdrhistogram.Histogram
 }
@@ -30,14 +30,14 @@
 	P50, P95 int64
 }
 
-func (t *Times) add(e Upgraded) {
+func (t *Durations) add(e Upgraded) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.rested == nil {
 		t.rested, t.loaded = hdrhistogram.New(1, maxMillis, significantDigits), hdrhistogram.New(1, maxMillis, significantDigits)
 	}
-	record(t.rested, e.Rested)
-	record(t.loaded, e.Loaded)
+	record(t.rested, e.Backoff)
+	record(t.loaded, e.LoadTime)
 }
 
 // record records a duration. Values outside the range are clamped to it.
@@ -46,7 +46,7 @@
 }
 
 // Phases returns the summaries of all phases, or nil if no upgrade has completed yet.
-func (t *Times) Phases() []Phase {
+func (t *Durations) Phases() []Phase {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.rested == nil {
--- a/internal/wasabiupgrade/upgrade_test.go
+++ b/internal/wasabiupgrade/upgrade_test.go
@@ -100,7 +100,7 @@
 		})
 		f.loading = max(f.loading, len(f.done))
 		f.handle(wasabiupgrade.Ticked{
-			Entries: f.entries(), Wanted: map[wasabiridge.ModelID]wasabiridge.WeightsVersion{model: f.wanted}, Grant: f.grant,
+			Entries: f.entries(), Targets: map[wasabiridge.ModelID]wasabiridge.WeightsVersion{model: f.wanted}, Grant: f.grant,
 		})
 	}
 }
@@ -120,12 +120,12 @@
 func (f *fleet) handle(e wasabiupgrade.Event) {
 	for _, effect := range slices.Clone(f.machine.Handle(f.now, e)) {
 		switch x := effect.(type) {
-		case wasabiupgrade.Tell:
-			f.updates = append(f.updates, x.News)
+		case wasabiupgrade.SendUpdate:
+			f.updates = append(f.updates, x.Update)
 		case wasabiupgrade.SendOrder:
 			f.orders = append(f.orders, x)
 			id := x.Server.ID
-			result := wasabiupgrade.Ordered{Backend: id, Model: x.Order.Model, Fencing: x.Order.Fencing, Unsure: true}
+			result := wasabiupgrade.OrderResult{Backend: id, Model: x.Order.Model, Fencing: x.Order.Fencing, Unsure: true}
 			switch {
 			case f.lose == nil || !f.lose(id):
 				result.Unsure = !f.accept(x)
@@ -136,11 +136,11 @@
 		case wasabiupgrade.ReadState:
 			id := x.Server.ID
 			if f.unresponsive[id] {
-				f.handle(wasabiupgrade.StateRead{Backend: id, Model: x.Model, Failed: true})
+				f.handle(wasabiupgrade.StateResult{Backend: id, Model: x.Model, Failed: true})
 				continue
 			}
 			_, busy := f.done[id]
-			f.handle(wasabiupgrade.StateRead{Backend: id, Model: x.Model, State: wasabiridge.EngineState{
+			f.handle(wasabiupgrade.StateResult{Backend: id, Model: x.Model, State: wasabiridge.EngineState{
 				Weights: f.serves[id], Loading: busy, Orders: f.accepted[id], Incarnation: f.incarnations[id],
 			}})
 		}
@@ -400,7 +400,7 @@
 		f := newFleet(2)
 		f.hold(7)
 		f.wanted = 2
-		f.handle(wasabiupgrade.Heard{Backend: id(0)})
+		f.handle(wasabiupgrade.UpdateReceived{Backend: id(0)})
 		f.run(2900)
 		for _, o := range f.orders {
 			Expect(o.Server.ID).To(Equal(id(1)))
@@ -420,7 +420,7 @@
 		loading, most := 0, 0
 		for now := wasabiridge.Millis(1e6); now < 1e6+12000; now += 50 {
 			entry := wasabiridge.BackendEntry{Server: wasabiridge.BackendServer{ID: "e"}, Weights: maps.Clone(serves)}
-			events := []wasabiupgrade.Event{wasabiupgrade.Ticked{Entries: []wasabiridge.BackendEntry{entry}, Wanted: wanted, Grant: grant}}
+			events := []wasabiupgrade.Event{wasabiupgrade.Ticked{Entries: []wasabiridge.BackendEntry{entry}, Targets: wanted, Grant: grant}}
 			for len(events) > 0 {
 				e := events[0]
 				events = events[1:]
@@ -429,13 +429,13 @@
 					case wasabiupgrade.SendOrder:
 						loading++
 						most = max(most, loading)
-						events = append(events, wasabiupgrade.Ordered{Backend: "e", Model: x.Order.Model, Fencing: 1})
+						events = append(events, wasabiupgrade.OrderResult{Backend: "e", Model: x.Order.Model, Fencing: 1})
 					case wasabiupgrade.ReadState:
 						if loading > 0 {
 							serves[x.Model] = wanted[x.Model]
 						}
 						loading = 0
-						events = append(events, wasabiupgrade.StateRead{Backend: "e", Model: x.Model, State: wasabiridge.EngineState{Models: maps.Clone(serves)}})
+						events = append(events, wasabiupgrade.StateResult{Backend: "e", Model: x.Model, State: wasabiridge.EngineState{Models: maps.Clone(serves)}})
 					}
 				}
 			}
@@ -450,7 +450,7 @@
 		f.wanted = 2
 		f.run(400)
 		sent := len(f.orders)
-		f.handle(wasabiupgrade.Ordered{Backend: id(0), Model: model, Fencing: 3, Fenced: true})
+		f.handle(wasabiupgrade.OrderResult{Backend: id(0), Model: model, Fencing: 3, Fenced: true})
 		f.run(6000)
 		Expect(f.orders).To(HaveLen(sent))
 		f.hold(4)
