--- a/internal/wasabinode/crash_test.go
+++ b/internal/wasabinode/crash_test.go
@@ -25,10 +25,10 @@
 	g := &crashRig{rig: newRig()}
 	for i := range engines {
 		g.engines = append(g.engines, g.replica(standin.ReplicaOptions{
-			ID: fmt.Sprint("e", i), Service: "lm", Model: "m", Work: 2 * time.Millisecond, CrashOn: fatal, Back: 500 * time.Millisecond,
+			ID: fmt.Sprint("e", i), Service: "lm", Model: "m", ProcessingTime: 2 * time.Millisecond, CrashOn: fatal, RestartDelay: 500 * time.Millisecond,
 		}))
 	}
-	g.store.NameWeights("m", 1)
+	g.store.SetTargetWeights("m", 1)
 	g.configure(1, "k")
 	return g
 }
@@ -44,7 +44,7 @@
 func (g *crashRig) crashes() int {
 	n := 0
 	for _, e := range g.engines {
-		n += e.Ends()
+		n += e.Crashes()
 	}
 	return n
 }
--- a/internal/wasabinode/limit_test.go
+++ b/internal/wasabinode/limit_test.go
@@ -29,9 +29,9 @@
 		g := newRig()
 		engines := map[string]*standin.Replica{}
 		for _, id := range []string{"e1", "e2"} {
-			engines[id] = g.replica(standin.ReplicaOptions{ID: id, Service: "lm", Model: "m", Work: time.Millisecond})
+			engines[id] = g.replica(standin.ReplicaOptions{ID: id, Service: "lm", Model: "m", ProcessingTime: time.Millisecond})
 		}
-		g.store.NameWeights("m", 1)
+		g.store.SetTargetWeights("m", 1)
 		g.configure(1, "k")
 		n := g.start()
 		sent := 0
--- a/internal/wasabinode/node_test.go
+++ b/internal/wasabinode/node_test.go
@@ -256,7 +256,7 @@
 		g.replica(standin.ReplicaOptions{ID: "s1", Service: "app"})
 		g.configure(1, "k")
 		Eventually(status(first.caller, "/book/x", "k"), "3s").Should(Equal(http.StatusOK))
-		g.store.Fail(standin.Busy)
+		g.store.Fail(standin.Unavailable)
 		second := g.start()
 		Eventually(status(second.caller, "/open/x", ""), "3s").Should(Equal(http.StatusOK))
 	})
@@ -270,11 +270,11 @@
 		g.replica(standin.ReplicaOptions{ID: "s1", Service: "app"})
 		g.configure(1, "k")
 		Eventually(status(n.caller, "/book/x", "k"), "3s").Should(Equal(http.StatusOK))
-		g.store.Fail(standin.Reset)
+		g.store.Fail(standin.LostRequest)
 		g.configure(2)
 		Eventually(status(n.caller, "/book/x", "k"), "4s").Should(Equal(http.StatusServiceUnavailable))
 		Expect(status(n.caller, "/open/x", "")()).To(Equal(http.StatusOK))
-		g.store.Fail(standin.Well)
+		g.store.Fail(standin.Healthy)
 		Eventually(status(n.caller, "/book/x", "k"), "3s").Should(Equal(http.StatusUnauthorized))
 	})
 
@@ -285,7 +285,7 @@
 		g.configure(1, "k")
 		Eventually(status(n.caller, "/book/x", "k"), "3s").Should(Equal(http.StatusOK))
 		second := g.replica(standin.ReplicaOptions{ID: "s2", Service: "app"})
-		first.Leave()
+		first.Drain()
 		Eventually(func() int { return len(second.Runs()) + status(n.caller, "/book/x", "k")()*0 }, "3s").Should(BeNumerically(">", 0))
 		before := len(first.Runs())
 		for range 10 {
@@ -300,12 +300,12 @@
 		g.start()
 		var engines []*standin.Replica
 		for i := range 3 {
-			engines = append(engines, g.replica(standin.ReplicaOptions{ID: fmt.Sprint("e", i), Service: "lm", Model: "m", Load: 50 * time.Millisecond}))
+			engines = append(engines, g.replica(standin.ReplicaOptions{ID: fmt.Sprint("e", i), Service: "lm", Model: "m", LoadTime: 50 * time.Millisecond}))
 		}
-		g.store.NameWeights("m", 1)
+		g.store.SetTargetWeights("m", 1)
 		g.configure(1, "k")
 		Eventually(status(n.caller, "/chat/x", "k"), "3s").Should(Equal(http.StatusOK))
-		g.store.NameWeights("m", 2)
+		g.store.SetTargetWeights("m", 2)
 		holders := map[string]bool{}
 		for _, e := range engines {
 			Eventually(e.Orders, "12s").ShouldNot(BeEmpty())
@@ -343,7 +343,7 @@
 		for i := range 4 {
 			g.replica(standin.ReplicaOptions{ID: fmt.Sprint("e", i), Service: "lm", Model: "m"})
 		}
-		g.store.NameWeights("m", 1)
+		g.store.SetTargetWeights("m", 1)
 		g.configure(1, "k")
 		before := g.start()
 		Eventually(status(before.caller, "/chat/x", "k"), "3s").Should(Equal(http.StatusOK))
@@ -363,7 +363,7 @@
 	It("that drains is not listed, serves requests that arrive, and aborts none", func() {
 		g := newRig()
 		leaving, staying := g.start(), g.start()
-		g.replica(standin.ReplicaOptions{ID: "s1", Service: "app", Work: 700 * time.Millisecond})
+		g.replica(standin.ReplicaOptions{ID: "s1", Service: "app", ProcessingTime: 700 * time.Millisecond})
 		g.configure(1, "k")
 		Eventually(status(leaving.caller, "/open/x", ""), "5s").Should(Equal(http.StatusOK))
 		listed := func(at, caller string) func() bool {
