--- a/internal/wasabirollout/doc.go
+++ b/internal/wasabirollout/doc.go
@@ -21,10 +21,10 @@
 //
 // # Usage
 //
-//	keeper := wasabirollout.New(wasabirollout.Options{
+//	controller := wasabirollout.New(wasabirollout.Options{
 //		Self: "pos-1", Incarnation: incarnation, Table: table, Clock: clock,
 //		Weights: weights, Engines: wasabiorder.NewClient(nil), Config: current,
 //	})
-//	go keeper.Run(ctx)
-//	r, err = keeper.Start(ctx, wasabiridge.Rollout{Pool: "answers", Model: "large", Weights: 7})
+//	go controller.Run(ctx)
+//	r, err = controller.Start(ctx, wasabiridge.Rollout{Pool: "answers", Model: "large", Weights: 7})
 package wasabirollout
