--- a/internal/wasabirollout/controller.go
+++ b/internal/wasabirollout/controller.go
@@ -1,234 +1,210 @@
 package wasabirollout
 
 import (
-	"sort"
-	"strconv"
-
-	"github.com/cespare/xxhash/v2"
+	"context"
+	"fmt"
 
 	"github.com/wasabiridge/wasabiridge"
 	"github.com/wasabiridge/wasabiridge/internal/wasabilease"
-	"github.com/wasabiridge/wasabiridge/internal/wasabiorder"
-)
-
-const (
-	// progressInterval is the minimum time between two writes of the progress
-	// while the state of the rollout is unchanged.
-	progressInterval = 5 * wasabiridge.Second
-	// drivingPoll and idlePoll are the intervals for polling the rollout rows,
-	// by an instance that drives a rollout and by one that does not.
-	drivingPoll = wasabiridge.Second
-	idlePoll    = 10 * wasabiridge.Second
-	// maxRollouts is the maximum number of rows per read.
-	maxRollouts = 500
-
-	blockedByConfig = "pool is not in the configuration"
+	"github.com/wasabiridge/wasabiridge/internal/wasabitable"
 )
 
-// poolRollout is the state of an active rollout of one pool.
-type poolRollout struct {
-	record   record
-	revision uint64
-	driver   *driver
-	// fencing is the fencing number of the lease under which the pool is
-	// driven. requiredList is the number of the first list that started after
-	// that lease was acquired; it must have succeeded before orders are sent.
-	fencing      wasabiridge.FencingNumber
-	requiredList uint64
-	// writeInFlight is set while progress is being written to the table.
-	writeInFlight bool
-	writtenAt     wasabiridge.Millis
+// Options configures a Controller.
+type Options struct {
+	Self wasabiridge.InstanceID
+	// Incarnation must be unique for each start of the instance.
+	Incarnation wasabiridge.Incarnation
+	Table       wasabiridge.Table
+	Clock       wasabiridge.Clock
+	Weights     wasabiridge.WeightStore
+	Engines     wasabiridge.EngineOperator
+	// Config returns the current configuration.
+	Config func() wasabiridge.Config
+	// Members returns the instances in the membership view, with or without
+	// this one. A few of them contend for the lease of each pool. If it is nil,
+	// this instance contends for all leases.
+	Members func() []wasabiridge.InstanceID
+	// Recorder receives timeline events. Nil discards them.
+	Recorder wasabiridge.Recorder
+	Limits   Limits
+	Lease    wasabilease.Timing
 }
 
-// controller drives the rollouts of an instance. It is deterministic. It is not
-// safe for concurrent use.
-type controller struct {
-	self         wasabiridge.InstanceID
-	incarnation  wasabiridge.Incarnation
-	limits       Limits
-	poolRollouts map[wasabiridge.PoolID]*poolRollout
-	listInFlight bool
-	// lists counts the started lists of rows; lastList is the last one that
-	// succeeded.
-	lists, lastList uint64
-	// listAt is when the rows are listed next. It is zero before the first
-	// tick.
-	listAt  wasabiridge.Millis
-	writes  uint64
-	effects []controllerEffect
+// Controller implements wasabiridge.RolloutController. It drives rollouts while Run is
+// running. It is safe for concurrent use.
+type Controller struct {
+	options Options
+	writer  *wasabitable.Writer
+	// rowChanges notifies the driving goroutine that a row has changed. It
+	// buffers one notification; further ones are dropped, because a single read
+	// sees all changes.
+	rowChanges chan struct{}
 }
 
-func newController(self wasabiridge.InstanceID, incarnation wasabiridge.Incarnation, l Limits) *controller {
-	return &controller{self: self, incarnation: incarnation, limits: l.withDefaults(), poolRollouts: make(map[wasabiridge.PoolID]*poolRollout)}
-}
+var _ wasabiridge.RolloutController = (*Controller)(nil)
 
-// pools returns the pools with an active rollout, in sorted order.
-func (f *controller) pools() []wasabiridge.PoolID {
-	ids := make([]wasabiridge.PoolID, 0, len(f.poolRollouts))
-	for id := range f.poolRollouts {
-		ids = append(ids, id)
+// New returns a Controller. It drives no rollouts until Run is called.
+func New(o Options) *Controller {
+	name := fmt.Sprintf("%s/%d/rollouts", o.Self, o.Incarnation)
+	return &Controller{
+		options:    o,
+		writer:     wasabitable.NewWriter(o.Table, wasabitable.WriterOptions{Name: name}),
+		rowChanges: make(chan struct{}, 1),
 	}
-	sort.Slice(ids, func(i, j int) bool { return ids[i] < ids[j] })
-	return ids
 }
 
-// handle applies an event and returns the effects to execute. The result is
-// valid until the next call.
-func (f *controller) handle(now wasabiridge.Millis, e controllerEvent) []controllerEffect {
-	f.effects = f.effects[:0]
-	switch e := e.(type) {
-	case ticked:
-		f.tick(now, e)
-	case rowsListed:
-		f.handleRows(now, e)
-	case callEnded:
-		f.handleCallEnded(now, e)
-	case progressWritten:
-		if c := f.poolRollouts[e.Pool]; c != nil {
-			// Whether the write succeeded or not, the row must be read before
-			// the next write.
-			c.writeInFlight, c.revision = false, 0
-			f.listAt = now
-		}
-	case rolloutChanged:
-		f.listAt = now
-	}
-	return f.effects
+// Start starts a rollout. It returns ErrInvalid for an unknown pool or
+// unpublished weights, ErrConflict if a rollout is active on the pool, and
+// ErrOutcomeUnknown if the table did not answer; List then shows whether the
+// rollout was started.
+func (k *Controller) Start(ctx context.Context, r wasabiridge.Rollout) (wasabiridge.Rollout, error) {
+	pool, ok := k.options.Config().Pool(r.Pool)
+	if !ok {
+		return wasabiridge.Rollout{}, wasabiridge.ErrInvalid.New("rollout: there is no pool %q", r.Pool)
+	}
+	latest, err := k.options.Weights.Latest(ctx, r.Model, r.Adapter)
+	if err != nil {
+		return wasabiridge.Rollout{}, err
+	}
+	if r.Weights == 0 || r.Weights > latest {
+		return wasabiridge.Rollout{}, wasabiridge.ErrInvalid.New(
+			"rollout: version %d of %q is not published, the latest is %d", r.Weights, r.Model, latest)
+	}
+	var row wasabiridge.Row
+	var current record
+	if row, current, err = k.load(ctx, r.Pool); err != nil {
+		return wasabiridge.Rollout{}, err
+	}
+	if current.isActive() {
+		return wasabiridge.Rollout{}, wasabiridge.ErrConflict.New(
+			"rollout: %s to version %d is %s", current.Current.ID, current.Current.Weights, current.Current.State)
+	}
+	if r.Weights < current.Current.Weights {
+		return wasabiridge.Rollout{}, wasabiridge.ErrInvalid.New(
+			"rollout: pool %q has version %d; publish the former weights under a new number", r.Pool, current.Current.Weights)
+	}
+	r = startedRollout(r, len(pool.Backends))
+	return r, k.store(ctx, row, current.withNext(r))
 }
 
-func (f *controller) tick(now wasabiridge.Millis, t ticked) {
-	driving := false
-	for _, id := range f.pools() {
-		c, grant := f.poolRollouts[id], t.Grants[id]
-		driving = driving || grant.Covers(now, 0)
-		if !f.hasCurrentRow(now, c, grant) {
-			continue
-		}
-		pool, configured := t.Config.Pool(id)
-		if configured {
-			c.driver.setPool(pool)
-			f.calls(id, c.driver.tick(now, grant))
-		}
-		f.reportProgress(now, id, c, grant, configured)
-	}
-	if f.listAt == 0 {
-		// The offset by instance spreads the reads of instances that restart
-		// together.
-		f.listAt = now + wasabiridge.Millis(xxhash.Sum64String(string(f.self))%uint64(idlePoll))
-	}
-	if now >= f.listAt && !f.listInFlight {
-		f.listInFlight = true
-		f.lists++
-		f.listAt = now + idlePoll
-		if driving {
-			f.listAt = now + drivingPoll
-		}
-		f.effects = append(f.effects, listRows{Prefix: rowPrefix, Limit: maxRollouts})
+// startedRollout returns r with the initial values of its ID, state and
+// progress.
+func startedRollout(r wasabiridge.Rollout, total int) wasabiridge.Rollout {
+	if r.ID == "" {
+		r.ID = fmt.Sprintf("%s-%d", r.Pool, r.Weights)
 	}
+	r.State, r.Done, r.Total, r.Blocked = stateRunning, 0, total, ""
+	return r
 }
 
-// hasCurrentRow reports whether the row was read since the lease was acquired.
-//
-// It guards against this failure: a rollout is paused or ends, its driver
-// releases the lease, and another instance acquires it while its copy of the
-// row still says that the rollout is running. That instance would send orders
-// for a rollout that has stopped.
-func (f *controller) hasCurrentRow(now wasabiridge.Millis, c *poolRollout, g wasabilease.Grant) bool {
-	if g.Fencing == 0 {
-		return true
-	}
-	if g.Fencing != c.fencing {
-		c.fencing, c.requiredList = g.Fencing, f.lists+1
-		f.listAt = now
-	}
-	return f.lastList >= c.requiredList
+// Apply applies an action to the current rollout: "pause", "resume" or
+// "rollback". A rollback starts a rollout of the latest published version and
+// returns it. It returns ErrInvalid if no version newer than the current one is
+// published.
+func (k *Controller) Apply(ctx context.Context, id, action string) (wasabiridge.Rollout, error) {
+	row, current, err := k.find(ctx, id)
+	if err != nil {
+		return wasabiridge.Rollout{}, err
+	}
+	var next record
+	if next, err = k.applyAction(ctx, current, action); err != nil {
+		return wasabiridge.Rollout{}, err
+	}
+	return next.Current, k.store(ctx, row, next)
 }
 
-func (f *controller) calls(id wasabiridge.PoolID, effects []reconcilerEffect) {
-	for _, e := range effects {
-		f.effects = append(f.effects, callEngine{Pool: id, Call: e})
+func (k *Controller) applyAction(ctx context.Context, r record, action string) (record, error) {
+	switch {
+	case action == "pause" && r.Current.State == stateRunning:
+		r.Current.State, r.Current.Blocked = statePaused, blockedByPause
+		return r, nil
+	case action == "resume" && r.Current.State == statePaused:
+		r.Current.State, r.Current.Blocked = stateRunning, ""
+		return r, nil
+	case action == "rollback" && r.Current.State != stateRolledBack:
+		return k.applyRollback(ctx, r)
+	case action == "pause" || action == "resume" || action == "rollback":
+		return record{}, wasabiridge.ErrConflict.New("rollout: %s is %s", r.Current.ID, r.Current.State)
+	default:
+		return record{}, wasabiridge.ErrInvalid.New("rollout: there is no action %q", action)
 	}
 }
 
-func (f *controller) handleCallEnded(now wasabiridge.Millis, e callEnded) {
-	c := f.poolRollouts[e.Pool]
-	if c == nil {
-		return
+func (k *Controller) applyRollback(ctx context.Context, r record) (record, error) {
+	latest, err := k.options.Weights.Latest(ctx, r.Current.Model, r.Current.Adapter)
+	if err != nil {
+		return record{}, err
 	}
-	grant := e.Grant
-	if !f.hasCurrentRow(now, c, grant) {
-		// The reconciler must be notified of the end of its call, without a grant
-		// to send further orders.
-		grant = wasabilease.Grant{}
+	if latest <= r.Current.Weights {
+		return record{}, wasabiridge.ErrInvalid.New(
+			"rollout: publish the former weights under a number above %d first", r.Current.Weights)
 	}
-	f.calls(e.Pool, c.driver.handle(now, grant, e.Event))
+	next := r.Current
+	next.ID, next.Weights = "", latest
+	next = startedRollout(next, r.Current.Total)
+	r.Current.State, r.Current.Blocked = stateRolledBack, ""
+	return r.withNext(next), nil
 }
 
-func (f *controller) handleRows(now wasabiridge.Millis, l rowsListed) {
-	f.listInFlight = false
-	if l.Err != nil {
-		return
-	}
-	f.lastList = f.lists
-	seen := make(map[wasabiridge.PoolID]bool)
-	for _, row := range l.Rows {
-		r, err := decodeRecord(row.Value)
-		if err != nil || !r.isActive() {
-			// Unreadable rows are left for an operator to repair.
-			continue
+// List returns the current and past rollouts of all pools.
+func (k *Controller) List(ctx context.Context) ([]wasabiridge.Rollout, error) {
+	rows, err := k.options.Table.List(ctx, rowPrefix, "", maxRollouts)
+	if err != nil {
+		return nil, err
+	}
+	var out []wasabiridge.Rollout
+	for _, row := range rows {
+		var r record
+		if r, err = decodeRecord(row.Value); err != nil {
+			return nil, err
 		}
-		seen[r.Current.Pool] = true
-		f.adopt(now, r, row.Revision)
+		out = append(append(out, r.Current), r.Past...)
 	}
-	for _, id := range f.pools() {
-		if !seen[id] {
-			delete(f.poolRollouts, id)
-			f.effects = append(f.effects, leaveLease{Pool: id})
-		}
+	return out, nil
+}
+
+func (k *Controller) load(ctx context.Context, pool wasabiridge.PoolID) (wasabiridge.Row, record, error) {
+	row, err := k.options.Table.Get(ctx, rowKey(pool))
+	if err != nil || row.Revision == 0 {
+		return row, record{}, err
 	}
+	r, err := decodeRecord(row.Value)
+	return row, r, err
 }
 
-// adopt applies a rollout row.
-func (f *controller) adopt(now wasabiridge.Millis, r record, revision uint64) {
-	id := r.Current.Pool
-	c := f.poolRollouts[id]
-	if c == nil {
-		c = &poolRollout{driver: newDriver(r.Current, wasabiridge.Pool{ID: id}, f.limits, now)}
-		f.poolRollouts[id] = c
-		f.effects = append(f.effects, contendLease{Pool: id})
-	}
-	if before := c.driver.rollout; before.ID != r.Current.ID || before.Weights != r.Current.Weights {
-		// Orders of the previous rollout may be in flight. They must not arrive
-		// after those of the new one, which carry the same fencing number.
-		startAt := now + wasabiorder.MaxOrderDelay(f.limits.Order)
-		c.driver = newDriver(r.Current, wasabiridge.Pool{ID: id}, f.limits, startAt)
-	}
-	c.driver.rollout.State = r.Current.State
-	c.record, c.revision = r, revision
+func (k *Controller) find(ctx context.Context, id string) (wasabiridge.Row, record, error) {
+	rows, err := k.options.Table.List(ctx, rowPrefix, "", maxRollouts)
+	if err != nil {
+		return wasabiridge.Row{}, record{}, err
+	}
+	for _, row := range rows {
+		var r record
+		if r, err = decodeRecord(row.Value); err == nil && r.Current.ID == id {
+			return row, r, nil
+		}
+	}
+	return wasabiridge.Row{}, record{}, wasabiridge.ErrNotFound.New("rollout: there is no current rollout %q", id)
 }
 
-// reportProgress writes the progress to the row, at a low rate and only while
-// this instance holds the lease.
-func (f *controller) reportProgress(now wasabiridge.Millis, id wasabiridge.PoolID, c *poolRollout, g wasabilease.Grant, configured bool) {
-	if c.writeInFlight || c.revision == 0 || !g.Covers(now, 0) {
-		return
+func (k *Controller) store(ctx context.Context, row wasabiridge.Row, r record) error {
+	change := wasabiridge.RowChange{Key: rowKey(r.Current.Pool), IfRevision: row.Revision, Value: encodeRecord(r)}
+	if err := k.writer.Commit(ctx, wasabitable.Write{Changes: []wasabiridge.RowChange{change}}); err != nil {
+		return err
 	}
-	p := c.driver.progress(now)
-	if !configured {
-		p = c.record.Current
-		p.Blocked = blockedByConfig
+	k.record(r.Current)
+	select {
+	case k.rowChanges <- struct{}{}:
+	default:
 	}
-	if p == c.record.Current || p.State == c.record.Current.State && now-c.writtenAt < progressInterval {
+	return nil
+}
+
+func (k *Controller) record(r wasabiridge.Rollout) {
+	if k.options.Recorder == nil {
 		return
 	}
-	f.writes++
-	tx := wasabiridge.Transaction{
-		ID: wasabiridge.WriteID(string(f.self) + "/" + strconv.FormatUint(uint64(f.incarnation), 36) +
-			"/rollout/" + strconv.FormatUint(f.writes, 36)),
-		Changes: []wasabiridge.RowChange{{
-			Key: rowKey(id), IfRevision: c.revision, Value: encodeRecord(c.record.withCurrent(p)),
-		}},
-	}
-	c.writeInFlight, c.writtenAt = true, now
-	f.effects = append(f.effects, writeProgress{Pool: id, Transaction: tx, Rollout: p})
+	k.options.Recorder.Record(wasabiridge.TimelineEvent{
+		At: k.options.Clock.Now(), Instance: k.options.Self, Kind: wasabiridge.EventRollout,
+		Cause: r.ID + " " + r.State, Value: int64(r.Done),
+	})
 }
--- a/internal/wasabirollout/events.go
+++ b/internal/wasabirollout/events.go
@@ -5,8 +5,8 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabilease"
 )
 
-// controllerEvent is an input of a controller.
-type controllerEvent interface{ isControllerEvent() }
+// machineEvent is an input of a machine.
+type machineEvent interface{ isMachineEvent() }
 
 // ticked reports that time has passed.
 type ticked struct {
@@ -36,14 +36,14 @@
 // instance.
 type rolloutChanged struct{}
 
-func (ticked) isControllerEvent()          {}
-func (rowsListed) isControllerEvent()      {}
-func (callEnded) isControllerEvent()       {}
-func (progressWritten) isControllerEvent() {}
-func (rolloutChanged) isControllerEvent()  {}
+func (ticked) isMachineEvent()          {}
+func (rowsListed) isMachineEvent()      {}
+func (callEnded) isMachineEvent()       {}
+func (progressWritten) isMachineEvent() {}
+func (rolloutChanged) isMachineEvent()  {}
 
-// controllerEffect is an effect that a controller requests.
-type controllerEffect interface{ isControllerEffect() }
+// machineEffect is an effect that a machine requests.
+type machineEffect interface{ isMachineEffect() }
 
 // listRows reads all rollout rows.
 type listRows struct {
@@ -71,8 +71,8 @@
 	leaveLease   struct{ Pool wasabiridge.PoolID }
 )
 
-func (listRows) isControllerEffect()      {}
-func (callEngine) isControllerEffect()    {}
-func (writeProgress) isControllerEffect() {}
-func (contendLease) isControllerEffect()  {}
-func (leaveLease) isControllerEffect()    {}
+func (listRows) isMachineEffect()      {}
+func (callEngine) isMachineEffect()    {}
+func (writeProgress) isMachineEffect() {}
+func (contendLease) isMachineEffect()  {}
+func (leaveLease) isMachineEffect()    {}
--- a/internal/wasabirollout/export_test.go
+++ b/internal/wasabirollout/export_test.go
@@ -34,9 +34,9 @@
 // IdleReads returns how often an instance that drives no rollout reads the
 // rollout rows within the span.
 func IdleReads(self wasabiridge.InstanceID, span wasabiridge.Millis) int {
-	f, reads := newController(self, 1, Limits{}), 0
+	f, reads := newMachine(self, 1, Limits{}), 0
 	for now := wasabiridge.Day; now < wasabiridge.Day+span; now += 100 {
-		for _, e := range append([]controllerEffect(nil), f.handle(now, ticked{})...) {
+		for _, e := range append([]machineEffect(nil), f.handle(now, ticked{})...) {
 			if _, ok := e.(listRows); ok {
 				reads++
 				f.handle(now, rowsListed{})
--- a/internal/wasabirollout/run.go
+++ b/internal/wasabirollout/run.go
@@ -46,7 +46,7 @@
 			task()
 		}()
 	}
-	jobs, results := make(chan controllerEffect, jobQueueSize), make(chan controllerEvent, jobQueueSize)
+	jobs, results := make(chan machineEffect, jobQueueSize), make(chan machineEvent, jobQueueSize)
 	for range workers {
 		start(func() { k.work(ctx, jobs, results) })
 	}
@@ -55,20 +55,20 @@
 	wg.Wait()
 }
 
-// decide runs the controller. It is the only goroutine that uses it.
-func (k *Controller) decide(ctx context.Context, start func(func()), jobs chan<- controllerEffect, results <-chan controllerEvent) {
-	f := newController(k.options.Self, k.options.Incarnation, k.options.Limits)
+// decide runs the machine. It is the only goroutine that uses it.
+func (k *Controller) decide(ctx context.Context, start func(func()), jobs chan<- machineEffect, results <-chan machineEvent) {
+	f := newMachine(k.options.Self, k.options.Incarnation, k.options.Limits)
 	contenders := make(map[wasabiridge.PoolID]*contender)
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	var pending []controllerEffect
+	var pending []machineEffect
 	for {
-		var out chan<- controllerEffect
-		var next controllerEffect
+		var out chan<- machineEffect
+		var next machineEffect
 		if len(pending) > 0 {
 			next, out = pending[0], jobs
 		}
-		var event controllerEvent
+		var event machineEvent
 		select {
 		case out <- next:
 			pending = pending[1:]
@@ -138,9 +138,9 @@
 	return wasabilease.Grant{}
 }
 
-func (k *Controller) work(ctx context.Context, jobs <-chan controllerEffect, results chan<- controllerEvent) {
+func (k *Controller) work(ctx context.Context, jobs <-chan machineEffect, results chan<- machineEvent) {
 	for {
-		var result controllerEvent
+		var result machineEvent
 		select {
 		case job := <-jobs:
 			result = k.execute(ctx, job)
@@ -155,7 +155,7 @@
 	}
 }
 
-func (k *Controller) execute(ctx context.Context, job controllerEffect) controllerEvent {
+func (k *Controller) execute(ctx context.Context, job machineEffect) machineEvent {
 	switch j := job.(type) {
 	case callEngine:
 		return callEnded{Pool: j.Pool, Event: reconcilerEvent{Backend: j.Call.Backend, Event: k.call(ctx, j.Call.Effect)}}
