--- a/internal/wasabiclaim/cluster_test.go
+++ b/internal/wasabiclaim/cluster_test.go
@@ -23,7 +23,7 @@
 	lateCopy time.Duration
 }
 
-// network connects Keepers by direct calls. Calls to a crashed instance fail.
+// network connects controllers by direct calls. Calls to a crashed instance fail.
 type network struct {
 	wasabiridge.PeerClient
 	mu          sync.Mutex
--- a/internal/wasabimember/controller_test.go
+++ b/internal/wasabimember/controller_test.go
@@ -92,7 +92,7 @@
 	return out
 }
 
-var _ = Describe("Keepers over gRPC", func() {
+var _ = Describe("Controllers over gRPC", func() {
 	It("discover each other, spread updates and remove an instance that crashes", func() {
 		all := startInstances(4)
 		for _, n := range all {
