--- a/cmd/wasabirouter/rig_test.go
+++ b/cmd/wasabirouter/rig_test.go
@@ -62,6 +62,9 @@
 	// fromFile gives the routers a configuration file. Otherwise the first
 	// configuration is put by an operator.
 	fromFile bool
+	// program is the router that all routers run at first. Empty means the one of
+	// this build. Otherwise the routers also log what is of use to find faults.
+	program string
 }
 
 // rig is a set of router processes. Everything that they talk to lives in the
@@ -83,6 +86,8 @@
 	id  wasabiridge.InstanceID
 	// settings keep the addresses of the first start, as an instance does.
 	settings wasabisettings.Settings
+	// program is the path of the program of the next start.
+	program string
 
 	mu      sync.Mutex
 	session *gexec.Session
@@ -167,6 +172,10 @@
 	if r.options.fromFile {
 		p.settings.ConfigFile = r.config
 	}
+	p.program = program
+	if r.options.program != "" {
+		p.program, p.settings.LogLevel = r.options.program, "debug"
+	}
 	DeferCleanup(p.kill)
 	return p
 }
@@ -187,7 +196,7 @@
 	GinkgoHelper()
 	text, err := json.Marshal(p.settings)
 	Expect(err).NotTo(HaveOccurred())
-	cmd := exec.Command(program, "run", "--settings", writeFile(GinkgoTB(), "settings.jsonc", string(text)))
+	cmd := exec.Command(p.program, "run", "--settings", writeFile(GinkgoTB(), "settings.jsonc", string(text)))
 	if p.rig.options.oneCore {
 		cmd.Env = append(os.Environ(), "GOMAXPROCS=1")
 	}
