--- a/cmd/wasabirouter/rig_test.go
+++ b/cmd/wasabirouter/rig_test.go
@@ -61,6 +61,9 @@
 	// fromFile starts the routers with a configuration file. Otherwise an operator puts the
 	// first configuration.
 	fromFile bool
+	// program is the router that all routers run at first. Empty means the one of
+	// this build. Otherwise the routers also log what is of use to find faults.
+	program string
 }
 
 // rig is a set of router processes. Engines, service and platform run within the test
@@ -82,6 +85,8 @@
 	id  wasabiridge.InstanceID
 	// settings include the addresses of the first start, which later starts reuse.
 	settings wasabisettings.Settings
+	// program is the path of the program of the next start.
+	program string
 
 	mu      sync.Mutex
 	session *gexec.Session
@@ -166,6 +171,10 @@
 	if r.options.fromFile {
 		p.settings.ConfigFile = r.config
 	}
+	p.program = program
+	if r.options.program != "" {
+		p.program, p.settings.LogLevel = r.options.program, "debug"
+	}
 	DeferCleanup(p.kill)
 	return p
 }
@@ -186,7 +195,7 @@
 	GinkgoHelper()
 	text, err := json.Marshal(p.settings)
 	Expect(err).NotTo(HaveOccurred())
-	cmd := exec.Command(program, "run", "--settings", writeFile(GinkgoTB(), "settings.jsonc", string(text)))
+	cmd := exec.Command(p.program, "run", "--settings", writeFile(GinkgoTB(), "settings.jsonc", string(text)))
 	if p.rig.options.oneCore {
 		cmd.Env = append(os.Environ(), "GOMAXPROCS=1")
 	}
