--- a/internal/wasabibackend/send_test.go
+++ b/internal/wasabibackend/send_test.go
@@ -19,7 +19,7 @@
 // abortAfterRun makes the service run a booking and then close the connection
 // without sending any part of the answer, as a server that crashes at that
 // moment does.
-var abortAfterRun = wasabiserver.Fault{Point: wasabiserver.BeforeHeaders, Manner: wasabiserver.Abort}
+var abortAfterRun = wasabiserver.Fault{Point: wasabiserver.BeforeHeaders, Kind: wasabiserver.Abort}
 
 var _ = Describe("non-idempotent attempts", func() {
 	// Demonstrates the fault that the runner must avoid. The transport holds an
@@ -74,7 +74,7 @@
 
 	It("did not run when the service refuses them with the not_run disposition", func() {
 		service := newService()
-		service.Refuse(1)
+		service.RefuseNext(1)
 		ended, s := run(newRunner(wasabibackend.Options{}), bookingOf(service.Backend(), "visit"))
 		Expect(ended.Result).To(Equal(wasabiridge.AttemptNotRun))
 		Expect(ended.Overloaded).To(BeTrue())
@@ -132,7 +132,7 @@
 		ended, s := run(newRunner(wasabibackend.Options{}), a)
 		Expect(ended.Result).To(Equal(wasabiridge.AttemptNotRun))
 		Expect(s.sent).To(BeZero())
-		Expect(e.Served()).To(BeZero())
+		Expect(e.StartedAnswers()).To(BeZero())
 	},
 		Entry("body is not JSON", func(a *wasabiridge.Attempt) { a.Body = []byte(`{"cache_salt":"x",}`) }),
 		Entry("body is not an object", func(a *wasabiridge.Attempt) { a.Body = []byte(`[]`) }),
@@ -148,7 +148,7 @@
 		Expect(ended.Result).To(Equal(wasabiridge.AttemptNotRun))
 		Expect(ended.Usage.Weights).To(BeEquivalentTo(1))
 		Expect(s.status).To(BeZero())
-		Expect(e.Served()).To(BeZero())
+		Expect(e.StartedAnswers()).To(BeZero())
 	},
 		Entry("other weights", func(a *wasabiridge.Attempt) { a.Weights = 2 }),
 		Entry("another incarnation", func(a *wasabiridge.Attempt) { a.Incarnation = 9 }),
--- a/internal/wasabibudget/budget.go
+++ b/internal/wasabibudget/budget.go
@@ -6,7 +6,7 @@
 // it received itself and its share of the slack. The shares add up to no more than the
 // whole slack, whichever instances see each other:
 //
-//   - Sharers divides by the highest number of instances that were recently seen, so
+//   - InstanceCounter divides by the highest number of instances that were recently seen, so
 //     that partitioned instances do not take larger shares.
 //   - A process that has just started has next to no share, because its predecessor may
 //     have spent it. For the same reason its first requests earn no credit: they stand
@@ -14,11 +14,11 @@
 //
 // # Usage
 //
-//	sharers := wasabibudget.NewSharers(terms, now)
+//	instances := wasabibudget.NewInstanceCounter(terms, now)
 //	budget := wasabibudget.New(terms, now)
-//	sharers.Count(now, 7)
-//	budget.Request(now)
-//	if budget.Spend(now, sharers.Part(now)) {
+//	instances.Record(now, 7)
+//	budget.AddRequest(now)
+//	if budget.Spend(now, instances.SlackShare(now)) {
 //		retry()
 //	}
 //
@@ -95,11 +95,11 @@
 	b.credit = min(b.credit, max(1, b.terms.Ratio*float64(b.sum(&b.requests, creditSlices-1, 0))))
 }
 
-// Request counts a request that this instance received.
+// AddRequest counts a request that this instance received.
 //
 // Requests in the first creditSlices slices of a process earn nothing. Its predecessor
 // may have spent the credit of as many requests ahead, and nothing is known about it.
-func (b *Budget) Request(now wasabiridge.Millis) {
+func (b *Budget) AddRequest(now wasabiridge.Millis) {
 	b.advance(now)
 	if now-b.startedAt >= b.terms.Window*creditSlices/windowSlices {
 		b.requests[b.index(0)]++
--- a/internal/wasabicatalog/scale_test.go
+++ b/internal/wasabicatalog/scale_test.go
@@ -18,7 +18,7 @@
 // simulation runs many instances in virtual time and counts their messages.
 type simulation struct {
 	random  *rand.Rand
-	agenda  wasabitest.Agenda
+	agenda  wasabitest.EventQueue
 	now     wasabiridge.Millis
 	members []*member
 	// config and entries are the state of the platform.
@@ -97,7 +97,7 @@
 }
 
 func (r *simulation) tick(m *member) {
-	r.agenda.Add(r.now+50, func() {
+	r.agenda.Schedule(r.now+50, func() {
 		r.handle(m, wasabicatalog.Ticked{Peers: m.peers, Sources: m.sources})
 		r.tick(m)
 	})
@@ -110,7 +110,7 @@
 }
 
 func (r *simulation) after(limit int, run func()) {
-	r.agenda.Add(r.now+1+wasabiridge.Millis(r.random.IntN(limit)), run)
+	r.agenda.Schedule(r.now+1+wasabiridge.Millis(r.random.IntN(limit)), run)
 }
 
 func (r *simulation) find(id wasabiridge.InstanceID) *member {
@@ -139,26 +139,26 @@
 				s := wasabiridge.BackendSnapshot{Revision: r.changes + 1, Entries: slices.Clone(r.entries)}
 				r.after(8, func() { r.handle(m, wasabicatalog.BackendsRead{Sent: sent, Snapshot: s}) })
 			})
-		case wasabicatalog.AskPeer:
+		case wasabicatalog.QueryPeer:
 			r.query(m, e, sent)
 		case wasabicatalog.Changed:
-			for _, p := range m.tree.Audience(e) {
+			for _, p := range m.tree.Recipients(e) {
 				to := r.find(p.ID)
 				to.updates++
-				r.after(40, func() { r.handle(to, wasabicatalog.NewsHeard{From: m.entry.ID}) })
+				r.after(40, func() { r.handle(to, wasabicatalog.UpdateReceived{From: m.entry.ID}) })
 			}
 		}
 	}
 }
 
-func (r *simulation) query(m *member, e wasabicatalog.AskPeer, sent wasabiridge.Millis) {
+func (r *simulation) query(m *member, e wasabicatalog.QueryPeer, sent wasabiridge.Millis) {
 	to := r.find(e.Peer.ID)
 	to.queries++
 	r.after(40, func() {
-		answer := wasabicatalog.PeerAnswered{Sent: sent, Peer: e.Peer.ID}
+		answer := wasabicatalog.PeerResponded{Sent: sent, Peer: e.Peer.ID}
 		if to.dead {
 			answer.Err = errDown
-			r.agenda.Add(sent+400, func() { r.handle(m, answer) })
+			r.agenda.Schedule(sent+400, func() { r.handle(m, answer) })
 			return
 		}
 		answer.Answer = to.machine.Answer(r.now, e.Query)
@@ -289,7 +289,7 @@
 			}
 			r.changes++
 			if r.now < stop {
-				r.agenda.Add(r.now+330, change)
+				r.agenda.Schedule(r.now+330, change)
 			}
 		}
 		change()
--- a/internal/wasabiclaim/rowmachine.go
+++ b/internal/wasabiclaim/rowmachine.go
@@ -111,7 +111,7 @@
 		incarnation: incarnation,
 		entries:     make(map[string]*rowEntry),
 		lastSent:    -wasabiridge.Day,
-		cached:      newAnswerRing(limits.KeptAnswers, limits.KeptBytes),
+		cached:      newAnswerRing(limits.MaxCachedAnswers, limits.MaxCachedBytes),
 		unsettled:   list.New(),
 	}
 	b.setInstances(1)
@@ -226,11 +226,11 @@
 }
 
 // addUnsettled adds an entry to the unsettled ones and drops the oldest beyond
-// Limits.Unsettled. The row of a dropped entry stays as it is: repeats are answered
+// Limits.MaxUnsettled. The row of a dropped entry stays as it is: repeats are answered
 // that the outcome is unknown, and nothing runs twice.
 func (b *rowMachine) addUnsettled(e *rowEntry) {
 	e.unsettled = b.unsettled.PushBack(e)
-	for b.unsettled.Len() > b.limits.Unsettled {
+	for b.unsettled.Len() > b.limits.MaxUnsettled {
 		oldest := b.unsettled.Front().Value.(*rowEntry)
 		b.dropped++
 		b.refuseWaiters(oldest)
--- a/internal/wasabiclient/call.go
+++ b/internal/wasabiclient/call.go
@@ -43,7 +43,7 @@
 
 // PutConfig replaces the configuration with version base and returns the version
 // of the new one. It returns ErrConflict, with the current configuration for
-// Theirs, when base is not the current version.
+// ConflictingConfig, when base is not the current version.
 func (c *Client) PutConfig(ctx context.Context, base wasabiridge.ConfigVersion, text []byte) (wasabiridge.ConfigVersion, error) {
 	r := request{method: http.MethodPut, path: "/v1/config", body: text, header: http.Header{}}
 	r.header.Set("If-Match", wasabioperator.FormatTag(base))
@@ -67,8 +67,8 @@
 }
 
 // Explain returns which rule applies to a request.
-func (c *Client) Explain(ctx context.Context, q wasabioperator.ExplainBody) (wasabioperator.ExplanationBody, error) {
-	var e wasabioperator.ExplanationBody
+func (c *Client) Explain(ctx context.Context, q wasabioperator.ExplainRequest) (wasabioperator.ExplainResponse, error) {
+	var e wasabioperator.ExplainResponse
 	err := c.post(ctx, "/v1/rules/explain", q, &e)
 	return e, err
 }
@@ -156,9 +156,9 @@
 	return started, err
 }
 
-// SteerRollout applies an action to a rollout: it pauses, resumes or rolls it
+// ApplyRolloutAction applies an action to a rollout: it pauses, resumes or rolls it
 // back. It returns the changed rollout.
-func (c *Client) SteerRollout(ctx context.Context, id, action string) (wasabiridge.Rollout, error) {
+func (c *Client) ApplyRolloutAction(ctx context.Context, id, action string) (wasabiridge.Rollout, error) {
 	var changed wasabiridge.Rollout
 	err := c.post(ctx, "/v1/rollouts/"+url.PathEscape(id)+"/"+action, nil, &changed)
 	return changed, err
--- a/internal/wasabicontract/weights.go
+++ b/internal/wasabicontract/weights.go
@@ -14,7 +14,7 @@
 type WeightSubject struct {
 	Store   wasabiridge.WeightStore
 	Publish func(ctx context.Context, m wasabiridge.ModelID, a wasabiridge.AdapterID, v wasabiridge.WeightsVersion) error
-	Script  Script
+	Script  InjectFaults
 }
 
 // Weights returns the checks for wasabiridge.WeightStore. Fresh is called for each check
@@ -48,7 +48,7 @@
 		)
 	},
 	"a store above its request rate is reported as unavailable, not as empty": func(s weightSteps) error {
-		s.Script(wasabifault.Read, wasabifault.Fate{Kind: wasabifault.Unavailable})
+		s.Script(wasabifault.Read, wasabifault.Outcome{Kind: wasabifault.Unavailable})
 		return s.latest("large", "", 0, wasabiridge.ErrUnavailable)()
 	},
 }
--- a/internal/wasabidaemon/components.go
+++ b/internal/wasabidaemon/components.go
@@ -37,10 +37,10 @@
 	// eventRingSize is the number of events about backend servers that can wait
 	// for the decision loop. A full ring drops its oldest event and counts it.
 	eventRingSize = 4096
-	// eventStreams limits the cache event streams that are read. At the target
+	// maxEventStreams limits the cache event streams that are read. At the target
 	// size, an instance does not have the resources to read those of all
 	// replicas.
-	eventStreams = 64
+	maxEventStreams = 64
 	// instancesInterval is how often the number of instances is polled.
 	instancesInterval = time.Second
 	// secretBytes is the size of a generated secret that is not shared with other
@@ -57,18 +57,18 @@
 	loop     *wasabiloop.Loop
 	// backendEvents queues the events from intake for loop.
 	backendEvents *wasabibackend.Ring
-	intake        *wasabibackend.Intake
+	intake        *wasabibackend.Monitor
 	runner        *wasabibackend.Runner
-	claims        *wasabiclaim.Keeper
+	claims        *wasabiclaim.Controller
 	// quarantine blocks requests that crash the backend servers that run them.
-	quarantine *wasabiquarantine.Keeper
+	quarantine *wasabiquarantine.Controller
 	// quota enforces the limits of client accounts.
-	quota    *wasabiquota.Keeper
+	quota    *wasabiquota.Controller
 	outcomes *wasabioutcome.Recorder
-	config   *wasabiconfig.Keeper
-	rollouts *wasabirollout.Keeper
+	config   *wasabiconfig.Controller
+	rollouts *wasabirollout.Controller
 	peers    peers
-	book     *wasabiaddress.Book
+	book     *wasabiaddress.Selector
 	gateway  *wasabigateway.Gateway
 }
 
@@ -84,14 +84,14 @@
 	p.quarantine = d.newQuarantine()
 	p.quota = d.newQuota()
 	p.loop = d.newLoop()
-	p.quarantine.Join(p.loop)
-	p.quota.Join(p.loop)
+	p.quarantine.SetLoop(p.loop)
+	p.quota.SetLoop(p.loop)
 	if err := d.setUpPeers(); err != nil {
 		return err
 	}
 	p.backendEvents = wasabibackend.NewRing(eventRingSize)
-	p.intake = wasabibackend.NewIntake(wasabibackend.IntakeOptions{
-		Clock: d.options.Clock, Ring: p.backendEvents, Seed: d.seed, EventStreams: eventStreams,
+	p.intake = wasabibackend.NewMonitor(wasabibackend.MonitorOptions{
+		Clock: d.options.Clock, Ring: p.backendEvents, Seed: d.seed, MaxEventStreams: maxEventStreams,
 	})
 	d.setUpClaims()
 	d.setUpOutcomes()
@@ -117,31 +117,31 @@
 	}
 }
 
-func (d *Daemon) newQuarantine() *wasabiquarantine.Keeper {
-	return wasabiquarantine.NewKeeper(wasabiquarantine.KeeperOptions{
+func (d *Daemon) newQuarantine() *wasabiquarantine.Controller {
+	return wasabiquarantine.NewController(wasabiquarantine.ControllerOptions{
 		Self: d.options.Settings.Instance, Incarnation: d.incarnation, Clock: d.options.Clock, Seed: d.seed,
-		Log: wasabilog.Part(d.log, "quarantine"), Members: d.members, Tell: d.sendUpdate, Rows: d.components.platform.Table,
+		Log: wasabilog.Part(d.log, "quarantine"), Members: d.members, Send: d.sendUpdate, Rows: d.components.platform.Table,
 	})
 }
 
-func (d *Daemon) newQuota() *wasabiquota.Keeper {
-	o := wasabiquota.KeeperOptions{
+func (d *Daemon) newQuota() *wasabiquota.Controller {
+	o := wasabiquota.ControllerOptions{
 		Self: d.options.Settings.Instance, Incarnation: d.incarnation, Clock: d.options.Clock,
 		Log: wasabilog.Part(d.log, "quota"), Members: d.members, Rows: d.components.platform.Table,
 	}
 	if d.options.Settings.Peer.Listen != "" {
-		o.Tell = d.sendUpdate
+		o.Send = d.sendUpdate
 	}
-	return wasabiquota.NewKeeper(o)
+	return wasabiquota.NewController(o)
 }
 
 // sendUpdate sends a state update to the instance at a peer address. It returns
 // errNotReady when this instance has no peer listener and so no peers.
-func (d *Daemon) sendUpdate(ctx context.Context, address string, n wasabiridge.News) error {
+func (d *Daemon) sendUpdate(ctx context.Context, address string, n wasabiridge.StateUpdate) error {
 	if d.components.peers.client == nil {
 		return errNotReady
 	}
-	return d.components.peers.client.TellNews(ctx, address, n)
+	return d.components.peers.client.SendUpdate(ctx, address, n)
 }
 
 func (d *Daemon) newLoop() *wasabiloop.Loop {
@@ -164,11 +164,11 @@
 		Decider:  core,
 		Clock:    d.options.Clock,
 		Recorder: d.components.timeline,
-		Ring:     d.options.Settings.Limits.Ring,
+		RingSize: d.options.Settings.Limits.RingSize,
 	})
 }
 
-// setUpClaims creates the claim keeper, unless the options contain a claimer. It
+// setUpClaims creates the claim controller, unless the options contain a claimer. It
 // needs the platform's table; without a claimer, requests that must run at most
 // once are refused with the disposition not_run.
 func (d *Daemon) setUpClaims() {
@@ -176,15 +176,15 @@
 		return
 	}
 	d.components.claims = wasabiclaim.New(wasabiclaim.Options{
-		Self:        d.options.Settings.Instance,
-		Incarnation: d.incarnation,
-		Secret:      d.ticketSecret(),
-		Table:       d.components.platform.Table,
-		Peers:       d.peerClient(),
-		Clock:       d.options.Clock,
-		Locate:      d.locate,
-		Instances:   func() int { return len(d.members()) + 1 },
-		Recorder:    d.components.timeline,
+		Self:          d.options.Settings.Instance,
+		Incarnation:   d.incarnation,
+		Secret:        d.ticketSecret(),
+		Table:         d.components.platform.Table,
+		Peers:         d.peerClient(),
+		Clock:         d.options.Clock,
+		PeerAddress:   d.locate,
+		InstanceCount: func() int { return len(d.members()) + 1 },
+		Recorder:      d.components.timeline,
 	})
 	d.options.Claimer = d.components.claims
 }
@@ -222,13 +222,13 @@
 	})
 }
 
-// setUpConfig creates the keepers of the configuration and of rollouts, both of
+// setUpConfig creates the controllers of the configuration and of rollouts, both of
 // which are stored in the platform's table.
 func (d *Daemon) setUpConfig() {
 	if d.components.platform.Table == nil {
 		return
 	}
-	d.components.config = wasabiconfig.NewKeeper(wasabiconfig.Options{
+	d.components.config = wasabiconfig.NewController(wasabiconfig.Options{
 		Self:        d.options.Settings.Instance,
 		Incarnation: d.incarnation,
 		Clock:       d.options.Clock,
@@ -265,7 +265,7 @@
 		Loop:        d.components.loop,
 		Runner:      runner,
 		Config:      d.current,
-		Names:       wasabifingerprint.New(d.ticketSecret()),
+		Hasher:      wasabifingerprint.New(d.ticketSecret()),
 		Claimer:     d.options.Claimer,
 		Addresses:   d.components.book,
 		Limits:      d.options.Settings.Limits,
--- a/internal/wasabidaemon/daemon.go
+++ b/internal/wasabidaemon/daemon.go
@@ -152,8 +152,8 @@
 	return d.caller.url
 }
 
-// Entry returns this instance as an entry of the platform's list of instances.
-func (d *Daemon) Entry() wasabiridge.InstanceEntry {
+// InstanceEntry returns this instance as an entry of the platform's list of instances.
+func (d *Daemon) InstanceEntry() wasabiridge.InstanceEntry {
 	return d.self()
 }
 
@@ -215,7 +215,7 @@
 func (d *Daemon) Drain(context.Context) error {
 	d.drainOnce.Do(func() {
 		d.leaving.Store(true)
-		d.components.book.Leave()
+		d.components.book.Drain()
 		if d.components.peers.members != nil {
 			d.components.peers.members.Leave(context.Background())
 		}
@@ -236,7 +236,7 @@
 	defer cancel()
 	err := server.Shutdown(ctx)
 	if err != nil {
-		d.log.Error().Int("open", d.components.gateway.Open()).Msg("Drain limit expired; aborting the open requests.")
+		d.log.Error().Int("open", d.components.gateway.OpenRequests()).Msg("Drain limit expired; aborting the open requests.")
 		_ = server.Close()
 		err = wasabiridge.ErrUnavailable.New("daemon: drain limit passed with open requests")
 	}
--- a/internal/wasabidaemon/peers.go
+++ b/internal/wasabidaemon/peers.go
@@ -20,14 +20,14 @@
 type peers struct {
 	client  *wasabipeer.Client
 	server  *wasabipeer.Server
-	members *wasabimember.Keeper
+	members *wasabimember.Controller
 	// secret is shared by all instances. It authenticates peers and tickets.
 	secret []byte
 	// ready is set when all components exist that handle requests of peers.
 	ready atomic.Bool
 }
 
-// setUpPeers opens the peer listener and creates the membership keeper. Without a
+// setUpPeers opens the peer listener and creates the membership controller. Without a
 // peer listener the membership view stays empty.
 func (d *Daemon) setUpPeers() error {
 	s := d.options.Settings
@@ -47,7 +47,7 @@
 	if p.server, err = wasabipeer.Listen(s.Peer.Listen, peerHandler{daemon: d}, o); err != nil {
 		return err
 	}
-	p.members = wasabimember.NewKeeper(wasabimember.KeeperOptions{
+	p.members = wasabimember.NewController(wasabimember.ControllerOptions{
 		Self:              d.self(),
 		Incarnation:       d.incarnation,
 		Seed:              d.seed,
@@ -56,7 +56,7 @@
 		Peers:             p.client,
 		Log:               wasabilog.Part(d.log, "member"),
 		Recorder:          d.components.timeline,
-		OnHeard:           d.receiveMember,
+		OnReceive:         d.receiveMember,
 		OnBackendsLeaving: d.receiveLeaving,
 		HybridNow:         d.components.timeline.Now,
 		ObserveHybrid:     d.components.timeline.Observe,
@@ -120,7 +120,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return certificates.Mutual(), nil
+	return certificates.MutualConfig(), nil
 }
 
 // peerAddress returns the address at which other instances reach this one, or the
@@ -136,10 +136,10 @@
 }
 
 // receiveMember passes the state that another instance announced of itself to the
-// configuration keeper. It must not block.
+// configuration controller. It must not block.
 func (d *Daemon) receiveMember(m wasabiridge.Member) {
 	if d.components.config != nil {
-		d.components.config.Heard(m)
+		d.components.config.Receive(m)
 	}
 }
 
@@ -148,7 +148,7 @@
 // full; the load reports that this instance polls contain the same information.
 func (d *Daemon) receiveLeaving(backends []wasabiridge.BackendServerID) {
 	for _, b := range backends {
-		d.components.loop.Observe(wasabiridge.BackendLeaving{Backend: b})
+		d.components.loop.TryPost(wasabiridge.BackendLeaving{Backend: b})
 	}
 }
 
@@ -186,7 +186,7 @@
 	if d.components.peers.members == nil {
 		return "", false
 	}
-	return d.components.peers.members.Locate(id)
+	return d.components.peers.members.PeerAddress(id)
 }
 
 // membership implements wasabiconfig.Membership over the daemon's membership view.
@@ -273,19 +273,19 @@
 	return h.daemon.components.claims.HandleFinishClaim(ctx, r)
 }
 
-// HandleAskCatalog implements wasabiridge.CatalogHandler. It always returns
+// HandleQueryCatalog implements wasabiridge.CatalogHandler. It always returns
 // errNotReady: a daemon has no catalog of its own, because the statements of
 // operators and of the platform are distributed with the configuration.
-func (h peerHandler) HandleAskCatalog(context.Context, wasabiridge.CatalogQuery) (wasabiridge.CatalogAnswer, error) {
-	return wasabiridge.CatalogAnswer{}, errNotReady
+func (h peerHandler) HandleQueryCatalog(context.Context, wasabiridge.CatalogQuery) (wasabiridge.CatalogResponse, error) {
+	return wasabiridge.CatalogResponse{}, errNotReady
 }
 
-// HandleTellNews implements wasabiridge.CatalogHandler.
-func (h peerHandler) HandleTellNews(_ context.Context, n wasabiridge.News) error {
+// HandleSendUpdate implements wasabiridge.CatalogHandler.
+func (h peerHandler) HandleSendUpdate(_ context.Context, n wasabiridge.StateUpdate) error {
 	if !h.ready() {
 		return errNotReady
 	}
-	h.daemon.components.quarantine.Hear(n)
-	h.daemon.components.quota.Hear(n)
+	h.daemon.components.quarantine.Receive(n)
+	h.daemon.components.quota.Receive(n)
 	return nil
 }
--- a/internal/wasabigateway/serve.go
+++ b/internal/wasabigateway/serve.go
@@ -31,7 +31,7 @@
 		return
 	}
 	request := c.request(r)
-	request.Fingerprint = g.options.Names.Name(wasabifingerprint.Content{
+	request.Fingerprint = g.options.Hasher.Fingerprint(wasabifingerprint.Content{
 		Account: request.Account, Method: r.Method, Host: r.Host, Path: r.URL.RequestURI(), Model: request.Model, Body: c.body.raw,
 	})
 	var ticket claimTicket
@@ -48,7 +48,7 @@
 		g.fail(w, r, failRingFull)
 		return
 	}
-	defer g.options.Loop.Forget(request.ID)
+	defer g.options.Loop.CloseMailbox(request.ID)
 	newRelay(x, w, r).run()
 }
 
@@ -90,7 +90,7 @@
 // match finds the rule of the request and checks that the client account may
 // use its pool. A fallback pool that the account may not use is removed.
 func match(r *http.Request, c *call) *failure {
-	rule, ok := wasabirule.Match(*c.config, wasabirule.View{
+	rule, ok := wasabirule.Match(*c.config, wasabirule.RequestView{
 		Account:      c.account.ID,
 		Method:       r.Method,
 		Path:         r.URL.Path,
@@ -141,7 +141,7 @@
 	}
 	pool, _ := c.config.Pool(action.Pool)
 	root := wasabiridge.CacheRoot{Account: c.account.ID, Model: model, Adapter: action.Adapter, Weights: action.Weights}
-	request = request.WithRule(c.rule).WithChain(wasabiprefix.Of(root, c.body.prompt, pool.BlockTokens))
+	request = request.WithRule(c.rule).WithChain(wasabiprefix.NewChain(root, c.body.prompt, pool.BlockTokens))
 	c.body.prompt = nil
 	return request
 }
--- a/internal/wasabimetrics/definition.go
+++ b/internal/wasabimetrics/definition.go
@@ -2,56 +2,60 @@
 
 import "github.com/wasabiridge/wasabiridge"
 
-// Name names a metric. Parts are separated by dots, and the last part of a
-// name carries no unit: Definition.Unit does.
+// Name is the name of a metric, with its parts separated by dots. It does not
+// contain the unit, which is in Definition.Unit.
 type Name string
 
-// Kind tells how a metric behaves.
+// Kind is the kind of a metric.
 type Kind string
 
 // Kinds of metrics.
 const (
-	// KindCounter only rises while the process lives.
+	// KindCounter only increases, and starts at zero with the process.
 	KindCounter Kind = "counter"
 	// KindGauge is a current value.
 	KindGauge Kind = "gauge"
-	// KindHistogram is a sample of values of the last minutes.
+	// KindHistogram is a sample of the values of the last minutes, with
+	// percentiles.
 	KindHistogram Kind = "histogram"
 )
 
-// Names of metrics that parts set by themselves.
+// Names of all metrics except the event counters, whose names are made by
+// eventCounter.
 const (
-	RequestsOpen    Name = "requests.open"
-	FirstToken      Name = "requests.first_token"
-	ConfigVersion   Name = "config.version"
-	MembersKnown    Name = "members.known"
-	MembersSuspect  Name = "members.suspect"
-	BackendsLost    Name = "backends.lost"
-	TimelineEvents  Name = "timeline.events"
-	TimelineDropped Name = "timeline.dropped"
-	TimelineLost    Name = "timeline.unpublished"
-	TimelineUnread  Name = "timeline.unreadable"
-	TimelineSkews   Name = "timeline.refused_skews"
-	OutcomeSeries   Name = "outcomes.series"
-	OutcomeFolded   Name = "outcomes.folded"
-	OutcomeWrites   Name = "outcomes.writes"
-	OutcomeFailures Name = "outcomes.write_failures"
-	OutcomePending  Name = "outcomes.unwritten_age"
-	OutcomeDropped  Name = "outcomes.dropped_days"
-	ProcessRoutines Name = "process.goroutines"
-	ProcessHeap     Name = "process.heap"
+	RequestsOpen         Name = "requests.open"
+	FirstToken           Name = "requests.first_token"
+	ConfigVersion        Name = "config.version"
+	MembersKnown         Name = "members.known"
+	MembersSuspect       Name = "members.suspect"
+	BackendsLost         Name = "backends.lost"
+	TimelineEvents       Name = "timeline.events"
+	TimelineDropped      Name = "timeline.dropped"
+	TimelineUnpublished  Name = "timeline.unpublished"
+	TimelineUnreadable   Name = "timeline.unreadable"
+	TimelineSkews        Name = "timeline.refused_skews"
+	OutcomeSeries        Name = "outcomes.series"
+	OutcomeFolded        Name = "outcomes.folded"
+	OutcomeWrites        Name = "outcomes.writes"
+	OutcomeWriteFailures Name = "outcomes.write_failures"
+	OutcomeUnwrittenAge  Name = "outcomes.unwritten_age"
+	OutcomeDropped       Name = "outcomes.dropped_days"
+	ProcessGoroutines    Name = "process.goroutines"
+	ProcessHeap          Name = "process.heap"
 )
 
-// Definition documents one metric.
+// Definition describes one metric.
 type Definition struct {
 	Name Name
 	Kind Kind
-	// Unit is what one step of the value means.
+	// Unit is the unit of the value, such as "ms" or "requests".
 	Unit string
+	// Help is the description in docs/METRICS.md.
 	Help string
 }
 
-// eventKinds are the time line kinds that are counted, with their meaning.
+// eventKinds lists the kinds of time line events that are counted, with the help
+// texts of their counters.
 var eventKinds = []struct {
 	kind wasabiridge.TimelineKind
 	help string
@@ -72,7 +76,7 @@
 	{wasabiridge.EventConfigAdopted, "Configurations that came into force here."},
 	{wasabiridge.EventBackendLost, "Backend servers that stopped answering."},
 	{wasabiridge.EventBackendLeaving, "Backend servers that began to leave."},
-	{wasabiridge.EventBackendReborn, "Backend servers that came back with an empty cache."},
+	{wasabiridge.EventBackendRestarted, "Backend servers that came back with an empty cache."},
 	{wasabiridge.EventMemberChanged, "Changes of what is known of other instances."},
 	{wasabiridge.EventLease, "Leases that were taken, renewed or lost."},
 	{wasabiridge.EventOrder, "Orders to backend servers."},
@@ -81,12 +85,14 @@
 	{wasabiridge.EventLifecycle, "Starts, drains and ends of this process."},
 }
 
+// eventCounter returns the name of the counter of a kind of events.
 func eventCounter(k wasabiridge.TimelineKind) Name { return Name("events." + string(k)) }
 
 // RequestsArrived counts requests that passed authentication.
 var RequestsArrived = eventCounter(wasabiridge.EventArrived)
 
-// Definitions returns all metrics in the order in which they are documented.
+// Definitions returns the definitions of all metrics, in the order of
+// docs/METRICS.md.
 func Definitions() []Definition {
 	defined := []Definition{
 		{RequestsOpen, KindGauge, "requests", "Requests that are being served now."},
@@ -97,16 +103,16 @@
 		{BackendsLost, KindGauge, "backend servers", "Backend servers that cannot be reached from here."},
 		{TimelineEvents, KindGauge, "events", "Time line events recorded since the start."},
 		{TimelineDropped, KindGauge, "events", "Time line events overwritten since the start. It rises for ever once the ring is full; its rate tells how far back the ring reaches."},
-		{TimelineLost, KindCounter, "events", "Time line events overwritten before subscribers in the process saw them. The event counters below miss them."},
-		{TimelineUnread, KindCounter, "messages", "Messages of the time line that could not be decoded."},
+		{TimelineUnpublished, KindCounter, "events", "Time line events overwritten before subscribers in the process saw them. The event counters below miss them."},
+		{TimelineUnreadable, KindCounter, "messages", "Messages of the time line that could not be decoded."},
 		{TimelineSkews, KindGauge, "messages", "Messages whose clock was too far ahead to be followed."},
 		{OutcomeSeries, KindGauge, "series", "Series of account, rule and model held for the current day."},
 		{OutcomeFolded, KindGauge, "requests", "Requests counted under the account ~other for lack of room, since the start."},
 		{OutcomeWrites, KindGauge, "objects", "Outcome objects written since the start."},
-		{OutcomeFailures, KindGauge, "objects", "Outcome writes that failed or whose end is unknown."},
-		{OutcomePending, KindGauge, "ms", "Age of the oldest outcome that is not in the store: what would be lost if this process died now."},
+		{OutcomeWriteFailures, KindGauge, "objects", "Outcome writes that failed or whose end is unknown."},
+		{OutcomeUnwrittenAge, KindGauge, "ms", "Age of the oldest outcome that is not in the store: what would be lost if this process died now."},
 		{OutcomeDropped, KindGauge, "days", "Days of outcomes given up because the store was away for too long."},
-		{ProcessRoutines, KindGauge, "goroutines", "Goroutines of the process."},
+		{ProcessGoroutines, KindGauge, "goroutines", "Goroutines of the process."},
 		{ProcessHeap, KindGauge, "bytes", "Heap in use."},
 	}
 	for _, k := range eventKinds {
--- a/internal/wasabimetrics/metrics_test.go
+++ b/internal/wasabimetrics/metrics_test.go
@@ -22,14 +22,17 @@
 func TestMetrics(t *testing.T) { wasabitest.Run(t, "metrics") }
 
 var _ = Describe("Set", func() {
-	It("registers what is defined, and docs/METRICS.md lists it", func() {
+	// Guards against a metric that is not documented or has no unit, and against a
+	// gauge that is exported before a component registers it, which would show a
+	// zero that nothing measured.
+	It("registers all defined metrics, and docs/METRICS.md lists them", func() {
 		var defined []wasabimetrics.Name
 		set := wasabimetrics.New()
 		for _, d := range wasabimetrics.Definitions() {
 			if d.Kind == wasabimetrics.KindGauge {
-				Expect(set.Names()).NotTo(ContainElement(d.Name), "a gauge that nobody set")
-				Expect(set.GaugeFunc(d.Name, func() int64 { return 1 })).To(Succeed())
-				Expect(set.GaugeFunc(d.Name, func() int64 { return 2 })).NotTo(Succeed())
+				Expect(set.Names()).NotTo(ContainElement(d.Name), "a gauge that was not registered")
+				Expect(set.RegisterGauge(d.Name, func() int64 { return 1 })).To(Succeed())
+				Expect(set.RegisterGauge(d.Name, func() int64 { return 2 })).NotTo(Succeed())
 			}
 			Expect(d.Unit).NotTo(BeEmpty(), string(d.Name))
 			Expect(d.Help).To(HaveSuffix("."), string(d.Name))
@@ -38,38 +41,41 @@
 		Expect(set.Names()).To(ConsistOf(defined))
 		page, err := os.ReadFile("../../docs/METRICS.md")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(string(page)).To(Equal(wasabimetrics.Page()), "write wasabimetrics.Page() to docs/METRICS.md")
+		Expect(string(page)).To(Equal(wasabimetrics.Page()), "docs/METRICS.md is out of date; write wasabimetrics.Page() to it")
 	})
 
-	It("counts the events of the time line and what is missing", func() {
+	// A message without a batch and events that were overwritten before they were
+	// published must be counted, because the event counters lack them. A kind of
+	// event without a counter must be ignored.
+	It("counts time line events, lost events and unreadable messages", func() {
 		set := wasabimetrics.New()
 		events := []wasabiridge.TimelineEvent{{Kind: wasabiridge.EventArrived}, {Kind: wasabiridge.EventFirstToken, Value: 212}, {Kind: "unheard_of"}}
-		good := wasabitimeline.NewMessage(wasabitimeline.Batch{Events: events, Lost: 3})
+		good := wasabitimeline.NewMessage(wasabitimeline.Batch{Events: events, Overwritten: 3})
 		messages := make(chan *message.Message, 2)
 		messages <- good
 		messages <- message.NewMessage("x", []byte("{"))
 		close(messages)
 		set.Watch(context.Background(), messages)
 		Expect(set.Counter(wasabimetrics.RequestsArrived).Count()).To(Equal(int64(1)))
-		Expect(set.Counter(wasabimetrics.TimelineLost).Count()).To(Equal(int64(3)))
-		Expect(set.Counter(wasabimetrics.TimelineUnread).Count()).To(Equal(int64(1)))
+		Expect(set.Counter(wasabimetrics.TimelineUnpublished).Count()).To(Equal(int64(3)))
+		Expect(set.Counter(wasabimetrics.TimelineUnreadable).Count()).To(Equal(int64(1)))
 		Expect(set.Histogram(wasabimetrics.FirstToken).Max()).To(Equal(int64(212)))
 	})
 
-	It("asks functions for gauges and writes JSON", func() {
+	It("writes gauges as JSON and rejects names that are not defined gauges", func() {
 		set := wasabimetrics.New()
-		Expect(set.GaugeFunc(wasabimetrics.RequestsOpen, func() int64 { return 42 })).To(Succeed())
-		Expect(set.GaugeFunc("unheard.of", func() int64 { return 1 })).NotTo(Succeed())
-		Expect(set.GaugeFunc(wasabimetrics.FirstToken, func() int64 { return 1 })).NotTo(Succeed())
+		Expect(set.RegisterGauge(wasabimetrics.RequestsOpen, func() int64 { return 42 })).To(Succeed())
+		Expect(set.RegisterGauge("unheard.of", func() int64 { return 1 })).NotTo(Succeed())
+		Expect(set.RegisterGauge(wasabimetrics.FirstToken, func() int64 { return 1 })).NotTo(Succeed())
 		var out bytes.Buffer
 		Expect(set.WriteMetrics(&out)).To(Succeed())
 		var values map[string]map[string]any
 		Expect(json.Unmarshal(out.Bytes(), &values)).To(Succeed())
 		Expect(values["requests.open"]["value"]).To(BeNumerically("==", 42))
-		Expect(values).NotTo(HaveKey("members.known"), "nobody set it")
+		Expect(values).NotTo(HaveKey("members.known"), "gauge was not registered")
 	})
 
-	It("asks time line, outcomes and process for their gauges", func() {
+	It("registers the gauges of time line, outcomes and process once", func() {
 		clock := wasabiclock.NewVirtual(1)
 		log := wasabitimeline.New(wasabitimeline.Options{Clock: clock, Capacity: 2})
 		for range 3 {
@@ -80,8 +86,8 @@
 			wasabimetrics.TimelineGauges(log), wasabimetrics.ProcessGauges(),
 			wasabimetrics.OutcomeGauges(wasabioutcome.New(wasabioutcome.Options{Clock: clock})),
 		} {
-			Expect(set.Set(gauges)).To(Succeed())
-			Expect(set.Set(gauges)).NotTo(Succeed())
+			Expect(set.RegisterGauges(gauges)).To(Succeed())
+			Expect(set.RegisterGauges(gauges)).NotTo(Succeed())
 		}
 		var out bytes.Buffer
 		Expect(set.WriteMetrics(&out)).To(Succeed())
--- a/internal/wasabinode/background.go
+++ b/internal/wasabinode/background.go
@@ -83,18 +83,18 @@
 	if !n.waitFor(ctx, wasabiridge.Day, n.hasConfig) {
 		return
 	}
-	pool := wasabiconn.New(wasabiconn.Options{Clock: n.options.Clock, DialTimeout: cacheStoreDialTimeout, Silence: cacheStoreAckTimeout})
+	pool := wasabiconn.New(wasabiconn.Options{Clock: n.options.Clock, DialTimeout: cacheStoreDialTimeout, UserTimeout: cacheStoreAckTimeout})
 	defer pool.Close()
 	settled := false
-	watch := wasabikept.New(wasabikept.Options{Reacher: pool, Active: func() bool { return settled && n.isActive() }})
-	ticker := time.NewTicker(wasabikept.Interval)
+	watch := wasabikept.New(wasabikept.Options{Prober: pool, IsServing: func() bool { return settled && n.isActive() }})
+	ticker := time.NewTicker(wasabikept.PollInterval)
 	defer ticker.Stop()
 	for {
-		for _, polled := range watch.Look(ctx, n.activeConfig.Load().config.KeptCaches) {
+		for _, polled := range watch.Poll(ctx, n.activeConfig.Load().config.CacheStores) {
 			if polled.Changed {
 				n.log.Info().Str("address", polled.Address).Bool("up", polled.Up).Msg("Reachability of KV cache store changed.")
 			}
-			n.loop.Observe(polled.KeptCacheSeen)
+			n.loop.TryPost(polled.CacheStoreChecked)
 		}
 		if !settled {
 			// With the first configuration all stores count as reachable. Otherwise an
--- a/internal/wasabinode/metrics.go
+++ b/internal/wasabinode/metrics.go
@@ -14,14 +14,14 @@
 	v := n.catalog.View()
 	reads, failed, queries := n.catalog.Calls()
 	dropped := uint64(0)
-	if n.options.LinesDropped != nil {
-		dropped = n.options.LinesDropped()
+	if n.options.DroppedLogLines != nil {
+		dropped = n.options.DroppedLogLines()
 	}
 	lines := []string{
 		line("requests_open", int64(n.relay.Open())),
 		line("config_version", int64(v.Snapshot.Config.Version)),
-		line("config_age_ms", int64(now-v.ConfigProven)),
-		line("backends_age_ms", int64(now-v.BackendsProven)),
+		line("config_age_ms", int64(now-v.ConfigConfirmedAt)),
+		line("backends_age_ms", int64(now-v.BackendsConfirmedAt)),
 		line("backends_listed", int64(len(v.Backends.Entries))),
 		line("members", int64(len(n.members.Members()))),
 		line("platform_reads_total", int64(reads)),
@@ -30,7 +30,7 @@
 		line("events_dropped_total", int64(n.loop.Dropped())),
 		line("log_lines_dropped_total", int64(dropped)),
 	}
-	for _, c := range n.relay.Counts().Times() {
+	for _, c := range n.relay.Counts().Summaries() {
 		lines = append(lines,
 			line("requests_total{outcome=\""+c.Name+"\"}", c.Total),
 			line("requests_ms{outcome=\""+c.Name+"\",quantile=\"0.5\"}", c.P50),
@@ -41,7 +41,7 @@
 	for cause, count := range n.relay.Counts().Causes() {
 		lines = append(lines, line("requests_by_cause_total{cause=\""+cause+"\"}", int64(count)))
 	}
-	for _, p := range n.upgrade.Times().Phases() {
+	for _, p := range n.upgrade.Durations().Phases() {
 		lines = append(lines,
 			line("upgrades_total{phase=\""+p.Name+"\"}", p.Total),
 			line("upgrades_ms{phase=\""+p.Name+"\",quantile=\"0.5\"}", p.P50),
@@ -62,14 +62,14 @@
 // engineLines returns the estimated speed of the engines, by pool and model, with
 // times in microseconds.
 func (n *Node) engineLines() []string {
-	var estimates []wasabireplica.Learned
-	n.loop.Inspect(func() { estimates = n.placer.Learned() })
+	var estimates []wasabireplica.CostEstimate
+	n.loop.Inspect(func() { estimates = n.placer.CostEstimates() })
 	var lines []string
 	for _, l := range estimates {
 		labels := "{pool=\"" + string(l.Pool) + "\",model=\"" + string(l.Model) + "\"}"
 		lines = append(lines,
 			line("engine_first_token_us"+labels, int64(1000*l.FirstToken)),
-			line("engine_thousand_tokens_us"+labels, int64(1000*l.Thousand)),
+			line("engine_thousand_tokens_us"+labels, int64(1000*l.PerThousandTokens)),
 			line("engine_answers_total"+labels, int64(l.Answers)),
 			line("first_byte_overrun_percent"+labels, int64(100*l.Overrun)),
 		)
@@ -100,7 +100,7 @@
 	entries, counts := n.quarantine.Snapshot()
 	suspects, blocked := 0, 0
 	for _, e := range entries {
-		if e.Barred {
+		if e.Blocked {
 			blocked++
 		} else {
 			suspects++
@@ -109,7 +109,7 @@
 	return []string{
 		line("quarantine_suspects", int64(suspects)),
 		line("quarantine_barred", int64(blocked)),
-		line("quarantine_barred_total", int64(counts.Barred)),
+		line("quarantine_barred_total", int64(counts.Blocked)),
 		line("quarantine_lifted_total", int64(counts.Lifted)),
 		line("quarantine_refused_total", int64(counts.Refused)),
 		line("quarantine_deferred_total", int64(counts.Deferred)),
@@ -122,23 +122,23 @@
 func (n *Node) quotaLines() []string {
 	s := n.quota.Snapshot()
 	lines := []string{
-		line("quota_part_percent", int64(100*s.Part)),
+		line("quota_part_percent", int64(100*s.UsableShare)),
 		line("quota_owners", int64(s.Owners.Members)),
-		line("quota_owners_divided", int64(s.Owners.Divided)),
+		line("quota_owners_divided", int64(s.Owners.Divisor)),
 		line("quota_owners_change", int64(s.Owners.Change)),
-		line("quota_owners_not_agreed", int64(s.Owners.Open)),
+		line("quota_owners_not_agreed", int64(s.Owners.Unconfirmed)),
 		line("quota_refused_total", int64(s.Counts.Refused)),
 		line("quota_refused_unlogged_total", int64(s.Counts.Unlogged)),
 	}
-	for i, count := range s.Use {
-		lines = append(lines, line(fmt.Sprintf("quota_admitted_total{used_percent_below=\"%d\"}", 100*(i+1)/len(s.Use)), int64(count)))
+	for i, count := range s.UsageHistogram {
+		lines = append(lines, line(fmt.Sprintf("quota_admitted_total{used_percent_below=\"%d\"}", 100*(i+1)/len(s.UsageHistogram)), int64(count)))
 	}
 	for _, e := range s.Entries {
-		if e.Own == 0 && e.Refused == 0 {
+		if e.SpentHere == 0 && e.Refused == 0 {
 			continue
 		}
 		labels := "{account=\"" + string(e.Account) + "\"}"
-		lines = append(lines, line("quota_left"+labels, int64(e.Level)), line("quota_used_here_total"+labels, int64(e.Own)),
+		lines = append(lines, line("quota_left"+labels, int64(e.Level)), line("quota_used_here_total"+labels, int64(e.SpentHere)),
 			line("quota_account_refused_total"+labels, int64(e.Refused)))
 	}
 	return lines
--- a/internal/wasabinode/node.go
+++ b/internal/wasabinode/node.go
@@ -94,7 +94,7 @@
 )
 
 // Platform holds the adapters to the platform: its protocol, store and engines.
-// All fields but Mover are required.
+// All fields but Migrator are required.
 type Platform struct {
 	Protocol wasabiridge.CallerProtocol
 	Runner   wasabiridge.AttemptRunner
@@ -102,33 +102,33 @@
 	Table    wasabiridge.Table
 	Engines  wasabiridge.EngineOperator
 	Caches   wasabiridge.CacheReader
-	// Mover migrates in-flight requests between backend servers. With nil none are
+	// Migrator migrates in-flight requests between backend servers. With nil none are
 	// migrated.
-	Mover wasabiridge.RunMover
+	Migrator wasabiridge.RequestMigrator
 	// Directory returns the handler that gives callers the addresses of instances.
 	// Ready returns the handler of the platform's readiness check.
 	Directory func(nearest func(wasabiridge.AvailabilityZone) ([]string, wasabiridge.Millis)) http.Handler
 	Ready     func(ready func() bool) http.Handler
 }
 
-// Options configure a node. All fields but Log and LinesDropped are required.
+// Options configure a node. All fields but Log and DroppedLogLines are required.
 type Options struct {
 	Settings wasabisettings.Settings
 	Clock    wasabiridge.Clock
 	Platform Platform
 	// Log receives the log lines. With nil they are discarded. It must not block.
 	Log io.Writer
-	// LinesDropped returns the number of lines that Log has dropped. Nil means none.
-	LinesDropped func() uint64
+	// DroppedLogLines returns the number of lines that Log has dropped. Nil means none.
+	DroppedLogLines func() uint64
 }
 
 // Node is one router instance. It is safe for concurrent use.
 type Node struct {
 	options Options
-	bounds  wasabisettings.Terms
+	bounds  wasabisettings.ResolvedBounds
 	// terms are the bounds of the last settings that were applied. Bounds that are
 	// used only at the start are read from bounds.
-	terms       atomic.Pointer[wasabisettings.Terms]
+	terms       atomic.Pointer[wasabisettings.ResolvedBounds]
 	log         zerolog.Logger
 	incarnation wasabiridge.Incarnation
 	timeline    *wasabitimeline.Log
@@ -139,15 +139,15 @@
 	limits serverLimits
 	// migrationQueue holds the backend servers whose requests wait for migration.
 	migrationQueue chan wasabiridge.BackendServerID
-	quarantine     *wasabiquarantine.Keeper
-	quota          *wasabiquota.Keeper
+	quarantine     *wasabiquarantine.Controller
+	quota          *wasabiquota.Controller
 	relay          *wasabirelay.Relay
-	catalog        *wasabicatalog.Keeper
-	upgrade        *wasabiupgrade.Keeper
+	catalog        *wasabicatalog.Controller
+	upgrade        *wasabiupgrade.Controller
 	client         *wasabipeer.Client
 	server         *wasabipeer.Server
-	members        *wasabimember.Keeper
-	book           *wasabiaddress.Book
+	members        *wasabimember.Controller
+	book           *wasabiaddress.Selector
 	roster         *roster
 	activeConfig   atomic.Pointer[activeConfig]
 	sockets        []net.Listener
@@ -169,7 +169,7 @@
 	}
 	n := &Node{
 		options:        o,
-		bounds:         o.Settings.Hosted.Bounds.Terms(),
+		bounds:         o.Settings.Hosted.Bounds.Resolve(),
 		incarnation:    wasabiridge.Incarnation(o.Clock.Now()),
 		drained:        make(chan struct{}),
 		placed:         make(chan struct{}, 1),
@@ -196,21 +196,21 @@
 	n.limits = serverLimits{log: wasabilog.Part(n.log, "limit"), byServer: map[wasabiridge.BackendServerID]serverLimit{}}
 	n.timeline = wasabitimeline.New(wasabitimeline.Options{Instance: s.Instance, Clock: o.Clock})
 	n.placer = wasabireplica.New(wasabireplica.Options{
-		Seed: seed, Self: s.Instance, Zone: s.Zone, WeightsBound: n.bounds.WeightsLife - weightsMargin,
+		Seed: seed, Self: s.Instance, Zone: s.Zone, WeightsDeadline: n.bounds.OldWeightsLifetime - weightsMargin,
 		RetryRatio: n.bounds.RetryRatio, RetrySlack: n.bounds.RetrySlack, RetryWindow: n.bounds.RetryWindow,
 	})
-	n.quarantine = wasabiquarantine.NewKeeper(wasabiquarantine.KeeperOptions{
+	n.quarantine = wasabiquarantine.NewController(wasabiquarantine.ControllerOptions{
 		Self: s.Instance, Incarnation: n.incarnation, Clock: o.Clock, Seed: seed, Log: wasabilog.Part(n.log, "quarantine"),
 		Members: func() []wasabiridge.Member { return n.members.Members() }, Active: n.activeEntries, Rows: o.Platform.Table,
-		Tell: func(ctx context.Context, address string, update wasabiridge.News) error {
-			return n.client.TellNews(ctx, address, update)
+		Send: func(ctx context.Context, address string, update wasabiridge.StateUpdate) error {
+			return n.client.SendUpdate(ctx, address, update)
 		},
 	})
-	n.quota = wasabiquota.NewKeeper(wasabiquota.KeeperOptions{
+	n.quota = wasabiquota.NewController(wasabiquota.ControllerOptions{
 		Self: s.Instance, Incarnation: n.incarnation, Clock: o.Clock, Log: wasabilog.Part(n.log, "quota"), Rows: o.Platform.Table,
 		Members: func() []wasabiridge.Member { return n.members.Members() }, Active: n.activeEntries,
-		Tell: func(ctx context.Context, address string, update wasabiridge.News) error {
-			return n.client.TellNews(ctx, address, update)
+		Send: func(ctx context.Context, address string, update wasabiridge.StateUpdate) error {
+			return n.client.SendUpdate(ctx, address, update)
 		},
 	})
 	core := wasabicore.New(wasabicore.Options{
@@ -218,31 +218,31 @@
 		FirstAttempt: wasabiridge.AttemptID(n.incarnation) << attemptBits,
 	})
 	n.loop = wasabiloop.New(wasabiloop.Options{
-		Decider: core, Clock: o.Clock, Recorder: placementRecorder{next: n.timeline, wake: n.placed}, Ring: ringSize,
+		Decider: core, Clock: o.Clock, Recorder: placementRecorder{next: n.timeline, wake: n.placed}, RingSize: ringSize,
 	})
-	n.quarantine.Join(n.loop)
-	n.quota.Join(n.loop)
+	n.quarantine.SetLoop(n.loop)
+	n.quota.SetLoop(n.loop)
 	if err := n.assemblePeers(seed); err != nil {
 		return err
 	}
-	n.catalog = wasabicatalog.NewKeeper(wasabicatalog.Options{
+	n.catalog = wasabicatalog.NewController(wasabicatalog.Options{
 		Self: n.self(), Clock: o.Clock, Source: o.Platform.Source, Peers: n.client, Members: n.members.Members, Active: n.activeEntries,
-		Log: wasabilog.Part(n.log, "catalog"), Changed: n.adopt, News: n.applyUpdate,
+		Log: wasabilog.Part(n.log, "catalog"), OnChange: n.adopt, OnUpdate: n.applyUpdate,
 	})
-	n.upgrade = wasabiupgrade.NewKeeper(wasabiupgrade.Options{
+	n.upgrade = wasabiupgrade.NewController(wasabiupgrade.Options{
 		Self: s.Instance, Address: s.Peer.Address, Incarnation: n.incarnation, Clock: o.Clock, Table: o.Platform.Table, Engines: o.Platform.Engines,
-		Recorder: n.timeline, Catalog: n.wantedWeights, Rank: n.rank, Leaving: n.leaving.Load, Tell: n.sendBackoffs, Log: wasabilog.Part(n.log, "upgrade"),
-		Timing: wasabiupgrade.Timing{Turn: n.bounds.Turn},
+		Recorder: n.timeline, Catalog: n.wantedWeights, Rank: n.rank, Leaving: n.leaving.Load, Send: n.sendBackoffs, Log: wasabilog.Part(n.log, "upgrade"),
+		Timing: wasabiupgrade.Timing{LeaseTerm: n.bounds.LeaseTerm},
 	})
 	n.relay = wasabirelay.New(wasabirelay.Options{
 		Instance: s.Instance, Clock: o.Clock, Log: wasabilog.Part(n.log, "relay"), Loop: n.loop,
 		Runner: o.Platform.Runner, Protocol: o.Platform.Protocol, View: n.view,
-		KeyLife:  func() wasabiridge.Millis { return n.terms.Load().KeyLife - keyMargin },
-		DenyLife: func() wasabiridge.Millis { return n.terms.Load().ConfigLife * denyPercent / 100 },
-		Leaving:  n.leaving.Load, Mover: o.Platform.Mover, Names: wasabifingerprint.New([]byte(openPeerKey)),
+		MaxKeyAge:  func() wasabiridge.Millis { return n.terms.Load().RevokedKeyLifetime - keyMargin },
+		MaxDenyAge: func() wasabiridge.Millis { return n.terms.Load().ConfigPropagationTime * denyPercent / 100 },
+		Leaving:    n.leaving.Load, Mover: o.Platform.Migrator, Hasher: wasabifingerprint.New([]byte(openPeerKey)),
 	})
 	n.book = wasabiaddress.New(wasabiaddress.Options{
-		Self: n.self(), Members: n.members.Members, Lifetime: wasabiridge.Millis(addressShare * float64(n.bounds.AddressLife)),
+		Self: n.self(), Members: n.members.Members, Lifetime: wasabiridge.Millis(addressShare * float64(n.bounds.AddressLifetime)),
 	})
 	return n.listen()
 }
@@ -273,7 +273,7 @@
 		return err
 	}
 	n.roster = &roster{seeds: s.Seeds, table: n.options.Platform.Table, self: n.self(), alone: n.isAlone, rank: n.rank}
-	n.members = wasabimember.NewKeeper(wasabimember.KeeperOptions{
+	n.members = wasabimember.NewController(wasabimember.ControllerOptions{
 		Self: n.self(), Incarnation: n.incarnation, Seed: seed, Clock: n.options.Clock,
 		List: n.roster, Peers: n.client, Log: wasabilog.Part(n.log, "member"), Recorder: n.timeline,
 		HybridNow: n.timeline.Now, ObserveHybrid: n.timeline.Observe,
--- a/internal/wasabioperator/operator.go
+++ b/internal/wasabioperator/operator.go
@@ -3,7 +3,7 @@
 //
 // Requests and responses are JSON. Every request carries an operator's key as
 // "Authorization: Bearer KEY". The instance holds only SHA-256 hashes of keys, and
-// compares them in constant time. An error response has a body of type ErrorAnswer,
+// compares them in constant time. An error response has a body of type ErrorResponse,
 // whose code is one of the Code constants. Requests for a component that the
 // instance was built without are answered with status 501.
 //
@@ -12,7 +12,7 @@
 //	handler := wasabioperator.New(wasabioperator.Options{
 //		Clock:     clock,
 //		KeyHashes: func() []string { return hashes },
-//		Config:    keeper,
+//		Config:    controller,
 //	})
 //	server := &http.Server{Handler: handler, ReadHeaderTimeout: 5 * time.Second}
 //
@@ -51,8 +51,8 @@
 	// KeyHashes returns the hexadecimal SHA-256 hashes of the operators' keys that
 	// are valid now. It must be safe for concurrent use.
 	KeyHashes func() []string
-	Config    wasabiridge.ConfigKeeper
-	Rollouts  wasabiridge.RolloutKeeper
+	Config    wasabiridge.ConfigController
+	Rollouts  wasabiridge.RolloutController
 	Timeline  wasabiridge.TimelineReader
 	Outcomes  wasabiridge.OutcomeReader
 	Status    wasabiridge.StatusReader
@@ -127,7 +127,7 @@
 func (s *server) writeFailure(w http.ResponseWriter, r *http.Request, err error) {
 	status, body := describeError(err)
 	if errorx.IsOfType(err, wasabiridge.ErrConflict) && s.Config != nil {
-		body.Theirs = s.newestDocument(r)
+		body.ConflictingConfig = s.newestDocument(r)
 	}
 	s.Log.Info().Str("path", r.URL.Path).Str("code", string(body.Code)).Msg("Operator request failed.")
 	writeError(w, status, body)
@@ -172,5 +172,5 @@
 }
 
 func writeError(w http.ResponseWriter, status int, body ErrorBody) {
-	writeJSON(w, status, ErrorAnswer{Error: body})
+	writeJSON(w, status, ErrorResponse{Error: body})
 }
--- a/internal/wasabiplace/claim_test.go
+++ b/internal/wasabiplace/claim_test.go
@@ -71,7 +71,7 @@
 func (m *claimModel) report(id wasabiridge.BackendServerID, leaving bool) {
 	e := m.engines[id]
 	event := wasabiridge.LoadReported{Report: wasabiridge.LoadReport{
-		Backend: id, Incarnation: e.incarnation, Weights: e.weights, Taken: m.now, Leaving: leaving,
+		Backend: id, Incarnation: e.incarnation, Weights: e.weights, MeasuredAt: m.now, Leaving: leaving,
 	}}
 	m.pastEvents = append(m.pastEvents, event)
 	m.announcedWeights[id] = e.weights
@@ -95,7 +95,7 @@
 	text := rapid.SampledFrom([]string{"mmmmhhhh", "mmmmiiii", "mmmmhhhhkkkk", "nnnn", "nnnnoooo"}).Draw(t, "prompt")
 	return wasabiridge.Request{
 		Account: root.Account,
-		Chain:   wasabiprefix.Of(root, []byte(text), 1),
+		Chain:   wasabiprefix.NewChain(root, []byte(text), 1),
 		Action:  wasabiridge.Action{Pool: "answer", Weights: weights},
 	}
 }
--- a/internal/wasabiplace/place.go
+++ b/internal/wasabiplace/place.go
@@ -18,11 +18,11 @@
 // servers that hold the most of it; gets an additional copy of a level whose
 // holders are busy; or had the best score without any of these.
 const (
-	WhyHolder = "holder"
-	WhyHome   = "home"
-	WhyHeir   = "heir"
-	WhySpill  = "spill"
-	WhyLoad   = "load"
+	WhyHolder    = "holder"
+	WhyHome      = "home"
+	WhyPreferred = "heir"
+	WhyReplicate = "spill"
+	WhyLoad      = "load"
 )
 
 // candidate is a server under consideration for a placement.
@@ -50,7 +50,7 @@
 type Placer struct {
 	opts             Options
 	random           *rand.Rand
-	caches           *wasabicache.Picture
+	caches           *wasabicache.Index
 	tables           map[wasabiridge.PoolID]*table
 	loads            []load
 	attempts         map[wasabiridge.AttemptID]attempt
@@ -102,7 +102,7 @@
 	t := p.table(q.Pool)
 	p.round++
 	p.candidates = p.candidates[:0]
-	if q.Isolate != 0 {
+	if q.IsolationKey != 0 {
 		return p.isolate(now, t, q)
 	}
 	p.gather(now, t, q)
@@ -121,7 +121,9 @@
 	if len(p.candidates) == 0 {
 		return wasabiridge.Placement{}, false
 	}
-	value := func(c candidate) uint64 { return wasabiquarantine.Isolation(q.Isolate, t.members[c.member].backend.ID) }
+	value := func(c candidate) uint64 {
+		return wasabiquarantine.IsolationRank(q.IsolationKey, t.members[c.member].backend.ID)
+	}
 	best := slices.MaxFunc(p.candidates, func(a, b candidate) int { return cmp.Compare(value(a), value(b)) })
 	p.score(now, t, q.Request, &best)
 	return p.placement(now, t, q.Request, best), true
@@ -133,11 +135,11 @@
 	p.held, p.likely, p.confirmed = 0, 0, 0
 	for _, hit := range p.caches.Hits(now, chain) {
 		if i := t.position(hit.Server); i >= 0 {
-			p.held = max(p.held, hit.Firm)
+			p.held = max(p.held, hit.LikelyDepth)
 			if c := p.consider(now, t, q, i); c != nil {
-				c.tokens, c.likely, c.confirmed = hit.Tokens, hit.Firm, hit.Shown
-				p.likely = max(p.likely, hit.Firm)
-				p.confirmed = max(p.confirmed, hit.Shown)
+				c.tokens, c.likely, c.confirmed = hit.Tokens, hit.LikelyDepth, hit.ConfirmedDepth
+				p.likely = max(p.likely, hit.LikelyDepth)
+				p.confirmed = max(p.confirmed, hit.ConfirmedDepth)
 			}
 		}
 	}
@@ -201,7 +203,7 @@
 
 func (p *Placer) eligible(now wasabiridge.Millis, m *member, q wasabiridge.PlaceQuery) bool {
 	l := &p.loads[m.server]
-	if l.leaving || l.isLost(now, p.opts.LostRetry) {
+	if l.leaving || l.isLost(now, p.opts.LostRetryInterval) {
 		return false
 	}
 	// An engine with older weights than the rule requires would answer with
@@ -229,29 +231,29 @@
 	}
 	switch {
 	case c.spill:
-		out.Why = WhySpill
+		out.Why = WhyReplicate
 	case c.preferred:
-		out.Why = WhyHeir
+		out.Why = WhyPreferred
 	case c.likely > 0:
 		out.Why = WhyHolder
 	case c.homeLevel >= 0:
 		out.Why = WhyHome
 	}
-	out.Join = p.join(now, m.server, r.Chain)
+	out.WaitUntil = p.join(now, m.server, r.Chain)
 	return out
 }
 
 // join returns the time until which the request should be held back because its
 // prefix is being computed, or zero.
 func (p *Placer) join(now wasabiridge.Millis, s wasabicache.ServerIndex, c wasabiridge.Chain) wasabiridge.Millis {
-	if p.opts.JoinLimit <= 0 || len(c.Blocks) == 0 {
+	if p.opts.MaxPrefixWait <= 0 || len(c.Blocks) == 0 {
 		return 0
 	}
 	ready := p.computing(s, c)
 	if ready <= now {
 		return 0
 	}
-	return min(ready, now+p.opts.JoinLimit)
+	return min(ready, now+p.opts.MaxPrefixWait)
 }
 
 // claim returns the number of leading blocks that the placement claims to be
--- a/internal/wasabiquarantine/fleet_test.go
+++ b/internal/wasabiquarantine/fleet_test.go
@@ -35,7 +35,7 @@
 // time.
 type fleet struct {
 	design    design
-	agenda    wasabitest.Agenda
+	agenda    wasabitest.EventQueue
 	now       wasabiridge.Millis
 	random    *rand.Rand
 	instances []*instance
@@ -65,7 +65,7 @@
 	id            wasabiridge.InstanceID
 	incarnation   wasabiridge.Incarnation
 	table         *wasabiquarantine.Table
-	spread        *wasabiquarantine.Spread
+	spread        *wasabiquarantine.RecipientSelector
 	sendScheduled bool
 	// offline says that the instance neither sends nor receives updates: it is partitioned
 	// from the others until backAt, or paused, or killed. If paused or killed, it does not
@@ -101,10 +101,10 @@
 	}
 	n := &instance{fleet: f, id: wasabiridge.InstanceID(fmt.Sprint("i", i)), incarnation: wasabiridge.Incarnation(f.now)}
 	n.table = wasabiquarantine.New(wasabiquarantine.Options{Self: n.id, Seed: f.random.Uint64(), Changed: n.scheduleSend})
-	n.spread = wasabiquarantine.NewSpread(f.random.Uint64())
+	n.spread = wasabiquarantine.NewRecipientSelector(f.random.Uint64())
 	f.instances[i] = n
 	f.membersCurrent = false
-	f.agenda.Add(f.now, n.tick)
+	f.agenda.Schedule(f.now, n.tick)
 }
 
 func (f *fleet) run(d wasabiridge.Millis) {
@@ -124,18 +124,18 @@
 		return
 	}
 	n.sendScheduled = true
-	n.fleet.agenda.Add(n.fleet.now+batchDelay, func() {
+	n.fleet.agenda.Schedule(n.fleet.now+batchDelay, func() {
 		n.sendScheduled = false
-		updates := n.table.TakeNews(n.fleet.now)
+		updates := n.table.TakeUpdates(n.fleet.now)
 		n.send(n.fleet.instances[:n.fleet.active], updates.Narrow)
 		n.send(n.fleet.instances, updates.Wide)
 		for _, c := range updates.Corrections {
-			n.send([]*instance{n.fleet.byID[c.To]}, c.Marks)
+			n.send([]*instance{n.fleet.byID[c.To]}, c.Records)
 		}
 	})
 }
 
-func (n *instance) send(to []*instance, records []wasabiridge.CrashNews) {
+func (n *instance) send(to []*instance, records []wasabiridge.CrashUpdate) {
 	if n.offline || len(records) == 0 {
 		return
 	}
@@ -148,7 +148,7 @@
 
 // sendOne sends an update to another instance, and retries when the message is lost or not
 // answered.
-func (n *instance) sendOne(other *instance, records []wasabiridge.CrashNews, attempts int) {
+func (n *instance) sendOne(other *instance, records []wasabiridge.CrashUpdate, attempts int) {
 	f := n.fleet
 	if n.offline || attempts == 0 {
 		return
@@ -156,12 +156,12 @@
 	f.messages++
 	f.sentRecords += len(records)
 	lost := f.random.Float64() < f.lossRate
-	f.agenda.Add(f.now+messageDelay, func() {
+	f.agenda.Schedule(f.now+messageDelay, func() {
 		if lost || other.offline {
-			f.agenda.Add(f.now+sendRetryDelay, func() { n.sendOne(other, records, attempts-1) })
+			f.agenda.Schedule(f.now+sendRetryDelay, func() { n.sendOne(other, records, attempts-1) })
 			return
 		}
-		other.table.Observe(f.now, wasabiridge.CrashesHeard{From: n.id, Crashes: records})
+		other.table.Observe(f.now, wasabiridge.CrashesReceived{From: n.id, Crashes: records})
 	})
 }
 
@@ -170,21 +170,21 @@
 		return
 	}
 	f := n.fleet
-	f.agenda.Add(f.now+repeatInterval, n.tick)
+	f.agenda.Schedule(f.now+repeatInterval, n.tick)
 	if n.offline {
 		return
 	}
 	n.table.Observe(f.now, wasabiridge.Ticked{})
-	n.table.TakeNotes()
+	n.table.TakeLogEvents()
 	if f.design.noUpdates {
 		return
 	}
 	f.updateMembers()
-	n.table.Meet(f.memberIDs)
+	n.table.SetMembers(f.memberIDs)
 	if f.design.noRepeats {
 		return
 	}
-	repeated := n.table.Repeated(f.now)
+	repeated := n.table.RepeatedUpdates(f.now)
 	one, all := n.spread.Targets(f.members, f.activeEntries)
 	n.send(f.instancesOf(one), repeated.Narrow)
 	n.send(f.instancesOf(append(one, all...)), repeated.Wide)
@@ -227,19 +227,19 @@
 	if n.killed || n.paused {
 		return
 	}
-	standing := n.table.Judge(f.now, r)
-	switch standing {
-	case wasabiridge.StandingBarred:
+	verdict := n.table.Check(f.now, r)
+	switch verdict {
+	case wasabiridge.QuarantineBlocked:
 		f.refused[r.Fingerprint]++
 		return
-	case wasabiridge.StandingDeferred:
+	case wasabiridge.QuarantineDeferred:
 		f.deferred[r.Fingerprint]++
 		if back {
-			f.agenda.Add(f.now+deferredRetry, func() { f.request(f.anyInstance(), r, fatal, false, retries) })
+			f.agenda.Schedule(f.now+deferredRetry, func() { f.request(f.anyInstance(), r, fatal, false, retries) })
 		}
 		return
 	}
-	s := f.choose(r.Fingerprint, standing == wasabiridge.StandingSuspect && !f.design.noIsolation)
+	s := f.choose(r.Fingerprint, verdict == wasabiridge.QuarantineSuspect && !f.design.noIsolation)
 	if s == nil {
 		return
 	}
@@ -253,7 +253,7 @@
 		}
 		e.Attempt = id
 		n.table.Observe(f.now, e)
-		if e.ServerEnded && retries > 0 {
+		if e.ServerCrashed && retries > 0 {
 			f.request(n, r, fatal, back, retries-1)
 		}
 	}
@@ -262,7 +262,7 @@
 		if !n.offline && f.now >= n.backAt+propagation {
 			f.arrivals = append(f.arrivals, f.now)
 		}
-		f.agenda.Add(f.now+fatalDuration, func() {
+		f.agenda.Schedule(f.now+fatalDuration, func() {
 			if s.running[id] != nil {
 				f.ends = append(f.ends, f.now)
 				f.crash(s)
@@ -270,7 +270,7 @@
 		})
 		return
 	}
-	f.agenda.Add(f.now+wasabiridge.Millis(1+f.random.IntN(int(maxDuration))), func() {
+	f.agenda.Schedule(f.now+wasabiridge.Millis(1+f.random.IntN(int(maxDuration))), func() {
 		if s.running[id] != nil {
 			f.served[r.Fingerprint]++
 			end(answered)
@@ -297,7 +297,7 @@
 		return nil
 	}
 	return slices.MaxFunc(up, func(a, b *server) int {
-		if wasabiquarantine.Isolation(fingerprint, a.id) < wasabiquarantine.Isolation(fingerprint, b.id) {
+		if wasabiquarantine.IsolationRank(fingerprint, a.id) < wasabiquarantine.IsolationRank(fingerprint, b.id) {
 			return -1
 		}
 		return 1
@@ -321,7 +321,7 @@
 			end()
 		}
 	}
-	f.agenda.Add(f.now+restartTime, func() { s.down = false })
+	f.agenda.Schedule(f.now+restartTime, func() { s.down = false })
 }
 
 // furtherSends counts how often the fatal request reached a server later than propagation
--- a/internal/wasabiquota/totals_test.go
+++ b/internal/wasabiquota/totals_test.go
@@ -34,7 +34,7 @@
 func newRunningTotals(f *fleet, i int) limiter {
 	n := f.instances[i]
 	return &runningTotals{fleet: f, self: i, table: wasabiquota.New(wasabiquota.Options{
-		Self: instanceID(i), Life: wasabiridge.Incarnation(f.now + n.clockSkew), Started: f.now + n.clockSkew,
+		Self: instanceID(i), Incarnation: wasabiridge.Incarnation(f.now + n.clockSkew), Started: f.now + n.clockSkew,
 	})}
 }
 
@@ -43,7 +43,7 @@
 }
 
 func (w *runningTotals) decide(now wasabiridge.Millis, r wasabiridge.Request, done func(wasabiridge.Millis, bool)) {
-	if !w.table.Judge(now, r).Allowed {
+	if !w.table.Check(now, r).Allowed {
 		done(now, false)
 		return
 	}
@@ -84,35 +84,35 @@
 	if w.table.IsDue(now) {
 		w.sendUpdate(now)
 	}
-	for _, id := range w.table.Strangers(now) {
+	for _, id := range w.table.HelloTargets(now) {
 		w.fleet.send(w.self, slices.Index(instanceIDs[:], id), 0, w.table.Hello(now))
 	}
-	for _, id := range w.table.Newcomers() {
-		all := w.table.All(now)
-		w.fleet.send(w.self, slices.Index(instanceIDs[:], id), entryBytes*len(all.Uses), all)
+	for _, id := range w.table.SnapshotTargets() {
+		all := w.table.LevelSnapshot(now)
+		w.fleet.send(w.self, slices.Index(instanceIDs[:], id), entryBytes*len(all.Usage), all)
 	}
 }
 
 func (w *runningTotals) sendUpdate(now wasabiridge.Millis) {
-	update := w.table.TakeNews(now)
-	if len(update.Uses) == 0 {
+	update := w.table.TakeUpdate(now)
+	if len(update.Usage) == 0 {
 		return
 	}
 	for i := range w.fleet.instances {
 		if i == w.self {
 			continue
 		}
-		w.table.Observe(now, wasabiridge.PeerTold{To: instanceID(i)})
-		w.fleet.send(w.self, i, entryBytes*len(update.Uses), update)
+		w.table.Observe(now, wasabiridge.PeerUpdateSent{To: instanceID(i)})
+		w.fleet.send(w.self, i, entryBytes*len(update.Usage), update)
 	}
 }
 
 func (w *runningTotals) receive(now wasabiridge.Millis, from int, message any) any {
-	update := message.(wasabiridge.News)
-	w.table.Observe(now, update.UsesHeard())
+	update := message.(wasabiridge.StateUpdate)
+	w.table.Observe(now, update.UsageReceived())
 	return nil
 }
 
 func (w *runningTotals) receiveAnswer(now wasabiridge.Millis, from int, _ any) {
-	w.table.Observe(now, wasabiridge.PeerHeard{From: instanceID(from)})
+	w.table.Observe(now, wasabiridge.PeerReachable{From: instanceID(from)})
 }
--- a/internal/wasabiquota/view.go
+++ b/internal/wasabiquota/view.go
@@ -13,21 +13,23 @@
 
 // Owners is the set of owners of the limits as one instance knows it.
 type Owners struct {
-	// Change numbers the present set. Members is the number of instances in it, Divided the
-	// number by which limits are divided, Open the number of other members that are not
-	// known to have the same set. Agreed says that all members have the same set.
-	Change                 uint64
-	Members, Divided, Open int
-	Agreed                 bool
-	// Own says that this instance owns a share, Part is the share that it can use.
-	Own  bool
-	Part float64
+	// Change numbers the present set. Members is the number of instances in it, Divisor
+	// the number by which limits are divided, Unconfirmed the number of other members
+	// that are not known to have the same set. Agreed says that all members have the
+	// same set.
+	Change                        uint64
+	Members, Divisor, Unconfirmed int
+	Agreed                        bool
+	// IsOwner says that this instance owns a share, UsableShare is the share that it
+	// can use.
+	IsOwner     bool
+	UsableShare float64
 }
 
 // Ownership returns the present set of owners.
 func (t *Table) Ownership(now wasabiridge.Millis) Owners {
 	t.advance(now)
-	o := Owners{Change: t.change, Divided: int(t.ownerCount(now)), Agreed: t.agreed, Own: t.owner, Part: t.usableShare(now)}
+	o := Owners{Change: t.change, Divisor: int(t.ownerCount(now)), Agreed: t.agreed, IsOwner: t.owner, UsableShare: t.usableShare(now)}
 	if t.membership.member {
 		o.Members++
 	}
@@ -35,7 +37,7 @@
 		if p.member {
 			o.Members++
 			if !p.isReachable(now) || !t.hasSameView(p) {
-				o.Open++
+				o.Unconfirmed++
 			}
 		}
 	}
@@ -72,9 +74,9 @@
 
 // receiveView records the set of owners that a peer announced, unless a newer one was
 // received before.
-func (p *peer) receiveView(e wasabiridge.UsesHeard) {
-	if e.Change >= p.change {
-		p.change, p.view = e.Change, e.View
+func (p *peer) receiveView(e wasabiridge.UsageReceived) {
+	if e.OwnersEpoch >= p.change {
+		p.change, p.view = e.OwnersEpoch, e.OwnersDigest
 	}
 }
 
@@ -116,7 +118,7 @@
 	}
 	t.view = 0
 	if t.membership.member {
-		t.view = memberHash(t.options.Self, t.options.Life, t.change)
+		t.view = memberHash(t.options.Self, t.options.Incarnation, t.change)
 	}
 	for id, p := range t.peers {
 		if p.member {
--- a/internal/wasabirelay/exchange.go
+++ b/internal/wasabirelay/exchange.go
@@ -21,7 +21,7 @@
 	finalMargin = 15 * wasabiridge.Millis(1)
 )
 
-var errSilent = wasabiridge.ErrSilent.New("relay: backend server sent no byte within the time limit")
+var errFirstByteTimeout = wasabiridge.ErrFirstByteTimeout.New("relay: backend server sent no byte within the time limit")
 
 // exchange processes one request from its submission to the decider until it is
 // answered. It is owned by the goroutine of the request.
@@ -82,7 +82,7 @@
 
 // computeFingerprint returns the keyed hash of the request's content.
 func (c *call) computeFingerprint() wasabiridge.Fingerprint {
-	return c.relay.options.Names.Name(wasabifingerprint.Content{
+	return c.relay.options.Hasher.Fingerprint(wasabifingerprint.Content{
 		Account: c.account.ID, Method: c.r.Method, Host: hostOf(c.r), Path: c.r.URL.RequestURI(), Model: c.parsed.Model, Body: c.body, Blocks: c.parsed.Blocks,
 	})
 }
@@ -97,7 +97,7 @@
 		x.refuse(*x.notRun("too many requests wait here"))
 		return
 	}
-	defer o.Loop.Forget(x.request.ID)
+	defer o.Loop.CloseMailbox(x.request.ID)
 	left := x.until - finalMargin - o.Clock.Now()
 	var cancel context.CancelFunc
 	x.ctx, cancel = context.WithTimeout(x.r.Context(), left.Duration())
@@ -146,7 +146,7 @@
 	defer cancel(nil)
 	s := &sink{exchange: x, dispatch: d, cancel: cancel}
 	if d.FirstByte > 0 {
-		s.firstByteTimer = time.AfterFunc(d.FirstByte.Duration(), func() { cancel(errSilent) })
+		s.firstByteTimer = time.AfterFunc(d.FirstByte.Duration(), func() { cancel(errFirstByteTimeout) })
 		defer s.firstByteTimer.Stop()
 	}
 	before, started := x.disposition, x.relay.options.Clock.Now()
@@ -196,7 +196,7 @@
 		Method: x.r.Method, Path: x.r.URL.RequestURI(), Header: x.header, Body: x.body, Host: x.r.Host, Model: x.request.Model,
 		Stream: x.request.Stream, NonIdempotent: x.request.Action.NonIdempotent, Priority: x.request.Action.Priority,
 		Weights: d.Weights, ResumeFrom: d.ResumeFrom, LastEvent: x.lastEvent,
-		FetchFrom: d.FetchFrom, SaveTo: d.SaveTo, MemoryFrom: d.MemoryFrom, Until: x.until,
+		ImportFrom: d.ImportFrom, ExportTo: d.ExportTo, CacheHandle: d.CacheHandle, Deadline: x.until,
 	}
 	if x.account.ID != "" {
 		a.MaySend = x.keyInForce
@@ -241,13 +241,13 @@
 		x.finish()
 	case x.disposition == wasabiridge.NotRun && e.Reason == wasabiridge.RefusedQuarantined:
 		// No Retry-After time: a repeat would be refused as well.
-		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalNotRun, Cause: string(e.Reason)})
+		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalNotRun, Reason: string(e.Reason)})
 	case x.disposition == wasabiridge.NotRun && e.Reason == wasabiridge.RefusedQuota:
-		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalLimited, Cause: string(e.Reason), RetryAfter: x.cappedRetryAfter(e.RetryAfter)})
+		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalLimited, Reason: string(e.Reason), RetryAfter: x.cappedRetryAfter(e.RetryAfter)})
 	case x.disposition == wasabiridge.NotRun:
-		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalNotRun, Cause: string(e.Reason), RetryAfter: x.retryAfter(e.RetryAfter)})
+		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalNotRun, Reason: string(e.Reason), RetryAfter: x.retryAfter(e.RetryAfter)})
 	default:
-		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalBroken, Cause: string(e.Reason)})
+		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalBroken, Reason: string(e.Reason)})
 	}
 }
 
@@ -256,7 +256,7 @@
 	x.relay.options.Loop.Post(wasabiridge.CallerGone{Request: x.request.ID})
 	switch {
 	case x.r.Context().Err() != nil:
-		x.log("Caller disconnected before the answer was complete.", OutcomeGone, "")
+		x.log("Caller disconnected before the answer was complete.", OutcomeCallerGone, "")
 		// The connection is closed, so no answer can be written.
 		panic(http.ErrAbortHandler)
 	case x.headSent:
@@ -264,9 +264,9 @@
 	case x.status > 0:
 		x.finish()
 	case x.disposition == wasabiridge.NotRun:
-		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalNotRun, Cause: "deadline", RetryAfter: x.retryAfter(0)})
+		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalNotRun, Reason: "deadline", RetryAfter: x.retryAfter(0)})
 	default:
-		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalTimeout, Cause: "deadline"})
+		x.refuse(wasabiridge.Refusal{Kind: wasabiridge.RefusalTimeout, Reason: "deadline"})
 	}
 }
 
--- a/internal/wasabirelay/relay_test.go
+++ b/internal/wasabirelay/relay_test.go
@@ -65,8 +65,8 @@
 // protocol is a caller protocol that uses plain headers.
 type protocol struct{}
 
-func (protocol) Read(r *http.Request) (wasabiridge.Asked, error) {
-	return wasabiridge.Asked{ID: wasabiridge.RequestID(r.Header.Get("Id")), Key: r.Header.Get("Key"), Patience: 2000}, nil
+func (protocol) Read(r *http.Request) (wasabiridge.CallerRequest, error) {
+	return wasabiridge.CallerRequest{ID: wasabiridge.RequestID(r.Header.Get("Id")), Key: r.Header.Get("Key"), Timeout: 2000}, nil
 }
 func (protocol) Forward(h http.Header) http.Header { return h.Clone() }
 func (protocol) Refuse(w http.ResponseWriter, f wasabiridge.Refusal) {
@@ -92,14 +92,14 @@
 	clock  *wasabiclock.Virtual
 	relay  *wasabirelay.Relay
 	mover  moverOf
-	judge  *fixedVerdict
+	check  *fixedVerdict
 }
 
-// fixedVerdict is a quarantine that reports the same standing for every request.
-type fixedVerdict struct{ standing wasabiridge.Standing }
+// fixedVerdict is a quarantine that returns the same verdict for every request.
+type fixedVerdict struct{ verdict wasabiridge.QuarantineVerdict }
 
-func (v *fixedVerdict) Judge(wasabiridge.Millis, wasabiridge.Request) wasabiridge.Standing {
-	return v.standing
+func (v *fixedVerdict) Check(wasabiridge.Millis, wasabiridge.Request) wasabiridge.QuarantineVerdict {
+	return v.verdict
 }
 
 func (*fixedVerdict) Sent(wasabiridge.Millis, wasabiridge.Request, wasabiridge.AttemptID, wasabiridge.BackendServer) {
@@ -107,10 +107,10 @@
 func (*fixedVerdict) Observe(wasabiridge.Millis, wasabiridge.Event) {}
 
 // moverOf forwards moves to the mover that a test sets.
-type moverOf struct{ wasabiridge.RunMover }
+type moverOf struct{ wasabiridge.RequestMigrator }
 
 // move sets the mover of the relay.
-func (g *rig) move(m wasabiridge.RunMover) { g.mover.RunMover = m }
+func (g *rig) move(m wasabiridge.RequestMigrator) { g.mover.RequestMigrator = m }
 
 // first returns the first attempt.
 func (g *rig) first() wasabiridge.Attempt {
@@ -122,7 +122,7 @@
 func newRig(then wasabiridge.Action, script ...scriptedAttempt) *rig {
 	// The deadlines of the relay are timers of the real clock. Only the age of the
 	// configuration depends on the virtual clock, which the test advances.
-	g := &rig{runner: &runner{script: script}, clock: wasabiclock.NewVirtual(1e6), judge: &fixedVerdict{}}
+	g := &rig{runner: &runner{script: script}, clock: wasabiclock.NewVirtual(1e6), check: &fixedVerdict{}}
 	then.Pool = "p"
 	servers := []wasabiridge.BackendServer{{ID: "s1", URL: "http://a", Slots: 9}, {ID: "s2", URL: "http://b", Slots: 9}, {ID: "s3", URL: "http://c", Slots: 9}}
 	cfg := &wasabiridge.Config{
@@ -134,18 +134,18 @@
 		},
 	}
 	cfg.Rules[0].Then.Anonymous = true
-	g.view = wasabirelay.View{Config: cfg, Proven: g.clock.Now()}
+	g.view = wasabirelay.View{Config: cfg, ConfirmedAt: g.clock.Now()}
 	placer := wasabireplica.New(wasabireplica.Options{Seed: 1, RetrySlack: 100})
 	// An instance that has run for long has its share of the retry budget.
 	placer.Observe(g.clock.Now()-2*wasabiridge.Minute, wasabiridge.Ticked{})
-	core := wasabicore.New(wasabicore.Options{Placer: placer, Limiter: wasabireplica.NewLimiter(placer), Quarantine: g.judge})
+	core := wasabicore.New(wasabicore.Options{Placer: placer, Limiter: wasabireplica.NewLimiter(placer), Quarantine: g.check})
 	loop := wasabiloop.New(wasabiloop.Options{Decider: core, Clock: g.clock})
 	DeferCleanup(loop.Close)
 	loop.Post(wasabiridge.ConfigAdopted{Config: *cfg})
 	g.relay = wasabirelay.New(wasabirelay.Options{
 		Clock: g.clock, Loop: loop, Runner: g.runner, Protocol: protocol{}, View: g.seen, Mover: &g.mover,
-		KeyLife:  func() wasabiridge.Millis { return 4000 },
-		DenyLife: func() wasabiridge.Millis { return 1500 },
+		MaxKeyAge:  func() wasabiridge.Millis { return 4000 },
+		MaxDenyAge: func() wasabiridge.Millis { return 1500 },
 	})
 	g.server = httptest.NewServer(g.relay)
 	DeferCleanup(g.server.Close)
@@ -301,7 +301,7 @@
 	// Retry-After time its caller would send it again and be refused each time.
 	It("that is blocked by the quarantine gets no Retry-After time", func() {
 		g := newRig(wasabiridge.Action{}, answers(200, "ok"))
-		g.judge.standing = wasabiridge.StandingBarred
+		g.check.verdict = wasabiridge.QuarantineBlocked
 		got := g.send("/x", "k")
 		Expect(got.kind).To(Equal(string(wasabiridge.RefusalNotRun)))
 		Expect(got.back).To(BeEmpty())
@@ -327,7 +327,7 @@
 			"the key's proof": func() {},
 			"a configuration": func() { g.view.Config = &wasabiridge.Config{} },
 		}
-		for _, name := range wasabitest.Names(waits) {
+		for _, name := range wasabitest.SortedKeys(waits) {
 			waits[name]()
 			g.clock.Advance(6 * wasabiridge.Second)
 			for range 10 {
--- a/internal/wasabireplica/limit_test.go
+++ b/internal/wasabireplica/limit_test.go
@@ -32,7 +32,7 @@
 // limitedFleet simulates instances in front of servers, some of which report limits.
 type limitedFleet struct {
 	random    *rand.Rand
-	agenda    wasabitest.Agenda
+	agenda    wasabitest.EventQueue
 	now, end  wasabiridge.Millis
 	instances []*rig
 	names     []wasabiridge.InstanceID
@@ -56,8 +56,8 @@
 	for range servers {
 		f.servers = append(f.servers, &limitedServer{})
 	}
-	f.agenda.Add(f.now, f.tick)
-	f.agenda.Add(f.now, f.arrive)
+	f.agenda.Schedule(f.now, f.tick)
+	f.agenda.Schedule(f.now, f.arrive)
 	return f
 }
 
@@ -77,14 +77,14 @@
 	for i, g := range f.instances {
 		g.observe(wasabiridge.InstancesCounted{Count: len(f.instances), Serving: f.visibleTo(i)})
 		g.observe(wasabiridge.Ticked{})
-		loads, segments := g.placer.TakeNews(f.now)
+		loads, segments := g.placer.TakeUpdates(f.now)
 		for j, other := range f.instances {
 			if i != j && !f.silent && (!f.partitioned || i%2 == j%2) {
-				other.observe(wasabiridge.PeerPlaced{From: f.names[i], Loads: loads, Parts: segments})
+				other.observe(wasabiridge.PeerPlaced{From: f.names[i], Loads: loads, Segments: segments})
 			}
 		}
 	}
-	f.agenda.Add(f.now+100, f.tick)
+	f.agenda.Schedule(f.now+100, f.tick)
 }
 
 // visibleTo returns the instances that one instance sees, itself included.
@@ -100,7 +100,7 @@
 
 func (f *limitedFleet) arrive() {
 	f.request(f.instances[f.random.IntN(len(f.instances))])
-	f.agenda.Add(f.now+wasabiridge.Millis(1+f.random.ExpFloat64()*1000/f.rate), f.arrive)
+	f.agenda.Schedule(f.now+wasabiridge.Millis(1+f.random.ExpFloat64()*1000/f.rate), f.arrive)
 }
 
 func (f *limitedFleet) request(g *rig) {
@@ -121,8 +121,8 @@
 	_, _ = fmt.Sscanf(string(pl.Backend.ID), "e%d", &at)
 	s := f.servers[at]
 	s.arrivals = append(s.arrivals, f.now)
-	f.agenda.Add(f.now+answerTime, func() {
-		g.observe(wasabiridge.LimitNamed{Backend: pl.Backend.ID, Limited: s.limited, Rate: s.rate, Asked: sentAt})
+	f.agenda.Schedule(f.now+answerTime, func() {
+		g.observe(wasabiridge.LimitAnnounced{Backend: pl.Backend.ID, Limited: s.limited, Rate: s.rate, RequestSentAt: sentAt})
 		g.answer(id)
 	})
 }
@@ -157,7 +157,7 @@
 		"a rate of zero":                       {6, 9, 1, 170, 0},
 		"three of 45 servers, sixty instances": {60, 45, 3, 800, 5},
 	}
-	for _, name := range wasabitest.Names(cases) {
+	for _, name := range wasabitest.SortedKeys(cases) {
 		c := cases[name]
 		// Guards against limited servers that keep receiving as many requests as
 		// before.
@@ -232,7 +232,7 @@
 	// more.
 	It("receives requests again when its limit has expired", func() {
 		g := newRig(1)
-		g.observe(wasabiridge.LimitNamed{Backend: "e0", Limited: true, Rate: 1e-9, Asked: g.now - 1})
+		g.observe(wasabiridge.LimitAnnounced{Backend: "e0", Limited: true, Rate: 1e-9, RequestSentAt: g.now - 1})
 		g.now += 11 * wasabiridge.Second
 		for range 5 {
 			Expect(g.limiter.Offer(g.now, short()).Verdict).To(Equal(wasabiridge.Admitted))
@@ -242,13 +242,13 @@
 	// Guards against answers that arrive out of order.
 	It("keeps its limit when a request sent before the limit is answered without one", func() {
 		g := newRig(1)
-		g.observe(wasabiridge.LimitNamed{Backend: "e0", Limited: true, Rate: 1, Asked: g.now - 50})
-		g.observe(wasabiridge.LimitNamed{Backend: "e0", Asked: g.now - 20})
+		g.observe(wasabiridge.LimitAnnounced{Backend: "e0", Limited: true, Rate: 1, RequestSentAt: g.now - 50})
+		g.observe(wasabiridge.LimitAnnounced{Backend: "e0", RequestSentAt: g.now - 20})
 		Expect(g.limiter.Offer(g.now, short()).Verdict).To(Equal(wasabiridge.Rejected))
 		g.now += 20
-		g.observe(wasabiridge.LimitNamed{Backend: "e0", Asked: g.now - 10})
+		g.observe(wasabiridge.LimitAnnounced{Backend: "e0", RequestSentAt: g.now - 10})
 		Expect(g.limiter.Offer(g.now, short()).Verdict).To(Equal(wasabiridge.Admitted))
-		g.observe(wasabiridge.LimitNamed{Backend: "e0", Limited: true, Rate: 1, Asked: g.now - 15})
+		g.observe(wasabiridge.LimitAnnounced{Backend: "e0", Limited: true, Rate: 1, RequestSentAt: g.now - 15})
 		Expect(g.limiter.Offer(g.now, short()).Verdict).To(Equal(wasabiridge.Admitted), "the request was sent before the limit ended")
 	})
 
@@ -256,12 +256,12 @@
 	// arrived later than the request was sent whose answer ended it.
 	It("loses its limit when another instance reports the end, however late the limit was received", func() {
 		g := newRig(1)
-		observe := func(l wasabiridge.LimitNews) {
-			g.observe(wasabiridge.PeerPlaced{From: "i", Loads: []wasabiridge.LoadNews{{Backend: "e0", Limit: l}}})
+		observe := func(l wasabiridge.LimitUpdate) {
+			g.observe(wasabiridge.PeerPlaced{From: "i", Loads: []wasabiridge.LoadUpdate{{Backend: "e0", Limit: l}}})
 		}
-		observe(wasabiridge.LimitNews{Known: true, Limited: true, Rate: 1, Age: 900})
+		observe(wasabiridge.LimitUpdate{Known: true, Limited: true, Rate: 1, Age: 900})
 		Expect(g.limiter.Offer(g.now, short()).Verdict).To(Equal(wasabiridge.Rejected))
-		observe(wasabiridge.LimitNews{Known: true, Age: 300})
+		observe(wasabiridge.LimitUpdate{Known: true, Age: 300})
 		Expect(g.limiter.Offer(g.now, short()).Verdict).To(Equal(wasabiridge.Admitted))
 	})
 
@@ -271,8 +271,8 @@
 		g := newRig(1)
 		sent := 0
 		for i := range 50 {
-			g.observe(wasabiridge.LimitNamed{Backend: "e0", Limited: true, Rate: float64(1 + i), Asked: g.now - 10})
-			loads, _ := g.placer.TakeNews(g.now)
+			g.observe(wasabiridge.LimitAnnounced{Backend: "e0", Limited: true, Rate: float64(1 + i), RequestSentAt: g.now - 10})
+			loads, _ := g.placer.TakeUpdates(g.now)
 			sent += len(loads)
 			g.now += 100
 		}
@@ -284,7 +284,7 @@
 		g := newRig(1)
 		g.pool.Backends[0].Incarnation = 1
 		g.adopt()
-		g.observe(wasabiridge.LimitNamed{Backend: "e0", Limited: true, Rate: 1, Asked: g.now})
+		g.observe(wasabiridge.LimitAnnounced{Backend: "e0", Limited: true, Rate: 1, RequestSentAt: g.now})
 		Expect(g.limiter.Offer(g.now, short()).Verdict).To(Equal(wasabiridge.Rejected))
 		g.pool.Backends[0].Incarnation = 2
 		g.adopt()
--- a/internal/wasabireplica/observe.go
+++ b/internal/wasabireplica/observe.go
@@ -16,26 +16,26 @@
 		}
 		p.detectSilence(now)
 		p.reviewIncarnations(now)
-		p.rateGroup.Tick(now)
-	case wasabiridge.LimitNamed:
+		p.rateGroup.Expire(now)
+	case wasabiridge.LimitAnnounced:
 		p.limitReported(now, e)
 	case wasabiridge.ConfigAdopted:
 		p.adopt(now, e.Config)
-	case wasabiridge.WeightsNamed:
+	case wasabiridge.TargetWeightsSet:
 		p.announced.add(e.Model, announcedVersion{weights: e.Weights, at: e.At})
 	case wasabiridge.WeightsReported:
 		p.weightsReported(now, e)
-	case wasabiridge.BackendResting:
+	case wasabiridge.BackendInBackoff:
 		if r := p.replicas[e.Backend]; r != nil {
 			r.backoffUntil = e.Until
 		}
-	case wasabiridge.BackendEasing:
+	case wasabiridge.BackendDraining:
 		if r := p.replicas[e.Backend]; r != nil {
 			r.drainUntil = e.Until
 		}
-	case wasabiridge.KeptCacheSeen:
+	case wasabiridge.CacheStoreChecked:
 		p.kvStores.setReachable(e)
-	case wasabiridge.KeptCacheListed:
+	case wasabiridge.CacheStoreListed:
 		p.kvStores.addListed(e)
 	case wasabiridge.PeerPlaced:
 		p.peerPlaced(now, e)
@@ -45,9 +45,9 @@
 			r.running, r.waiting, r.reported, r.ownAtReport = e.Report.Running, e.Report.Waiting, now, r.own.requests
 		}
 	case wasabiridge.InstancesCounted:
-		p.sharers.Count(now, e.Count)
+		p.instances.Record(now, e.Count)
 		if len(e.Serving) > 0 {
-			p.rateGroup.Set(now, e.Serving)
+			p.rateGroup.SetInstances(now, e.Serving)
 		}
 	case wasabiridge.BackendLost:
 		if r := p.replicas[e.Backend]; r != nil {
@@ -66,7 +66,7 @@
 // enough without contradiction.
 func (p *Placer) reviewIncarnations(now wasabiridge.Millis) {
 	for _, r := range p.replicas {
-		if incarnation, due := r.incarnation.Due(now); due {
+		if incarnation, due := r.incarnation.AcceptedRollback(now); due {
 			r.acceptIncarnation(now, incarnation)
 		}
 	}
@@ -144,7 +144,7 @@
 	a.replica.prefillQueue.markStarted(now, func(w queuedPrompt) bool { return w.attempt == id })
 	for i, key := range a.keys {
 		a.replica.cache.markReady(key)
-		p.peerUpdates.add(wasabiridge.PartNews{Backend: a.replica.server.ID, Key: key, Tokens: a.prompt.lengths[i], Ready: true, Incarnation: a.replica.server.Incarnation})
+		p.peerUpdates.add(wasabiridge.SegmentUpdate{Backend: a.replica.server.ID, Key: key, Tokens: a.prompt.lengths[i], Ready: true, Incarnation: a.replica.server.Incarnation})
 	}
 	p.attempts[id] = a
 }
@@ -159,7 +159,7 @@
 	if !a.measuresCost || !a.prompt.engine || a.wait > maxWaitRatio*a.work {
 		return
 	}
-	work := wasabicost.Work{Tokens: a.prompt.tokens() - a.held, Behind: a.held}
+	work := wasabicost.Work{Tokens: a.prompt.tokens() - a.held, Preceding: a.held}
 	a.prompt.costs.Observe(work, float64(now-a.sent)-a.wait)
 }
 
@@ -191,14 +191,14 @@
 // observeResult updates the state of a replica with the result of an attempt.
 func (p *Placer) observeResult(now wasabiridge.Millis, r *replica, firstByteSeen bool, e wasabiridge.AttemptEnded) {
 	switch {
-	case e.Moved.Memory != "":
+	case e.Moved.Handle != "":
 	case e.Misdirected:
 		// Another replica now has this address.
 		r.gone = true
 	case e.Failed:
 		r.observeFailure(true)
 		r.clearFailures()
-	case e.Unreachable || e.Silent:
+	case e.Unreachable || e.FirstByteTimeout:
 		r.recordFailure(now)
 		r.observeFailure(true)
 	case e.OtherWeights, e.Overloaded:
--- a/internal/wasabirollout/driver_test.go
+++ b/internal/wasabirollout/driver_test.go
@@ -52,7 +52,7 @@
 	at     wasabiridge.Millis
 	order  int
 	number wasabiridge.FencingNumber
-	effect wasabirollout.CourseEffect
+	effect wasabirollout.ReconcilerEffect
 	// answer is set once the engine has executed the call.
 	answer wasabiorder.Event
 }
@@ -94,8 +94,8 @@
 	}
 }
 
-func (s *simulation) emit(effects []wasabirollout.CourseEffect) {
-	for _, e := range append([]wasabirollout.CourseEffect(nil), effects...) {
+func (s *simulation) emit(effects []wasabirollout.ReconcilerEffect) {
+	for _, e := range append([]wasabirollout.ReconcilerEffect(nil), effects...) {
 		fails := s.effects == s.failAt
 		s.effects++
 		if fails {
@@ -128,7 +128,7 @@
 			c.at, c.answer = s.now+callTime, s.execute(c)
 			s.calls = append(s.calls, c)
 		} else if s.driver != nil && c.number == s.grant.Fencing {
-			s.emit(s.driver.Handle(s.now, s.grant, wasabirollout.CourseEvent{Backend: c.effect.Backend, Event: c.answer}))
+			s.emit(s.driver.Handle(s.now, s.grant, wasabirollout.ReconcilerEvent{Backend: c.effect.Backend, Event: c.answer}))
 		}
 	}
 }
@@ -139,7 +139,7 @@
 	switch effect := c.effect.Effect.(type) {
 	case wasabiorder.SendOrder:
 		if e.down {
-			return wasabiorder.OrderAnswered{Fencing: effect.Order.Fencing, Err: down}
+			return wasabiorder.OrderResult{Fencing: effect.Order.Fencing, Err: down}
 		}
 		e.state.Fencing = max(e.state.Fencing, effect.Order.Fencing)
 		if effect.Order.Weights != e.state.Weights && !e.state.Loading {
@@ -147,12 +147,12 @@
 			e.loads++
 			s.loadStarts = append(s.loadStarts, s.now)
 		}
-		return wasabiorder.OrderAnswered{Fencing: effect.Order.Fencing}
+		return wasabiorder.OrderResult{Fencing: effect.Order.Fencing}
 	case wasabiorder.ReadState:
 		if e.down {
-			return wasabiorder.StateRead{Fencing: effect.Fencing, Err: down}
+			return wasabiorder.StateResult{Fencing: effect.Fencing, Err: down}
 		}
-		return wasabiorder.StateRead{Fencing: effect.Fencing, State: e.state}
+		return wasabiorder.StateResult{Fencing: effect.Fencing, State: e.state}
 	}
 	return nil
 }
@@ -262,7 +262,7 @@
 }
 
 var _ = Describe("A rollout", func() {
-	for _, name := range wasabitest.Names(driverCases) {
+	for _, name := range wasabitest.SortedKeys(driverCases) {
 		It(name, func() { driverCases[name]() })
 	}
 
--- a/internal/wasabiservice/service.go
+++ b/internal/wasabiservice/service.go
@@ -82,9 +82,9 @@
 	return s.total
 }
 
-// Refuse makes the service refuse the next count bookings without running them,
+// RefuseNext makes the service refuse the next count bookings without running them,
 // with status 503 and the disposition not_run.
-func (s *Service) Refuse(count int) {
+func (s *Service) RefuseNext(count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refusals = count
@@ -129,7 +129,7 @@
 }
 
 // answer writes the answer and executes the next injected fault, if there is one.
-// A CleanEnd fault after the headers closes the connection half way through an
+// A TruncatedEnd fault after the headers closes the connection half way through an
 // answer that has no content length.
 func (s *Service) answer(w http.ResponseWriter, r *http.Request, status int, v any) {
 	var data []byte
@@ -138,20 +138,20 @@
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	fault := s.Take()
-	if fault.Strikes(wasabiserver.BeforeHeaders, 0) {
-		fault.Perform(w, r)
+	fault := s.Next()
+	if fault.OccursAt(wasabiserver.BeforeHeaders, 0) {
+		fault.Execute(w, r)
 	}
-	if fault.Strikes(wasabiserver.AfterHeaders, 0) && fault.Manner == wasabiserver.CleanEnd {
+	if fault.OccursAt(wasabiserver.AfterHeaders, 0) && fault.Kind == wasabiserver.TruncatedEnd {
 		endByClose(w, data[:len(data)/2])
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	if fault.Strikes(wasabiserver.AfterHeaders, 0) {
+	if fault.OccursAt(wasabiserver.AfterHeaders, 0) {
 		_, _ = w.Write(data[:len(data)/2])
 		_ = http.NewResponseController(w).Flush()
-		fault.Perform(w, r)
+		fault.Execute(w, r)
 	}
 	_, _ = w.Write(data)
 }
--- a/internal/wasabitest/names.go
+++ b/internal/wasabitest/names.go
@@ -5,10 +5,10 @@
 	"sort"
 )
 
-// Names returns the names of a table of cases, a map with string keys, in
-// order. Specs are built in that order, so that every run builds the same
-// tree.
-func Names(table any) []string {
+// SortedKeys returns the sorted keys of a table of test cases. The table must be a map
+// with string keys. Iterating over it in that order makes every run generate the
+// same tree of specs.
+func SortedKeys(table any) []string {
 	keys := reflect.ValueOf(table).MapKeys()
 	names := make([]string, len(keys))
 	for i, key := range keys {
--- a/internal/wasabiupgrade/upgrade_test.go
+++ b/internal/wasabiupgrade/upgrade_test.go
@@ -43,7 +43,7 @@
 	// unresponsive holds the engines that do not respond.
 	unresponsive map[wasabiridge.BackendServerID]bool
 	orders       []wasabiupgrade.SendOrder
-	updates      []wasabiridge.RestNews
+	updates      []wasabiridge.BackoffUpdate
 	loading      int
 }
 
@@ -100,7 +100,7 @@
 		})
 		f.loading = max(f.loading, len(f.done))
 		f.handle(wasabiupgrade.Ticked{
-			Entries: f.entries(), Wanted: map[wasabiridge.ModelID]wasabiridge.WeightsVersion{model: f.wanted}, Grant: f.grant,
+			Entries: f.entries(), Targets: map[wasabiridge.ModelID]wasabiridge.WeightsVersion{model: f.wanted}, Grant: f.grant,
 		})
 	}
 }
@@ -120,12 +120,12 @@
 func (f *fleet) handle(e wasabiupgrade.Event) {
 	for _, effect := range slices.Clone(f.machine.Handle(f.now, e)) {
 		switch x := effect.(type) {
-		case wasabiupgrade.Tell:
-			f.updates = append(f.updates, x.News)
+		case wasabiupgrade.SendUpdate:
+			f.updates = append(f.updates, x.Update)
 		case wasabiupgrade.SendOrder:
 			f.orders = append(f.orders, x)
 			id := x.Server.ID
-			result := wasabiupgrade.Ordered{Backend: id, Model: x.Order.Model, Fencing: x.Order.Fencing, Unsure: true}
+			result := wasabiupgrade.OrderResult{Backend: id, Model: x.Order.Model, Fencing: x.Order.Fencing, Unsure: true}
 			switch {
 			case f.lose == nil || !f.lose(id):
 				result.Unsure = !f.accept(x)
@@ -136,11 +136,11 @@
 		case wasabiupgrade.ReadState:
 			id := x.Server.ID
 			if f.unresponsive[id] {
-				f.handle(wasabiupgrade.StateRead{Backend: id, Model: x.Model, Failed: true})
+				f.handle(wasabiupgrade.StateResult{Backend: id, Model: x.Model, Failed: true})
 				continue
 			}
 			_, busy := f.done[id]
-			f.handle(wasabiupgrade.StateRead{Backend: id, Model: x.Model, State: wasabiridge.EngineState{
+			f.handle(wasabiupgrade.StateResult{Backend: id, Model: x.Model, State: wasabiridge.EngineState{
 				Weights: f.serves[id], Loading: busy, Orders: f.accepted[id], Incarnation: f.incarnations[id],
 			}})
 		}
@@ -181,8 +181,8 @@
 		f.wanted = 2
 		f.run(3000)
 		Expect(f.updates).To(HaveLen(2))
-		Expect(f.updates[0].Resting).To(BeNumerically(">", 0))
-		Expect(f.updates[1]).To(Equal(wasabiridge.RestNews{Backend: id(0), Model: model, Weights: 2}))
+		Expect(f.updates[0].Backoff).To(BeNumerically(">", 0))
+		Expect(f.updates[1]).To(Equal(wasabiridge.BackoffUpdate{Backend: id(0), Model: model, Weights: 2}))
 	})
 
 	It("sends no order without the lease, and stops when the lease expires", func() {
@@ -250,7 +250,7 @@
 		Expect(f.left()).To(BeZero())
 		backoffs, most := map[wasabiridge.BackendServerID]bool{}, 0
 		for _, update := range f.updates {
-			backoffs[update.Backend] = update.Resting > 0
+			backoffs[update.Backend] = update.Backoff > 0
 			away := 0
 			for _, inBackoff := range backoffs {
 				if inBackoff {
@@ -277,13 +277,13 @@
 			return id == lost
 		}
 		inBackoff := func() bool {
-			last := wasabiridge.RestNews{}
+			last := wasabiridge.BackoffUpdate{}
 			for _, update := range f.updates {
 				if update.Backend == lost {
 					last = update
 				}
 			}
-			return last.Resting > 0
+			return last.Backoff > 0
 		}
 		f.run(1000)
 		Expect(lost).NotTo(BeEmpty())
@@ -354,9 +354,9 @@
 		Expect(f.left()).To(BeZero())
 		drained := map[wasabiridge.BackendServerID]bool{}
 		for _, update := range f.updates {
-			if update.Easing > 0 {
+			if update.Drain > 0 {
 				drained[update.Backend] = true
-				Expect(update.Resting).To(BeZero())
+				Expect(update.Backoff).To(BeZero())
 			}
 		}
 		Expect(drained).To(HaveLen(7), "all but the two that load immediately")
@@ -400,7 +400,7 @@
 		f := newFleet(2)
 		f.hold(7)
 		f.wanted = 2
-		f.handle(wasabiupgrade.Heard{Backend: id(0)})
+		f.handle(wasabiupgrade.UpdateReceived{Backend: id(0)})
 		f.run(2900)
 		for _, o := range f.orders {
 			Expect(o.Server.ID).To(Equal(id(1)))
@@ -420,7 +420,7 @@
 		loading, most := 0, 0
 		for now := wasabiridge.Millis(1e6); now < 1e6+12000; now += 50 {
 			entry := wasabiridge.BackendEntry{Server: wasabiridge.BackendServer{ID: "e"}, Weights: maps.Clone(serves)}
-			events := []wasabiupgrade.Event{wasabiupgrade.Ticked{Entries: []wasabiridge.BackendEntry{entry}, Wanted: wanted, Grant: grant}}
+			events := []wasabiupgrade.Event{wasabiupgrade.Ticked{Entries: []wasabiridge.BackendEntry{entry}, Targets: wanted, Grant: grant}}
 			for len(events) > 0 {
 				e := events[0]
 				events = events[1:]
@@ -429,13 +429,13 @@
 					case wasabiupgrade.SendOrder:
 						loading++
 						most = max(most, loading)
-						events = append(events, wasabiupgrade.Ordered{Backend: "e", Model: x.Order.Model, Fencing: 1})
+						events = append(events, wasabiupgrade.OrderResult{Backend: "e", Model: x.Order.Model, Fencing: 1})
 					case wasabiupgrade.ReadState:
 						if loading > 0 {
 							serves[x.Model] = wanted[x.Model]
 						}
 						loading = 0
-						events = append(events, wasabiupgrade.StateRead{Backend: "e", Model: x.Model, State: wasabiridge.EngineState{Models: maps.Clone(serves)}})
+						events = append(events, wasabiupgrade.StateResult{Backend: "e", Model: x.Model, State: wasabiridge.EngineState{Models: maps.Clone(serves)}})
 					}
 				}
 			}
@@ -450,7 +450,7 @@
 		f.wanted = 2
 		f.run(400)
 		sent := len(f.orders)
-		f.handle(wasabiupgrade.Ordered{Backend: id(0), Model: model, Fencing: 3, Fenced: true})
+		f.handle(wasabiupgrade.OrderResult{Backend: id(0), Model: model, Fencing: 3, Fenced: true})
 		f.run(6000)
 		Expect(f.orders).To(HaveLen(sent))
 		f.hold(4)
