--- a/internal/wasabigateway/exchange.go
+++ b/internal/wasabigateway/exchange.go
@@ -47,7 +47,7 @@
 	closed bool
 	// finalPayloads are the kinds of final payloads that were passed to the
 	// caller.
-	finalPayloads ending
+	finalPayloads finalPayload
 	// tokens counts the output tokens that were passed to the caller.
 	tokens     int
 	firstToken wasabiridge.Millis
@@ -244,7 +244,7 @@
 
 // markFinalPayload records a final payload. It reports false if one of the same
 // kind was passed on before.
-func (x *exchange) markFinalPayload(e ending) bool {
+func (x *exchange) markFinalPayload(e finalPayload) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	first := e == finalNone || x.finalPayloads&e == 0
--- a/internal/wasabigateway/finalpayload.go
+++ b/internal/wasabigateway/finalpayload.go
@@ -8,12 +8,12 @@
 
 // finalPayload classifies the payloads that an engine sends between the last
 // token and the end marker of a stream.
-type ending uint8
+type finalPayload uint8
 
 const (
-	finalNone ending = 0
+	finalNone finalPayload = 0
 	// finalReason carries the finish reason of the answer.
-	finalReason ending = 1 << iota
+	finalReason finalPayload = 1 << iota
 	// finalUsage carries the token usage of the answer, in a payload without
 	// choices.
 	finalUsage
@@ -27,7 +27,7 @@
 // finalPayloadOf classifies a payload of an engine. The caller must receive
 // each kind exactly once, even when the stream breaks next to one and is
 // resumed by another attempt.
-func finalPayloadOf(data []byte) ending {
+func finalPayloadOf(data []byte) finalPayload {
 	if bytes.Contains(data, reasonField) && gjson.GetBytes(data, "choices.0.finish_reason").Type == gjson.String {
 		return finalReason
 	}
--- a/internal/wasabiplace/pool.go
+++ b/internal/wasabiplace/pool.go
@@ -23,8 +23,8 @@
 	server   wasabicache.ServerIndex
 	seed     uint64
 	distance wasabiridge.Millis
-	// candidate is the index of the member's candidate, valid if round is the
-	// number of the current decision.
+	// round is the number of the decision for which candidate, the index of the
+	// member's candidate, is valid.
 	round     uint64
 	candidate int32
 }
--- a/internal/wasabireplica/prompt.go
+++ b/internal/wasabireplica/prompt.go
@@ -46,7 +46,8 @@
 	segments    []wasabiridge.BlockHash
 	lengths     []int
 	shared, own int
-	// keys caches the keys of the segments for a version of the weights.
+	// weights is the version of the weights for which keys caches the keys of the
+	// segments.
 	weights wasabiridge.WeightsVersion
 	keys    []uint64
 }
