--- a/internal/wasabiregression/regression.go
+++ b/internal/wasabiregression/regression.go
@@ -1,10 +1,11 @@
-// Package wasabiregression compares the scores of deployments with the floors that
-// earlier code reached.
+// Package wasabiregression compares the scores of deployments with floors, which
+// are scores that earlier versions of the code reached.
 //
-// A bench plays the standard days of a deployment and prints a table with a line
-// for each. What is compared is the worth of the lowest day and the mean of the
-// troubled ones, which are all but the quiet. A difference within the tolerance is
-// noise.
+// An external bench program runs the standard days of a deployment, which are its
+// load scenarios, and prints a table with one line per day. The worth column is a
+// score from 0 to 1. Two figures are compared with a floor: the lowest worth of a
+// day, and the mean worth of the troubled days, which are all days except the
+// quiet ones. A difference within the tolerance is noise.
 //
 // # Usage
 //
@@ -12,7 +13,11 @@
 //	if err != nil {
 //		return err
 //	}
-//	for _, site := range floors.Chosen(names) {
+//	sites, err := floors.Chosen(names)
+//	if err != nil {
+//		return err
+//	}
+//	for _, site := range sites {
 //		var score wasabiregression.Score
 //		if score, err = wasabiregression.Read(output); err != nil {
 //			return err
@@ -32,37 +37,38 @@
 	"github.com/wasabiridge/wasabiridge/internal/wasabidocument"
 )
 
-// Floors is a list of deployments and what their scores must reach.
+// Floors is a list of deployments with the floors of their scores.
 type Floors struct {
-	// Tolerance is how far below its floor a figure may be.
+	// Tolerance is how far a figure may be below its floor.
 	Tolerance float64 `json:"tolerance"`
 	Sites     []Site  `json:"sites"`
 }
 
-// Site is a deployment. All figures are worth, from 0 to 1.
+// Site is a deployment with its floors, which are worths from 0 to 1.
 type Site struct {
-	// File is where the deployment is described, below the folder of all.
+	// File is the path of the description of the deployment, relative to the
+	// directory of all descriptions.
 	File string `json:"file"`
-	// Troubled is the floor of the mean of all days but the quiet, Lowest that of
-	// the lowest day.
+	// Troubled is the floor of the mean of all days except the quiet ones, Lowest
+	// that of the lowest day.
 	Troubled float64 `json:"troubled"`
 	Lowest   float64 `json:"lowest"`
-	// Retired deployments are played only when they are named.
+	// Retired deployments are run only if they are selected by name.
 	Retired bool `json:"retired,omitempty"`
 }
 
-// Name is the file's name without folders and its ending.
+// Name returns the name of the file without directories and the extension .toml.
 func (s Site) Name() string {
 	return strings.TrimSuffix(s.File[strings.LastIndex(s.File, "/")+1:], ".toml")
 }
 
 // Load reads a file of floors. It reports ErrInvalid for a file that is missing or
-// wrong.
+// invalid.
 func Load(path string) (Floors, error) {
 	var f Floors
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return f, wasabiridge.ErrInvalid.Wrap(err, "regression: floors")
+		return f, wasabiridge.ErrInvalid.Wrap(err, "regression: read floors")
 	}
 	if err = wasabidocument.Decode(text, &f); err != nil {
 		return f, err
@@ -75,17 +81,18 @@
 		case seen[s.Name()]:
 			return f, wasabiridge.ErrInvalid.New("regression: /sites/%d/file: %s is listed twice", i, s.Name())
 		case s.Lowest > s.Troubled:
-			return f, wasabiridge.ErrInvalid.New("regression: /sites/%d: lowest is above the mean of the troubled days", i)
+			return f, wasabiridge.ErrInvalid.New("regression: /sites/%d: lowest is above the mean of the troubled days: %g > %g", i, s.Lowest, s.Troubled)
 		}
 		seen[s.Name()] = true
 	}
 	if f.Tolerance < 0 || len(f.Sites) == 0 {
-		return f, wasabiridge.ErrInvalid.New("regression: the tolerance is negative, or there are no sites")
+		return f, wasabiridge.ErrInvalid.New("regression: the tolerance is negative (%g), or there are no sites (%d)", f.Tolerance, len(f.Sites))
 	}
 	return f, nil
 }
 
-// Chosen returns the deployments with the given names, or all that are not retired.
+// Chosen returns the deployments with the given names. Without names, it returns
+// all deployments that are not retired.
 // It reports ErrInvalid for a name that is not listed.
 func (f Floors) Chosen(names []string) ([]Site, error) {
 	var out []Site
@@ -96,35 +103,39 @@
 	}
 	for _, name := range names {
 		if !slices.ContainsFunc(out, func(s Site) bool { return s.Name() == name }) {
-			return nil, wasabiridge.ErrInvalid.New("regression: no site %s is listed", name)
+			return nil, wasabiridge.ErrInvalid.New("regression: site %s is not in the list of floors", name)
 		}
 	}
 	return out, nil
 }
 
-// Day is the worth of one standard day.
+// Day is the result of one standard day.
 type Day struct {
 	Name  string
 	Worth float64
 }
 
-// Score is what the bench printed of a deployment.
+// Score is the result that the bench printed for a deployment.
 type Score struct {
-	Days   []Day
+	Days []Day
+	// Passed is whether the bench reported that its gate passed.
 	Passed bool
 }
 
-// Words of the bench's table. A day that was drawn for one run has no floor.
+// Markers in the output of the bench.
 const (
-	tableHead  = "day "
-	drawnDay   = "fresh-"
+	tableHead = "day "
+	// randomDay starts the name of a day that the bench generated at random for
+	// this run. It is not part of the score, because it has no floor.
+	randomDay  = "fresh-"
 	quietDay   = "quiet-"
 	gatePassed = "GATE passed"
-	worthField = 3
+	// worthColumn is the index of the worth in the fields of a table row.
+	worthColumn = 3
 )
 
-// Read takes the table from the bench's output. It reports ErrInvalid when there is
-// none, or a line has no figure.
+// Read parses the output of the bench. It reports ErrInvalid if there is no table,
+// or if a row has no valid worth.
 func Read(output string) (Score, error) {
 	var s Score
 	inTable := false
@@ -137,24 +148,25 @@
 		case strings.HasPrefix(line, gatePassed):
 			s.Passed = true
 		case !inTable:
-		case len(fields) <= worthField || !strings.Contains(fields[1], "/"):
+		case len(fields) <= worthColumn || !strings.Contains(fields[1], "/"):
 			inTable = false
-		case strings.HasPrefix(fields[0], drawnDay):
+		case strings.HasPrefix(fields[0], randomDay):
 		default:
-			worth, err := strconv.ParseFloat(fields[worthField], 64)
+			worth, err := strconv.ParseFloat(fields[worthColumn], 64)
 			if err != nil {
-				return s, wasabiridge.ErrInvalid.Wrap(err, "regression: worth of %s", fields[0])
+				return s, wasabiridge.ErrInvalid.Wrap(err, "regression: invalid worth of day %s", fields[0])
 			}
 			s.Days = append(s.Days, Day{Name: fields[0], Worth: worth})
 		}
 	}
 	if len(s.Days) == 0 {
-		return s, wasabiridge.ErrInvalid.New("regression: the bench printed no table of days")
+		return s, wasabiridge.ErrInvalid.New("regression: the output of the bench has no table of days")
 	}
 	return s, nil
 }
 
-// Troubled is the mean worth of all days but the quiet.
+// Troubled returns the mean worth of all days except the quiet ones, or zero if
+// there are none.
 func (s Score) Troubled() float64 {
 	sum, n := 0.0, 0
 	for _, d := range s.Days {
@@ -168,7 +180,7 @@
 	return sum / float64(n)
 }
 
-// Lowest is the day with the least worth.
+// Lowest returns the day with the lowest worth. It panics if there are no days.
 func (s Score) Lowest() Day {
 	return slices.MinFunc(s.Days, func(a, b Day) int {
 		switch {
@@ -181,11 +193,12 @@
 	})
 }
 
-// Verdict is what came of one deployment.
+// Verdict is the result of the comparison for one deployment.
 type Verdict struct {
 	Site  Site
 	Score Score
-	// Fallen names what is below its floor, and by how much.
+	// Fallen describes each figure that is below its floor by more than the
+	// tolerance, and a gate that did not pass. It is empty if the floors hold.
 	Fallen []string
 }
 
@@ -195,9 +208,9 @@
 	if !s.Passed {
 		v.Fallen = append(v.Fallen, "the gate is not passed")
 	}
-	check := func(what string, reached, floor float64) {
+	check := func(name string, reached, floor float64) {
 		if reached < floor-f.Tolerance {
-			v.Fallen = append(v.Fallen, fmt.Sprintf("%s %.3f is %.3f below %.3f", what, reached, floor-reached, floor))
+			v.Fallen = append(v.Fallen, fmt.Sprintf("%s %.3f is %.3f below %.3f", name, reached, floor-reached, floor))
 		}
 	}
 	check("troubled mean", s.Troubled(), site.Troubled)
@@ -206,7 +219,7 @@
 	return v
 }
 
-// String returns one line.
+// String returns the verdict as one line of text, with scores and floors.
 func (v Verdict) String() string {
 	lowest := v.Score.Lowest()
 	line := fmt.Sprintf("%-24s troubled %.3f (floor %.3f)  lowest %s %.3f (floor %.3f)",
